--- a/cloverhook/gateway/members.py
+++ b/cloverhook/gateway/members.py
@@ -1,10 +1,13 @@
-"""The VMs of the fleet as this one sees them, and which of them reads the store.
+"""The VMs of the fleet as this VM sees them, and which of them read the store.
 
-Layer: coordination.  Every VM may read the store at any time, so nothing depends on who does; few
-readers are only cheaper, because each call is paid for.  There are two, as nothing shows at once
-that the connection of one has gone silent.  A VM reads when it has heard of fewer readers that
-succeed for a while, the earlier the higher it ranks, and stops when it hears of two that rank
-higher.  No VM's word is needed for another's decision to be right.
+Layer: coordination.  Every VM may read the store at any time, so correctness does not depend on
+which ones do; having few readers is only cheaper, because each call to the store is paid for.
+There are two readers, because it does not show at once that the connection of one of them has gone
+silent.  A VM starts to read when it has had heartbeats from fewer than two successful readers for a
+while; the higher its rank, the sooner it starts.  It stops when it has heartbeats from two readers
+that rank higher.  A VM's decision is correct without any agreement with other VMs.
+
+The neighbours of a VM are the other VMs of its own data centre.
 """
 
 from collections import Counter
@@ -18,51 +21,62 @@
 
 __all__ = ["READERS", "KnownVersions", "Member", "Members"]
 
-SILENT_MS = 2_500.0
-"""A member unheard for this long gets no callers: two heartbeats of the slow kind were lost."""
-CROWD_VMS = 16
-"""With more neighbours than this, messages that grow with their square are saved."""
-SILENT_HEARTBEATS = 2.5
-"""A member of another data centre whose heartbeats are more seldom may miss two of them as well."""
-NAMED_NEAR_VMS = 12
-"""So many live VMs of the own data centre are enough for callers; they are known best."""
-NAMED_MS = 5_000.0
-"""A VM that was not heard for this long is named to no caller, however seldom its heartbeats come
-and however many others are silent too: callers would try the addresses of dead VMs for as long."""
-SERVING_VMS = 12
-"""Of a crowded data centre so many VMs at least are named to callers.  They tell each other what
-they have in flight, which all of them could not; who knows that fills no full endpoint."""
+HEARTBEAT_TIMEOUT_MS = 2_500.0
+"""A member without a heartbeat for this long is considered dead and gets no callers: it has missed
+two heartbeats at the slower interval."""
+LARGE_DATA_CENTER_VMS = 16
+"""A data centre where a VM has more neighbours than this is large: it avoids messages whose number
+grows with the square of the number of VMs."""
+HEARTBEAT_TIMEOUT_INTERVALS = 2.5
+"""The timeout as a multiple of the member's heartbeat interval, where that is longer: a member of
+another data centre that sends heartbeats less often may miss two of them as well."""
+ENOUGH_LOCAL_VMS = 12
+"""With at least this many live VMs in the own data centre, callers get only the addresses of those:
+they are the VMs that this VM knows best."""
+ADDRESS_EXPIRY_MS = 5_000.0
+"""The address of a VM without a heartbeat for this long is given to no caller, however rare its
+heartbeats are and however many other VMs are silent too: otherwise callers would keep trying the
+addresses of dead VMs for all that time."""
+MIN_SERVING_VMS = 12
+"""The minimum number of serving VMs in a large data centre: the VMs whose addresses callers get.
+They exchange their counts of requests in flight, which all VMs of the data centre could not do; a
+VM that knows these counts sends no request to an endpoint that is full."""
 REQUESTS_PER_SERVING_VM = 40
-"""There are more where a data centre gets more requests a second for each: a VM may have less than
-half a core, and a burst may double the load before another one is named.  What else a VM spends
-must not count: it grows with the number of those that serve, and all would."""
-UNDERSTUDY_VMS = 8
-"""So many VMs that would serve callers next are told the load figures too, and measure: the first
-of them places requests well from its first one on, and the serving ones are spared the probes."""
-SERVING_MS = 100.0
-"""The order is worked out anew after this time."""
-SENDER_MS = 2_000.0
-"""A neighbour that has had requests within this time is told of those of others."""
+"""A large data centre has more serving VMs where each gets more requests per second than this: a VM
+may have less than half a core, and a burst may double the load before another VM is added.  The
+other work of a VM must not count: it grows with the number of serving VMs, so that in the end every
+VM would become one."""
+HOT_STANDBY_VMS = 8
+"""The number of hot standby VMs, which follow the serving VMs in the order.  They receive the load
+figures too, and they send the probes: a VM that becomes a serving VM dispatches requests well from
+its first one on, and the serving VMs are spared the probes."""
+REFRESH_MS = 100.0
+"""The order of VMs and the choice of relays are computed again after this time."""
+COUNT_SENDER_MS = 2_000.0
+"""A neighbour that has had requests in flight within this time receives the counts of others."""
 RECENT_MS = 3_500.0
-"""A VM that was heard within this time relays messages: one that is dead does so for no longer."""
+"""A VM with a heartbeat within this time may be chosen to relay messages: a dead one is chosen for
+no longer than this."""
 READERS = 2
-READER_SILENT_MS = 900.0
-"""Without a word of enough readers for this long, another VM reads: two heartbeats were lost."""
+READER_TIMEOUT_MS = 900.0
+"""When this long has passed without heartbeats from enough readers, another VM starts to read: two
+heartbeats were lost."""
 TAKEOVER_STEP_MS = 150.0
-"""Each rank waits this much longer before it reads, so that the first one is heard by the rest."""
-RANKED_MS = 7_500.0
-"""A VM that was not heard for this long is not waited for, however seldom its heartbeats come: one
-that is cut off from all others would wait for hundreds."""
-ALONE_MS = 600.0
-"""A VM of a crowded data centre hears dozens of messages a second.  One that has heard none for so
-long is cut off, which the silence of single members would show after two seconds more."""
+"""Each VM waits this much longer than the one ranked above it before it starts to read, so that the
+heartbeat of the first one reaches the rest in time."""
+CANDIDATE_EXPIRY_MS = 7_500.0
+"""A VM without a heartbeat for this long does not count in the ranking, however rare its heartbeats
+are: a VM that is isolated from all others would otherwise wait for hundreds of them."""
+ISOLATED_MS = 600.0
+"""A VM of a large data centre receives dozens of messages a second.  One that has received none for
+this long is isolated; the timeouts of single members would show that two seconds later."""
 FORGET_MS = 120_000.0
 MAJORITY = 0.5
 
 
 @dataclass(slots=True)
 class Member:
-    """Another VM: its addresses and what it said last."""
+    """Another VM: its addresses and the state that it last reported."""
 
     vm: str
     incarnation: int
@@ -75,19 +89,19 @@
     leaving: bool = False
     config_version: int = -1
     registry_version: int = -1
-    silent_ms: float = SILENT_MS
+    silent_ms: float = HEARTBEAT_TIMEOUT_MS
     requests_per_s: int = 0
     near_vms: int = 0
     evacuation_version: int = -1
     registry_as_of: int = -1
 
     def is_alive(self, now_ms: float) -> bool:
-        """Return whether it was heard a moment ago."""
+        """Return whether the last heartbeat is more recent than the timeout."""
         return now_ms - self.heard_ms < self.silent_ms
 
 
 class KnownVersions(Protocol):
-    """The versions of a state, as a member or a heartbeat names them."""
+    """The versions of the parts of a state, as a member or a heartbeat reports them."""
 
     config_version: int
     registry_version: int
@@ -95,48 +109,49 @@
 
 
 class Members:
-    """All other VMs that have been heard of."""
+    """All other VMs that have sent a heartbeat to this one."""
 
     def __init__(self, own_vm: str, data_center: str, now_ms: float) -> None:
         self._own_vm = own_vm
         self.data_center = data_center
         self._members: dict[str, Member] = {}
-        self._near: dict[str, Member] = {}
-        self._counts_ms: dict[str, float] = {}
+        self._local: dict[str, Member] = {}
+        self._count_senders_ms: dict[str, float] = {}
         self._enough_readers_ms = now_ms
-        self._was_read = False
+        self._had_enough_readers = False
         self._serving: tuple[str, ...] = ()
         self._informed: tuple[str, ...] = ()
-        self._serving_due_ms = 0.0
+        self._serving_refresh_ms = 0.0
         self._readers: dict[str, Member] = {}
         self._relays: dict[str, list[Member]] = {}
-        self._relays_due_ms = 0.0
-        self._unheard = 0
-        self._any_heard_ms = now_ms
+        self._relays_refresh_ms = 0.0
+        self._unseen_vms = 0
+        self._last_message_ms = now_ms
 
     def __len__(self) -> int:
         return len(self._members)
 
     def near_count(self) -> int:
-        """Return how many other VMs of the own data centre are known."""
-        return len(self._near)
+        """Return the number of other VMs of the own data centre that are known."""
+        return len(self._local)
 
     def all(self) -> tuple[Member, ...]:
-        """Return every member, also silent ones."""
+        """Return every member, including those that are not alive."""
         return tuple(self._members.values())
 
     def get(self, vm: str) -> Member | None:
-        """Return a member that has introduced itself."""
+        """Return the member of this name, or None where it has sent no heartbeat."""
         return self._members.get(vm)
 
     def heard(self, heartbeat: Heartbeat, now_ms: float) -> bool:
-        """Take a sign of life; return whether the VM or its process is new, or was silent.
+        """Take a heartbeat; return whether the VM or its process is new, or was not alive before.
 
-        Incarnations are compared, never ordered: clocks may step back between two starts.
+        Incarnations are only compared for equality, never ordered: clocks may step back between two
+        starts.
         """
         member = self._members.get(heartbeat.vm)
         new = member is None or member.incarnation != heartbeat.incarnation
-        back = new or not member.is_alive(now_ms)
+        returned = new or not member.is_alive(now_ms)
         if new:
             member = Member(
                 heartbeat.vm,
@@ -146,9 +161,11 @@
                 heartbeat.peer_address,
                 now_ms,
             )
-            self._put(member)
-        member.heard_ms = self._any_heard_ms = now_ms
-        member.silent_ms = max(SILENT_MS, SILENT_HEARTBEATS * heartbeat.every_ms)
+            self._add(member)
+        member.heard_ms = self._last_message_ms = now_ms
+        member.silent_ms = max(
+            HEARTBEAT_TIMEOUT_MS, HEARTBEAT_TIMEOUT_INTERVALS * heartbeat.every_ms
+        )
         member.ready = heartbeat.ready
         member.reading = heartbeat.reading
         member.leaving = heartbeat.leaving
@@ -164,149 +181,161 @@
             self._readers[heartbeat.vm] = member
         else:
             self._readers.pop(heartbeat.vm, None)
-        return back
+        return returned
 
     def hears(self, now_ms: float) -> None:
-        """Note that some message of another VM has come."""
-        self._any_heard_ms = now_ms
+        """Record that some message of another VM has arrived."""
+        self._last_message_ms = now_ms
 
     def is_cut_off(self, now_ms: float) -> bool:
-        """Return whether this VM of a crowded data centre hears hardly any of its neighbours.
+        """Return whether this VM, in a large data centre, has lost contact with its neighbours.
 
-        It then places requests without the counts and figures of others.
+        That is so when no message has arrived for a while, or when most neighbours are silent.  An
+        isolated VM dispatches requests without the counts and load figures of others.
         """
         if not self.crowded():
             return False
-        return now_ms - self._any_heard_ms > ALONE_MS or _most_silent(self.near(), now_ms)
+        return now_ms - self._last_message_ms > ISOLATED_MS or _most_silent(self.near(), now_ms)
 
     def names_itself(self, now_ms: float) -> bool:
-        """Return whether this VM, if it is ready, tells callers its own address.
+        """Return whether this VM, if it is ready, gives its own address to callers.
 
-        One that is cut off does not: callers still reach the others, which place requests better.
+        An isolated VM does not: callers still reach the others, which dispatch requests better.
         """
         return self.serves_callers(now_ms) and not self.is_cut_off(now_ms)
 
-    def _put(self, member: Member) -> None:
-        """Take a VM, or a new process of one, in place of what was known under its name."""
+    def _add(self, member: Member) -> None:
+        """Add a VM, or a new process of one, in place of the member of the same name."""
         self._members[member.vm] = member
-        self._near.pop(member.vm, None)
+        self._local.pop(member.vm, None)
         if member.data_center == self.data_center:
-            self._near[member.vm] = member
+            self._local[member.vm] = member
 
     def alive(self, now_ms: float) -> tuple[Member, ...]:
-        """Return the members heard a moment ago."""
+        """Return the members that are alive."""
         return tuple(item for item in self._members.values() if item.is_alive(now_ms))
 
     def count(self) -> int:
-        """Return how many VMs may be serving, this one included; silent ones count for a while.
+        """Return how many VMs may be serving, this one included.
 
-        Of another data centre that is crowded only a few are heard; they tell how many there are.
+        Silent VMs count until they are forgotten.  Of another data centre that is large, only a few
+        VMs send heartbeats here; these report how many VMs there are.
         """
-        return 1 + len(self._members) + self._unheard
+        return 1 + len(self._members) + self._unseen_vms
 
     def caller_addresses(self, now_ms: float, reaches_nobody: bool = False) -> list[str]:
         """Return the addresses of the other VMs that callers may use.
 
-        Those that were not heard for long are left out, unless this VM `reaches_nobody`, not even
-        the store: then it is cut off itself, and callers still reach the others.
+        VMs without a heartbeat for a long time are left out, unless `reaches_nobody` is set: this
+        VM then reaches neither other VMs nor the store, so it is the one that is isolated, and
+        callers still reach the others.
         """
-        if self.crowded() and len(self.serving(now_ms)) >= NAMED_NEAR_VMS:
-            found = (self._near.get(vm) for vm in self.serving(now_ms))
-            named = [item for item in found if item is not None]
+        if self.crowded() and len(self.serving(now_ms)) >= ENOUGH_LOCAL_VMS:
+            found = (self._local.get(vm) for vm in self.serving(now_ms))
+            chosen = [item for item in found if item is not None]
         else:
             ready = [item for item in self._members.values() if item.ready and not item.leaving]
-            named = _heard_or_all(ready, now_ms)
-            near = [item for item in named if item.data_center == self.data_center]
-            if len(near) >= NAMED_NEAR_VMS:
-                named = near
+            chosen = _live_or_all(ready, now_ms)
+            near = [item for item in chosen if item.data_center == self.data_center]
+            if len(near) >= ENOUGH_LOCAL_VMS:
+                chosen = near
         if not reaches_nobody:
-            named = [item for item in named if now_ms - item.heard_ms < NAMED_MS]
-        return [item.caller_address for item in named]
+            chosen = [item for item in chosen if now_ms - item.heard_ms < ADDRESS_EXPIRY_MS]
+        return [item.caller_address for item in chosen]
 
     def serves_callers(self, now_ms: float) -> bool:
-        """Return whether this VM, if it is ready, is one of those that callers are sent to."""
+        """Return whether this VM, if it is ready, is a serving VM."""
         return not self.crowded() or self._serves(self._own_vm, now_ms)
 
     def serving(self, now_ms: float) -> tuple[str, ...]:
-        """Return the VMs of the own data centre that callers are sent to.
+        """Return the serving VMs of the own data centre: callers get the addresses of these.
 
-        Every VM works them out for itself, from whom it hears: the first ones of an order.
+        Each VM computes them by itself from the members it has heartbeats of: they are the first
+        ones of an order that is the same on every VM.
         """
-        self._set_serving(now_ms)
+        self._refresh_serving(now_ms)
         return self._serving
 
     def informed(self, now_ms: float) -> tuple[str, ...]:
         """Return the VMs of the own data centre that need load figures, in the same order.
 
-        They are those that callers are sent to, and the next ones that would be.
+        They are the serving VMs and the hot standby VMs, which would become serving VMs next.
         """
-        self._set_serving(now_ms)
+        self._refresh_serving(now_ms)
         return self._informed
 
     def is_informed(self, now_ms: float) -> bool:
-        """Return whether this VM is among those that need load figures."""
+        """Return whether this VM is one of those that need load figures."""
         return not self.crowded() or self._own_vm in self.informed(now_ms)
 
-    def _set_serving(self, now_ms: float) -> None:
-        if now_ms < self._serving_due_ms:
+    def _refresh_serving(self, now_ms: float) -> None:
+        if now_ms < self._serving_refresh_ms:
             return
-        self._serving_due_ms = now_ms + SERVING_MS
-        near = [item for item in self._near.values() if item.ready and not item.leaving]
-        found = [item.vm for item in _heard_or_all(near, now_ms)]
+        self._serving_refresh_ms = now_ms + REFRESH_MS
+        near = [item for item in self._local.values() if item.ready and not item.leaving]
+        found = [item.vm for item in _live_or_all(near, now_ms)]
         found.append(self._own_vm)
         found.sort(key=lambda vm: rank_weight("callers", vm), reverse=True)
         requests_per_s = sum(item.requests_per_s for item in near if item.is_alive(now_ms))
-        wanted = max(SERVING_VMS, ceil(requests_per_s / REQUESTS_PER_SERVING_VM))
+        wanted = max(MIN_SERVING_VMS, ceil(requests_per_s / REQUESTS_PER_SERVING_VM))
         self._serving = tuple(found[:wanted])
-        self._informed = tuple(found[: wanted + UNDERSTUDY_VMS])
+        self._informed = tuple(found[: wanted + HOT_STANDBY_VMS])
 
     def placing(self, data_center: str, now_ms: float) -> tuple[str, ...]:
-        """Return the VMs that place requests at the endpoints of a data centre by good knowledge.
+        """Return the VMs that dispatch requests to the endpoints of a data centre with good data.
 
-        Where the own data centre is crowded, these are its serving VMs, and for another one none
-        here; else all that serve.
+        Where the own data centre is large, these are its serving VMs for its own endpoints, and
+        none for those of another data centre.  Otherwise they are all ready VMs of the fleet.
         """
         if self.crowded():
             return self.serving(now_ms) if data_center == self.data_center else ()
         ready = [item for item in self._members.values() if item.ready and not item.leaving]
-        return (*(item.vm for item in _heard_or_all(ready, now_ms)), self._own_vm)
+        return (*(item.vm for item in _live_or_all(ready, now_ms)), self._own_vm)
 
     def sent_counts(self, vm: str, now_ms: float) -> None:
-        """Note that a VM has requests in flight: it places them, whether callers are sent to it."""
-        self._counts_ms[vm] = now_ms
+        """Record that a VM has requests in flight: it dispatches them, serving VM or not."""
+        self._count_senders_ms[vm] = now_ms
 
     def senders(self, now_ms: float) -> int:
-        """Return how many other VMs, of whichever data centre, have told counts lately."""
-        return sum(1 for at_ms in self._counts_ms.values() if at_ms > now_ms - SENDER_MS)
+        """Return how many other VMs, of any data centre, have recently sent counts in flight."""
+        return sum(
+            1 for at_ms in self._count_senders_ms.values() if at_ms > now_ms - COUNT_SENDER_MS
+        )
 
     def count_audience(self, now_ms: float) -> list[Member]:
-        """Return the live neighbours that place requests, and so are told the counts in flight.
+        """Return the live neighbours that dispatch requests, and so receive the counts in flight.
 
-        They are those that callers are sent to, and those that callers with old addresses use.
+        They are the serving VMs, and those that callers with outdated addresses use.
         """
-        return self._neighbours(self.serving(now_ms), now_ms)
+        return self._live_neighbours(self.serving(now_ms), now_ms)
 
     def audience(self, now_ms: float) -> list[Member]:
-        """Return the live neighbours that are told load figures: who places requests, or may soon.
+        """Return the live neighbours that receive load figures.
 
-        In a data centre that is not crowded, all are.
+        They are those that dispatch requests, or may do so soon.  In a data centre that is not
+        large, they are all the live neighbours.
         """
-        return self._neighbours(self.informed(now_ms), now_ms)
+        return self._live_neighbours(self.informed(now_ms), now_ms)
 
-    def _neighbours(self, named: tuple[str, ...], now_ms: float) -> list[Member]:
-        """Return the live neighbours of these names, and those that have told counts lately."""
+    def _live_neighbours(self, vms: tuple[str, ...], now_ms: float) -> list[Member]:
+        """Return the live neighbours of these names, and those that have recently sent counts.
+
+        In a data centre that is not large, return all the live neighbours.
+        """
         if not self.crowded():
-            return [item for item in self._near.values() if item.is_alive(now_ms)]
-        since_ms = now_ms - SENDER_MS
-        self._counts_ms = {vm: at_ms for vm, at_ms in self._counts_ms.items() if at_ms > since_ms}
-        found = (self._near.get(vm) for vm in {*named, *self._counts_ms})
+            return [item for item in self._local.values() if item.is_alive(now_ms)]
+        since_ms = now_ms - COUNT_SENDER_MS
+        self._count_senders_ms = {
+            vm: at_ms for vm, at_ms in self._count_senders_ms.items() if at_ms > since_ms
+        }
+        found = (self._local.get(vm) for vm in {*vms, *self._count_senders_ms})
         return [item for item in found if item is not None and item.is_alive(now_ms)]
 
     def _serves(self, vm: str, now_ms: float) -> bool:
         return vm in self.serving(now_ms)
 
     def data_center_vms(self, data_center: str, now_ms: float) -> list[str]:
-        """Return the VMs of a data centre that are alive, this one included if it lies there."""
+        """Return the VMs of a data centre that are ready and alive, this one included if there."""
         found = [
             item.vm
             for item in self._members.values()
@@ -315,23 +344,24 @@
         return [*found, self._own_vm] if data_center == self.data_center else found
 
     def holders(self, knows: Callable[[Member], bool], now_ms: float) -> list[Member]:
-        """Return the neighbours that know something, by what they said; best those heard lately.
+        """Return the live neighbours whose reported versions satisfy `knows`.
 
-        Some send heartbeats so seldom that a dead one counts as alive for long.
+        If some of them have sent a heartbeat recently, only those are returned: some VMs send
+        heartbeats so rarely that a dead one counts as alive for a long time.
         """
         found = [item for item in self.near() if item.is_alive(now_ms) and knows(item)]
         return [item for item in found if now_ms - item.heard_ms < RECENT_MS] or found
 
     def crowded(self) -> bool:
-        """Return whether the own data centre has many VMs."""
-        return len(self._near) > CROWD_VMS
+        """Return whether the own data centre is large, that is, has many VMs."""
+        return len(self._local) > LARGE_DATA_CENTER_VMS
 
     def near(self) -> list[Member]:
-        """Return the other VMs of the own data centre, also silent ones."""
-        return list(self._near.values())
+        """Return the other VMs of the own data centre, including those that are not alive."""
+        return list(self._local.values())
 
     def far(self, now_ms: float) -> dict[str, list[Member]]:
-        """Return the VMs of each other data centre that are alive, or all where none is."""
+        """Return the live VMs of each other data centre, or all its VMs where none is alive."""
         groups: dict[str, list[Member]] = {}
         for item in self._members.values():
             if item.data_center != self.data_center:
@@ -344,11 +374,11 @@
     def relays(self, now_ms: float) -> dict[str, list[Member]]:
         """Return the VMs of each other data centre that are likely to relay messages.
 
-        They were heard a moment ago: some send heartbeats so seldom that a dead one counts as
-        alive for long.
+        They have sent a heartbeat recently, where there are such VMs: some VMs send heartbeats so
+        rarely that a dead one counts as alive for a long time.
         """
-        if now_ms >= self._relays_due_ms:
-            self._relays_due_ms = now_ms + SERVING_MS
+        if now_ms >= self._relays_refresh_ms:
+            self._relays_refresh_ms = now_ms + REFRESH_MS
             self._relays = {
                 name: [item for item in group if now_ms - item.heard_ms < RECENT_MS] or group
                 for name, group in self.far(now_ms).items()
@@ -356,47 +386,52 @@
         return self._relays
 
     def reads_store(self, reading: bool, now_ms: float) -> bool:
-        """Return whether this VM should follow the store; `reading` is whether it does so well."""
+        """Return whether this VM should read the store.
+
+        `reading` says whether it already does so successfully.
+        """
         others = [
             item
             for item in self._readers.values()
-            if not item.leaving and now_ms - item.heard_ms < READER_SILENT_MS
+            if not item.leaving and now_ms - item.heard_ms < READER_TIMEOUT_MS
         ]
         if reading:
             place = place_in_order("reader", self._own_vm, (item.vm for item in others))
             return place < READERS
         if len(others) >= READERS:
             self._enough_readers_ms = now_ms
-            self._was_read = True
+            self._had_enough_readers = True
             return False
-        recent = (item for item in self.alive(now_ms) if now_ms - item.heard_ms < RANKED_MS)
+        recent = (
+            item for item in self.alive(now_ms) if now_ms - item.heard_ms < CANDIDATE_EXPIRY_MS
+        )
         idle = [item.vm for item in recent if item not in others]
         wait_ms = TAKEOVER_STEP_MS * place_in_order("reader", self._own_vm, idle)
-        if others or not self._was_read:
-            wait_ms += READER_SILENT_MS
+        if others or not self._had_enough_readers:
+            wait_ms += READER_TIMEOUT_MS
         return now_ms - self._enough_readers_ms >= wait_ms
 
     def forget(self, now_ms: float) -> None:
-        """Drop members that have been silent for long; to be called now and then."""
+        """Drop members without a heartbeat for a long time; to be called periodically."""
         for vm, item in tuple(self._members.items()):
             if now_ms - item.heard_ms > FORGET_MS:
                 del self._members[vm]
-                self._near.pop(vm, None)
+                self._local.pop(vm, None)
                 self._readers.pop(vm, None)
         known = Counter(item.data_center for item in self._members.values())
-        self._unheard = sum(
+        self._unseen_vms = sum(
             max(0, max(item.near_vms for item in group) - known[name])
             for name, group in self.far(now_ms).items()
         )
 
 
-def _heard_or_all(members: list[Member], now_ms: float) -> list[Member]:
-    """Return the members that are alive, or all where most are silent.
+def _live_or_all(members: list[Member], now_ms: float) -> list[Member]:
+    """Return the members that are alive, or all members where most are silent.
 
-    A VM that suddenly hears less than half of the others is more likely cut off itself.  Callers
-    still reach those, and should not be sent to the one VM that knows least.  It shows first in
-    those with frequent heartbeats: others count as alive for seconds more, and know no load
-    figures.
+    A VM that suddenly has heartbeats from less than half of the others is more likely isolated
+    itself.  Callers still reach the others, and should not all be sent to the VM that knows least.
+    The isolation shows first in the members with frequent heartbeats: the others count as alive for
+    seconds more, and they have no load figures.
     """
     if _most_silent(members, now_ms):
         return members
@@ -405,7 +440,7 @@
 
 def _most_silent(members: list[Member], now_ms: float) -> bool:
     """Return whether most members are silent, or most of those with frequent heartbeats."""
-    often = [item for item in members if item.silent_ms <= SILENT_MS]
+    often = [item for item in members if item.silent_ms <= HEARTBEAT_TIMEOUT_MS]
     for group in (often, members):
         if sum(1 for item in group if item.is_alive(now_ms)) < MAJORITY * len(group):
             return True
