--- a/cloverhook/gateway/holds.py
+++ b/cloverhook/gateway/holds.py
@@ -1,8 +1,9 @@
-"""Entries that have vanished from the store and stay in use for a while.
+"""Grace periods of entries that have vanished from the store but stay in use for a while.
 
-Layer: state.  An entry may vanish though its endpoint lives: it lapses while the store is away, or
-half of a service's entries do at once, and they are back within two seconds.  A single one that
-vanishes has most likely left, and is held for less.
+Layer: state.  An entry may vanish although its endpoint is alive: it expires while the store is
+unavailable, or half of a service's entries expire at once, and they are back within two seconds.
+A single entry that vanishes most likely belongs to an endpoint that has left, and gets a shorter
+grace period.
 
 >>> holds = Holds(drain_ms=2_000.0)
 >>> holds.begin("i-1", "orders", of_service=9, now_ms=0.0, store_was_away=False)
@@ -15,19 +16,20 @@
 
 __all__ = ["Holds"]
 
-HOLD_SHARE = 0.75
-"""The part of the time until it must get no more work for which a vanished entry stays in use."""
-LAPSE_HOLD_MS = 2_400.0
-"""The same when half of a service vanishes at once, or the store was away: they are back in 2 s."""
-LAPSE_SHARE = 0.5
-LAPSE_WINDOW_MS = 1_000.0
+GRACE_SHARE = 0.75
+"""The grace period as a share of the drain time, after which a vanished entry must get no work."""
+MASS_EXPIRY_GRACE_MS = 2_400.0
+"""The grace period when half of a service vanishes at once, or the store was unavailable: such
+entries are back within 2 s."""
+MASS_EXPIRY_SHARE = 0.5
+MASS_EXPIRY_WINDOW_MS = 1_000.0
 
 
 class Holds:
-    """The names of vanished entries, and until when each is held; times are monotonic."""
+    """The names of vanished entries and the end of each grace period; times are monotonic."""
 
     def __init__(self, drain_ms: float) -> None:
-        self._hold_ms = HOLD_SHARE * drain_ms
+        self._grace_ms = GRACE_SHARE * drain_ms
         self._until_ms: dict[str, float] = {}
         self._since_ms: dict[str, float] = {}
         self._vanished_ms: dict[str, list[float]] = {}
@@ -38,39 +40,47 @@
     def begin(
         self, name: str, service: str, of_service: int, now_ms: float, store_was_away: bool
     ) -> bool:
-        """Hold an entry of a service with so many; return whether it rather has lapsed."""
-        lapse = self._is_lapse(service, of_service, now_ms) or store_was_away
-        self._until_ms[name] = now_ms + (LAPSE_HOLD_MS if lapse else self._hold_ms)
+        """Start the grace period of an entry whose service has `of_service` entries.
+
+        Returns whether the entry has more likely expired because of the store than left.
+        """
+        expired = self._is_mass_expiry(service, of_service, now_ms) or store_was_away
+        self._until_ms[name] = now_ms + (MASS_EXPIRY_GRACE_MS if expired else self._grace_ms)
         self._since_ms[name] = now_ms
-        return lapse
+        return expired
 
     def prolong(self, names: Iterable[str], now_ms: float) -> None:
-        """Hold those that have vanished together with one that lapses now as long as that one."""
+        """Extend the grace periods of entries that vanished together with one that expires now.
+
+        They then last as long as the grace period of that one.
+        """
         for name in names:
             since_ms = self._since_ms.get(name)
-            if since_ms is not None and now_ms - since_ms <= LAPSE_WINDOW_MS:
-                self._until_ms[name] = now_ms + LAPSE_HOLD_MS
+            if since_ms is not None and now_ms - since_ms <= MASS_EXPIRY_WINDOW_MS:
+                self._until_ms[name] = now_ms + MASS_EXPIRY_GRACE_MS
 
     def adopt(self, name: str, left_ms: float, now_ms: float) -> None:
-        """Hold an entry as a peer does, unless it is held already."""
+        """Start a grace period with the time left that a peer reports, unless there is one."""
         self._until_ms.setdefault(name, now_ms + left_ms)
 
     def end(self, name: str) -> bool:
-        """Hold an entry no more; return whether it was held."""
+        """End the grace period of an entry; return whether there was one."""
         self._since_ms.pop(name, None)
         return self._until_ms.pop(name, None) is not None
 
     def left_ms(self, name: str, now_ms: float) -> float:
-        """Return for how long an entry is held."""
+        """Return the time left of an entry's grace period."""
         return max(0.0, self._until_ms[name] - now_ms)
 
     def due(self, now_ms: float) -> list[str]:
-        """Return the names whose time has passed."""
+        """Return the names whose grace period is over."""
         return [name for name, until_ms in self._until_ms.items() if until_ms <= now_ms]
 
-    def _is_lapse(self, service: str, of_service: int, now_ms: float) -> bool:
+    def _is_mass_expiry(self, service: str, of_service: int, now_ms: float) -> bool:
         """Return whether so many entries vanish at once that the store is the likelier cause."""
-        times = [at for at in self._vanished_ms.get(service, ()) if at > now_ms - LAPSE_WINDOW_MS]
+        times = [
+            at for at in self._vanished_ms.get(service, ()) if at > now_ms - MASS_EXPIRY_WINDOW_MS
+        ]
         times.append(now_ms)
         self._vanished_ms[service] = times
-        return len(times) > 1 and len(times) >= LAPSE_SHARE * of_service
+        return len(times) > 1 and len(times) >= MASS_EXPIRY_SHARE * of_service
--- a/cloverhook/gateway/log_position.py
+++ b/cloverhook/gateway/log_position.py
@@ -1,8 +1,9 @@
-"""How far a VM knows a log of the store, by its own reading or by what others say.
+"""How far a VM knows a log of the store, from its own reading or from what its peers report.
 
-Layer: state.  `version` is the position of the last change, and all that was written up to `as_of`
-is known.  A VM whose `as_of` has reached another's `version` lacks nothing of it; so a VM that
-hears of no change still gets further, and can go on reading from there.
+Layer: state.  `version` is the position of the last change, and everything that was written up to
+`as_of` is known.  A VM whose `as_of` has reached the `version` of another VM lacks nothing that the
+other one knows.  So a VM that learns of no change still advances `as_of`, and can continue to read
+from there.
 
 >>> position = LogPosition()
 >>> position.adopted(version=4, as_of=6)
@@ -16,7 +17,8 @@
 __all__ = ["LogPosition"]
 
 CONFIRMED_LIMIT_MS = 2_500.0
-"""Without a word of the store for longer, what is missing may have lapsed with it meanwhile."""
+"""After a longer time without a confirmation by the store, a missing entry may have expired in the
+meantime because the store was unavailable; it then counts as vanished only from now on."""
 
 
 class LogPosition:
@@ -36,42 +38,43 @@
 
     @property
     def claimed_version(self) -> int:
-        """The version that others may rely on, or -1 while that of the last change isn't known."""
+        """The version that peers may rely on, or -1 while that of the last change isn't known."""
         return self.version if self._knows_last_change else -1
 
     @property
     def history_floor(self) -> int:
-        """The position since which the changes are known one by one."""
+        """The position since which all changes are known individually."""
         return self._history_floor
 
     def changed(self, position: int) -> None:
-        """Note a change at a position."""
+        """Record a change at a position."""
         self.version = max(self.version, position)
 
     def read_up_to(self, position: int) -> None:
-        """Note that all records up to a position have been taken."""
+        """Record that all records up to a position have been applied."""
         self._as_of = max(self._as_of, position)
 
     def heard(self, version: int, as_of: int) -> None:
-        """Take another VM's word that nothing has changed between a version and `as_of`."""
+        """Take a peer's report that nothing has changed between a version and `as_of`."""
         if version <= self.as_of <= as_of:
             self._as_of = as_of
             self.version = max(self.version, version)
             self._knows_last_change = True
 
     def assume_changed(self) -> None:
-        """Count the position read up to as a change, where the last one isn't known.
+        """Treat the position read up to as the last change, where the last change isn't known.
 
-        Whoever knows less then asks for all.
+        Peers that know less then ask for the full state.
         """
         if not self._knows_last_change:
             self.version = self.as_of
             self._knows_last_change = True
 
     def listed(self, known: tuple[int, int], as_of: int, changed: bool) -> None:
-        """Note that a whole list was taken as of a position, which doesn't say what changed last.
+        """Record that a full list as of a position was applied; it doesn't show the last change.
 
-        `known` are version and `as_of` from before it.
+        `known` holds `version` and `as_of` from before the list; `changed` says that the list
+        changed something.
         """
         known_version, known_as_of = known
         if changed or era_of(as_of) > era_of(known_as_of):
@@ -81,28 +84,28 @@
         self.learned_whole(known_as_of, as_of)
 
     def adopted(self, version: int, as_of: int) -> None:
-        """Note that all has been taken that a peer knows."""
+        """Record that everything that a peer knows has been applied."""
         self.version, self._as_of = version, max(as_of, self._as_of)
         self._knows_last_change = True
 
     def learned_whole(self, known_as_of: int, floor: int) -> None:
-        """Note that a whole state was taken whose changes are known one by one since `floor`."""
+        """Record that a full state was applied, with all changes since `floor` known one by one."""
         if floor > known_as_of:
             self._history_floor = floor
         else:
             self._history_floor = min(self._history_floor, floor)
 
     def forgot_up_to(self, position: int) -> None:
-        """Note that changes up to a position are no longer known one by one."""
+        """Record that changes up to a position are no longer known individually."""
         self._history_floor = max(self._history_floor, position)
 
     def confirm(self, version: int, now_ms: float) -> None:
-        """Note that the store holds nothing newer than a version at this time."""
+        """Record that the store holds nothing newer than a version at this time."""
         if version <= self.as_of:
             self._confirmed_ms = now_ms
 
     def vanished_since_ms(self, now_ms: float) -> float:
-        """Return the earliest time at which what is found missing now may have vanished."""
+        """Return the earliest time at which an entry found missing now may have vanished."""
         if self._confirmed_ms is None or now_ms - self._confirmed_ms > CONFIRMED_LIMIT_MS:
             return now_ms
         return self._confirmed_ms
--- a/cloverhook/gateway/registry.py
+++ b/cloverhook/gateway/registry.py
@@ -1,17 +1,17 @@
 """The backend servers that are registered at this moment.
 
 Layer: state.  An endpoint registers itself under a name.  It may start again under the same name:
-each start is a new incarnation, told apart by the time of the start, and everything else that a
-gateway knows is kept by incarnation, so that nothing of an earlier one counts for the next.  The
-registry takes records in any order and by any way: for each name the newest incarnation wins, and
-of one incarnation the record with the highest offset.  One that is gone does not come back through
-an older record.
+each start is a new incarnation, identified by the time of the start.  Everything else that a
+gateway knows is stored by incarnation, so that nothing known of an earlier one applies to the next.
+The registry accepts records in any order and from any source: for each name the newest incarnation
+wins, and for one incarnation the record with the highest offset.  An older record does not bring
+back an entry that has been removed.
 
-How far the store's log is known, `LogPosition` says.
+`LogPosition` keeps track of how far the store's log is known.
 
-An entry that vanishes without having been draining is kept for a hold time: a registration may
-lapse while the store, not the backend server, is in trouble.  The same goes for one that is
-overwritten by something that is no entry, as another writer may do.
+An entry that vanishes without having been draining is kept for a grace period: a registration may
+expire because the store, not the backend server, is in trouble.  The same applies to an entry that
+another writer overwrites with something that is not an entry.
 """
 
 from collections.abc import Collection, Iterable, Iterator, Mapping
@@ -52,7 +52,7 @@
     },
     frozenset(DOCUMENT_FIELDS),
 )
-"""What peers send each other of a registry; `Registry.to_document` makes it."""
+"""The form in which peers exchange a registry, as `Registry.to_document` builds it."""
 
 
 class Registry:
@@ -60,16 +60,16 @@
 
     def __init__(self, drain_ms: float = DRAIN_MS) -> None:
         self.position = LogPosition()
-        self._holds = Holds(drain_ms)
+        self._grace_periods = Holds(drain_ms)
         self._servers: dict[str, BackendServer] = {}
         self._offsets: dict[str, int] = {}
-        self._gone: dict[str, int] = {}
+        self._tombstones: dict[str, int] = {}
         self._last_sequences: dict[str, int] = {}
         self._changed_at: dict[str, int] = {}
         self._by_service: dict[str, tuple[BackendServer, ...]] = {}
         self._by_incarnation: dict[str, BackendServer] = {}
         self._born_ms: dict[str, int] = {}
-        self._ended: list[str] = []
+        self._ended_incarnations: list[str] = []
         self._indexing = True
         self._digest: int | None = 0
 
@@ -83,36 +83,36 @@
 
     @property
     def as_of(self) -> int:
-        """The position up to which everything is known."""
+        """The position up to which everything in the store's log is known."""
         return self.position.as_of
 
     def get(self, incarnation: str) -> BackendServer | None:
-        """Return a backend server that is registered or held."""
+        """Return a backend server that is registered or in its grace period."""
         return self._by_incarnation.get(incarnation)
 
     def servers(self) -> Iterable[BackendServer]:
-        """Return all backend servers that are registered or held."""
+        """Return all backend servers that are registered or in their grace period."""
         return self._servers.values()
 
     def of_service(self, service: str) -> tuple[BackendServer, ...]:
-        """Return the backend servers of a service."""
+        """Return the backend servers of a service that are registered or in their grace period."""
         return self._by_service.get(service, ())
 
     def digest(self) -> int:
-        """Return a hash of the endpoints that requests may go to: equal where these are the same.
+        """Return a hash of the endpoints that requests may go to; equal where these are the same.
 
-        An entry that is only held for a while doesn't count, as VMs drop it at different moments.
+        An entry in its grace period doesn't count, because VMs drop it at different moments.
         """
         if self._digest is None:
             self._digest = 0
             for server in self._servers.values():
-                if not server.draining and server.name not in self._holds:
+                if not server.draining and server.name not in self._grace_periods:
                     self._digest ^= xxhash.xxh32_intdigest(server.incarnation.encode())
         return self._digest
 
     def held(self, server: BackendServer) -> bool:
-        """Return whether an entry has vanished and is only kept for its hold time."""
-        return server.name in self._holds
+        """Return whether an entry has vanished and is only kept for its grace period."""
+        return server.name in self._grace_periods
 
     def apply(
         self,
@@ -122,13 +122,15 @@
         listed: bool = False,
         was_waited_for: bool = True,
     ) -> bool:
-        """Take a record; return whether anything but its offset has changed.
+        """Apply a record; return whether anything but its offset has changed.
 
-        `listed` says that it stands in a whole list: nobody knows when it was written.  One that
-        was not `was_waited_for` may have been written at any time since the store was last read.
+        `listed` says that the record is part of a full list, which does not show when it was
+        written.  `was_waited_for` says that it arrived while a call waited for changes; any other
+        record may have been written at any time since the store was last read.  `store_was_away`
+        says that the store was unavailable until recently.
         """
         name, after = record.name, record.server
-        known = max(self._offsets.get(name, -1), self._gone.get(name, -1))
+        known = max(self._offsets.get(name, -1), self._tombstones.get(name, -1))
         if record.offset <= known and not self._is_later_start(after):
             return False
         if after is None or self._lacks_its_start(after):
@@ -142,43 +144,47 @@
         if self._is_outdated(after, before):
             return False
         self._offsets[name] = max(record.offset, self._offsets.get(name, -1))
-        self._gone.pop(name, None)
+        self._tombstones.pop(name, None)
         self._last_sequences.pop(name, None)
         if after.born_ms is not None:
             self._born_ms[name] = after.born_ms
-        returned = self._holds.end(name)
+        returned = self._grace_periods.end(name)
         if before is not None and before.incarnation != after.incarnation:
-            self._ended.append(before.incarnation)
+            self._ended_incarnations.append(before.incarnation)
         elif before is not None and after.is_like(before, now_ms) and not returned:
             self._servers[name] = replace(before, sequence=after.sequence)
             return False
         self._servers[name] = after
-        self._changed(name, record.offset)
+        self._record_change(name, record.offset)
         return True
 
     def apply_all(
         self, records: Iterable[ServerRecord], now_ms: float, store_was_away: bool
     ) -> list[str]:
-        """Take many records; return the names of those that changed anything."""
+        """Apply the records of a full list; return the names of those that changed anything."""
         with self._index_once():
             return [item.name for item in records if self.apply(item, now_ms, store_was_away, True)]
 
     def _is_later_start(self, after: BackendServer | None) -> bool:
-        """Return whether a record is of a later start than the registered one.
+        """Return whether a record belongs to a later start than the registered entry.
 
-        That one's record may have reached the store late, and have the higher offset.
+        The record of the earlier start may have reached the store late, and so have the higher
+        offset.
         """
         before = None if after is None else self._servers.get(after.name)
         if before is None or after.born_ms is None or before.born_ms is None:
             return False
-        return after.born_ms > before.born_ms and after.name not in self._holds
+        return after.born_ms > before.born_ms and after.name not in self._grace_periods
 
     def _lacks_its_start(self, server: BackendServer) -> bool:
-        """Return whether an entry says less than its name's own: then another writer made it."""
+        """Return whether an entry lacks the start time that earlier entries of its name had.
+
+        Such an entry comes from another writer.
+        """
         return server.born_ms is None and server.name in self._born_ms
 
     def _is_outdated(self, after: BackendServer, before: BackendServer | None) -> bool:
-        """Return whether a report comes late: of an earlier start, or overtaken by a later one.
+        """Return whether a report is late: of an earlier start, or superseded by a later report.
 
         A report may reach the store after the endpoint has ended and started again.
         """
@@ -190,29 +196,30 @@
         return after.born_ms < known_ms
 
     def _had_left(self, record: ServerRecord, after: BackendServer, listed: bool) -> bool:
-        """Return whether the store's copy names an endpoint again that had left before.
+        """Return whether a restored store lists an endpoint again that had left before.
 
-        Of one that had left, only a report counts that is written after the store's return and
-        later than its last one.  If it lives, it reports again soon.
+        After an endpoint has left, only a report counts that is written after the store's return
+        and is later than the endpoint's last one.  An endpoint that is alive reports again soon.
         """
         if not self._left_before(record.name, record.offset):
             return False
         return listed or after.sequence <= self._last_sequences.get(record.name, -1)
 
     def _enter_era(self, name: str, offset: int) -> None:
-        """Count an entry as changed when it first stands in a later era, whatever it says.
+        """Count an entry as changed when it first appears in a later era, whatever its content.
 
-        Of two VMs that read the store one may have found it missing for a moment and told so.
+        Of two VMs that read the store, one may have found the entry missing for a moment, and may
+        have told its peers so.
         """
         known = self._offsets.get(name)
-        if known is not None and era_of(known) < era_of(offset) and name not in self._holds:
+        if known is not None and era_of(known) < era_of(offset) and name not in self._grace_periods:
             self._offsets[name] = offset
-            self._changed(name, offset)
+            self._record_change(name, offset)
 
     def keep_only(
         self, names: set[str], offset: int, now_ms: float, store_was_away: bool
     ) -> tuple[str, ...]:
-        """Take a whole list as of `offset`: what is not in it is gone.  Returns what vanished."""
+        """Remove what is not in a full list as of `offset`; return the names that vanished."""
         missing = [
             name
             for name, seen in self._offsets.items()
@@ -233,9 +240,9 @@
         now_ms: float,
         store_was_away: bool,
     ) -> tuple[str, ...]:
-        """Take the store's whole list as of `offset`; return the names that changed or vanished.
+        """Apply the store's full list as of `offset`; return the names that changed or vanished.
 
-        Which change was the last one before it, the list doesn't say.
+        The list does not show which change was the last one before it.
         """
         known = self.version, self.as_of
         kept = tuple(records)
@@ -247,29 +254,30 @@
         return (*changed, *missing)
 
     def expire(self, now_ms: float) -> tuple[str, ...]:
-        """Drop the entries whose hold time has passed.
+        """Drop the entries whose grace period is over.
 
-        Returns the incarnations that have ended since the last call, in whatever way.
+        Returns the incarnations that have ended since the last call, for whatever reason.
         """
-        for name in self._holds.due(now_ms):
+        for name in self._grace_periods.due(now_ms):
             self._drop(name)
-        ended, self._ended = tuple(self._ended), []
+        ended, self._ended_incarnations = tuple(self._ended_incarnations), []
         return ended
 
     def changed_since(self, version: int) -> set[str] | None:
         """Return the names that have changed since a version, or None if that isn't known.
 
-        Who knew everything as of that version lacks nothing else.  What vanished before this
-        registry was read whole was never known here, so it can't be named.
+        A peer that knew everything as of that version lacks nothing else.  The result is None for
+        a version below the history floor: entries that vanished before this registry was read in
+        full were never known here, so their names can't be given.
         """
         if version < self.position.history_floor:
             return None
         return {name for name, changed in self._changed_at.items() if changed > version}
 
     def to_document(self, now_ms: float, only: Collection[str] | None = None) -> dict[str, Any]:
-        """Return the form in which peers exchange the registry, whole or for some names.
+        """Return the form in which peers exchange the registry, in full or for some names.
 
-        Times become durations, as each process has a clock of its own.
+        Times become durations, because each process has a clock of its own.
         """
         names = self._servers if only is None else [name for name in only if name in self._servers]
         rows = []
@@ -278,10 +286,14 @@
                 "offset": self._offsets.get(name, -1),
                 "server": self._servers[name].to_row(now_ms),
             }
-            if name in self._holds:
-                row["left_ms"] = self._holds.left_ms(name, now_ms)
+            if name in self._grace_periods:
+                row["left_ms"] = self._grace_periods.left_ms(name, now_ms)
             rows.append(row)
-        gone = {name: offset for name, offset in self._gone.items() if only is None or name in only}
+        gone = {
+            name: offset
+            for name, offset in self._tombstones.items()
+            if only is None or name in only
+        }
         return {
             "version": self.position.claimed_version,
             "as_of": self.as_of,
@@ -295,13 +307,13 @@
         }
 
     def adopt(self, document: Mapping[str, Any], now_ms: float) -> bool:
-        """Take a peer's registry, or its changes since what is known here, if there are any.
+        """Apply a peer's registry, or its changes since the state known here, if it is newer.
 
         Returns whether it was newer.
 
-        The document has to be as `REGISTRY_DOCUMENT` describes it.  Its rows may have later offsets
-        than its version, as reports that change nothing don't count there; they must not here, or
-        this VM would seem to know more than the others.
+        The document must have the form of `REGISTRY_DOCUMENT`.  Its rows may have later offsets
+        than its version, because reports that change nothing don't count towards the version.  They
+        must not count here either, or this VM would seem to know more than the others.
         """
         as_of = document.get("as_of", document["version"])
         if document["version"] <= self.as_of:
@@ -313,7 +325,7 @@
         with self._index_once():
             for name, offset in document["gone"].items():
                 if offset > self._offsets.get(name, -1) and name not in names:
-                    self._gone[name] = max(offset, self._gone.get(name, -1))
+                    self._tombstones[name] = max(offset, self._tombstones.get(name, -1))
                     self._changed_at[name] = document["version"]
                     if name in last_sequences:
                         self._last_sequences[name] = last_sequences[name]
@@ -325,10 +337,10 @@
                 self.apply(ServerRecord(name, offset, server), now_ms, False)
                 gone = document["gone"].get(name, offset)
                 if left_ms is not None and gone >= self._offsets.get(name, gone + 1):
-                    self._gone[name] = gone
+                    self._tombstones[name] = gone
                     self._last_sequences[name] = server.sequence
                     self._changed_at[name] = document["version"]
-                    self._holds.adopt(name, left_ms, now_ms)
+                    self._grace_periods.adopt(name, left_ms, now_ms)
         if document["whole"]:
             self.keep_only(names, as_of, now_ms, False)
             self.position.learned_whole(known_as_of, document.get("history_floor", as_of))
@@ -337,51 +349,54 @@
         return True
 
     def _remove(self, name: str, offset: int, since_ms: float, store_was_away: bool) -> bool:
-        self._gone[name] = max(offset, self._gone.get(name, -1))
-        while len(self._gone) > TOMBSTONES_LIMIT:
-            oldest = next(iter(self._gone))
-            self.position.forgot_up_to(self._gone.pop(oldest))
+        self._tombstones[name] = max(offset, self._tombstones.get(name, -1))
+        while len(self._tombstones) > TOMBSTONES_LIMIT:
+            oldest = next(iter(self._tombstones))
+            self.position.forgot_up_to(self._tombstones.pop(oldest))
             self._changed_at.pop(oldest, None)
             self._born_ms.pop(oldest, None)
             self._last_sequences.pop(oldest, None)
         server = self._servers.get(name)
         if server is not None:
             self._last_sequences[name] = server.sequence
-        if server is None or name in self._holds:
+        if server is None or name in self._grace_periods:
             return False
-        self._changed(name, offset)
+        self._record_change(name, offset)
         if server.draining:
             self._drop(name)
             return True
-        together = self._by_service.get(server.service, ())
-        if self._holds.begin(name, server.service, len(together), since_ms, store_was_away):
-            before = (other.name for other in together)
-            self._holds.prolong((x for x in before if not self._left_before(x, offset)), since_ms)
+        entries = self._by_service.get(server.service, ())
+        if self._grace_periods.begin(name, server.service, len(entries), since_ms, store_was_away):
+            names = (other.name for other in entries)
+            self._grace_periods.prolong(
+                (x for x in names if not self._left_before(x, offset)), since_ms
+            )
         return True
 
     def _left_before(self, name: str, version: int) -> bool:
         """Return whether an entry had vanished in an earlier era than that of a version.
 
-        What the store's copy lacks says nothing of it then: it has left, and is not held anew.
+        Its absence from a restored store then shows nothing new: it has left, and gets no new grace
+        period.
         """
-        return name in self._gone and era_of(self._gone[name]) < era_of(version)
+        return name in self._tombstones and era_of(self._tombstones[name]) < era_of(version)
 
     def _drop(self, name: str) -> None:
-        self._holds.end(name)
+        self._grace_periods.end(name)
         self._offsets.pop(name, None)
         server = self._servers.pop(name, None)
         if server is not None:
-            self._ended.append(server.incarnation)
+            self._ended_incarnations.append(server.incarnation)
             self._index()
 
-    def _changed(self, name: str, offset: int) -> None:
+    def _record_change(self, name: str, offset: int) -> None:
         self.position.changed(offset)
         self._changed_at[name] = offset
         self._index()
 
     @contextmanager
     def _index_once(self) -> Iterator[None]:
-        """Put off indexing to the end of many changes: their work grew with the square."""
+        """Defer indexing to the end of many changes: indexing after each takes quadratic time."""
         self._indexing = False
         try:
             yield
--- a/cloverhook/gateway/versions.py
+++ b/cloverhook/gateway/versions.py
@@ -1,8 +1,8 @@
-"""Versions of what the store holds: the store's era and an offset, as one number.
+"""Versions of the store's data: the store's era and an offset, combined into one number.
 
-Layer: state.  A store that comes back from an older copy gives offsets out again, under a later
-era.  As one number, whatever is of a later era is newer, in heartbeats, states and comparisons
-alike.
+Layer: state.  A store that is restored from an older copy assigns the same offsets again, under a
+later era.  As the era is the upper part of the number, everything of a later era is newer, in
+heartbeats, states and comparisons alike.
 
 >>> version_of(0, 7), version_of(1, 7) < version_of(2, 0), era_of(version_of(2, 0))
 (7, True, 2)
@@ -16,7 +16,7 @@
 
 OFFSET_BITS = 36
 ERA_LIMIT = 2**16
-"""With more, versions would not fit into what messages may hold."""
+"""With more eras, versions would exceed the largest integer that messages may hold."""
 
 
 def version_of(era: int, offset: int) -> int:
