--- a/cloverhook/gateway/heartbeat_pace.py
+++ b/cloverhook/gateway/heartbeat_pace.py
@@ -1,33 +1,36 @@
-"""Decides how often this VM tells the others that it lives, and how soon it hears them.
+"""Decides how often this VM sends heartbeats, and how soon it reads the messages of other VMs.
 
-Layer: coordination.  In a small fleet all send heartbeats often.  In a crowded data centre those
-that callers are sent to, and the next ones, do so once a second, so that a dead one is replaced
-soon.  The others are needed for little, and there may be hundreds of them: they do so the more
-seldom the more VMs there are, and to their neighbours alone, so that what a VM hears does not grow
-with the fleet.
+Layer: coordination.  In a small fleet all VMs send heartbeats often.  In a large data centre the
+serving VMs and the hot standby VMs send one a second, so that a dead one is replaced soon.  The
+other VMs there, the standby VMs, are needed for little, and there may be hundreds of them.  The
+more VMs there are, the less often these send heartbeats, and they send them to their neighbours
+only, so that the number of heartbeats that a VM receives does not grow with the fleet.
 """
 
 from cloverhook.gateway.members import Members
 
 __all__ = ["HeartbeatPace"]
 
-NEAR_MS = 400.0
+LOCAL_INTERVAL_MS = 400.0
 """A dead neighbour should get no callers after a few of these."""
-FAR_MS = 1_000.0
-"""Bytes between data centres are paid for, so members there hear less often."""
-CROWD_NEAR_MS = 1_000.0
-CROWD_FAR_MS = 3_000.0
-"""What a VM hears grows with the number of those that heartbeat; these are 20 of a data centre."""
-STANDBY_NEAR_MS = 3_000.0
-"""A standby VM that died is missed by nobody; the next one in the order takes its turn."""
-STANDBY_NEAR_MS_A_VM = 60.0
-"""A VM hears at most 17 standby neighbours a second, however many there are."""
-UNDERSTUDY_HEARS_MS = 10.0
-"""A VM that may place requests soon learns of counts and figures so much later."""
-STANDBY_HEARS_MS = 100.0
-"""One that does not may learn later still; a change has to be in force within two seconds."""
-READER_MS = 300.0
-"""Another VM reads the store when it has missed three of a reader's heartbeats."""
+REMOTE_INTERVAL_MS = 1_000.0
+"""Bytes between data centres are paid for, so members of other ones get heartbeats less often."""
+LARGE_LOCAL_INTERVAL_MS = 1_000.0
+LARGE_REMOTE_INTERVAL_MS = 3_000.0
+"""The number of messages that a VM receives grows with the number of VMs that send heartbeats here:
+20 of a data centre."""
+STANDBY_INTERVAL_MS = 3_000.0
+"""Nothing depends on a standby VM that has died; the next one in the order takes its place."""
+STANDBY_INTERVAL_MS_PER_VM = 60.0
+"""With an interval this long for each neighbour, a VM receives at most 17 heartbeats of standby
+neighbours a second, however many there are."""
+HOT_STANDBY_RECEIVE_DELAY_MS = 10.0
+"""A hot standby VM, which may dispatch requests soon, reads counts and load figures this much
+later."""
+STANDBY_RECEIVE_DELAY_MS = 100.0
+"""A standby VM may read them later still; a change has to be in force within two seconds."""
+READER_INTERVAL_MS = 300.0
+"""Another VM starts to read the store when it has missed three of a reader's heartbeats."""
 
 
 class HeartbeatPace:
@@ -37,31 +40,35 @@
         self._members = members
 
     def near_ms(self, reading: bool, now_ms: float) -> float:
-        """Return it for the own data centre; `reading` says that this VM reads the store."""
+        """Return the interval for the own data centre; `reading`: this VM reads the store."""
         if reading:
-            return READER_MS
+            return READER_INTERVAL_MS
         if not self._members.crowded():
-            return NEAR_MS
+            return LOCAL_INTERVAL_MS
         if self._members.is_informed(now_ms):
-            return CROWD_NEAR_MS
-        return max(STANDBY_NEAR_MS, STANDBY_NEAR_MS_A_VM * self._members.near_count())
+            return LARGE_LOCAL_INTERVAL_MS
+        return max(STANDBY_INTERVAL_MS, STANDBY_INTERVAL_MS_PER_VM * self._members.near_count())
 
     def far_ms(self, reading: bool, now_ms: float) -> float:
-        """Return it for the other data centres, and for neighbours that are silent."""
+        """Return the interval for the other data centres, and for neighbours that are silent."""
         if reading:
-            return READER_MS
-        return CROWD_FAR_MS if self._members.crowded() else FAR_MS
+            return READER_INTERVAL_MS
+        return LARGE_REMOTE_INTERVAL_MS if self._members.crowded() else REMOTE_INTERVAL_MS
 
     def is_heard_far(self, reading: bool, now_ms: float) -> bool:
-        """Return whether other data centres hear this VM: they need a few that relay."""
+        """Return whether other data centres get heartbeats: they need a few VMs that relay."""
         return reading or self._members.is_informed(now_ms)
 
     def hears_ms(self, has_requests: bool, now_ms: float) -> float:
-        """Return for how long messages from others may wait, to be read together.
+        """Return for how long received messages may wait, so that they are read in batches.
 
-        Where requests are placed none does: in overload, two VMs that have not heard of each other
-        choose the same last slot.
+        They don't wait on a VM that dispatches requests: in overload, two VMs that don't know of
+        each other's requests choose the same last slot.
         """
         if has_requests or self._members.serves_callers(now_ms):
             return 0.0
-        return UNDERSTUDY_HEARS_MS if self._members.is_informed(now_ms) else STANDBY_HEARS_MS
+        return (
+            HOT_STANDBY_RECEIVE_DELAY_MS
+            if self._members.is_informed(now_ms)
+            else STANDBY_RECEIVE_DELAY_MS
+        )
--- a/cloverhook/gateway/measuring.py
+++ b/cloverhook/gateway/measuring.py
@@ -1,13 +1,13 @@
-"""Decides which backend servers this VM measures.
+"""Decides which backend servers this VM probes, and when.
 
 Layer: coordination.  The backend servers of a data centre form a few groups, and each group has an
-order of the VMs of that data centre.  The first one measures the group; its figures reach all
-others, and so do their absence: the next in the order steps in once no figure has come for a while,
-and stops when the first one is back.  Nobody has to be told, and two that measure for a moment cost
-a few probes.
+order of the VMs of that data centre.  The first VM in the order probes the group, and its load
+figures reach all the others, which therefore also notice when they stop.  The next VM in the order
+takes over once no figure has arrived for a while, and stops when the first one is back.  No VM has
+to be notified, and two VMs that probe the same group for a moment cost only a few probes.
 
-Probes are paid for, and a figure is worth something only to a request that is placed by it.  So an
-endpoint is measured the more often, the more requests it gets.
+Probes are paid for, and a load figure is useful only to a request that is dispatched by it.  So the
+more requests an endpoint gets, the more often it is probed.
 """
 
 from collections import Counter
@@ -22,34 +22,36 @@
 __all__ = ["GROUP_SIZE", "LISTEN_MS", "Measuring"]
 
 GROUP_SIZE = 24
-"""The figures of a group share one datagram, and a small VM can measure it beside its requests."""
-STEP_IN_MS = 350.0
-"""Two of the slowest probes in a row without a figure: their sender is dead, paused or cut off."""
+"""The figures of a group share one datagram, and a small VM can probe it beside its requests."""
+TAKEOVER_MS = 350.0
+"""The time of two of the slowest probes in a row: without a figure for this long, the VM that sends
+them is dead, paused or isolated."""
 PROBES_PER_REQUEST = 3.0
-"""An endpoint's pace changes several times a second: a request should find a figure that is at most
-a third of the time between requests old, and probes are paid for."""
-FEWEST_PROBES_PER_S = 6.0
-"""An endpoint that hardly anybody calls is measured often enough to know when it turns slow."""
-CROWD_MOST_PROBES_PER_S = 10.0
-"""Each figure goes to all informed VMs of a crowded data centre, and there are many endpoints."""
-VM_MOST_PROBES_PER_S = 150.0
-"""A small VM can send so many beside what else it does.  Where there are more endpoints than the
-measuring VMs of a data centre can ask as often as wanted, all are asked less often: a VM that is
-saturated answers nobody in time."""
-STEP_IN_INTERVALS = 2.2
-"""Two probes that are missed show that their sender is gone, however seldom they are."""
+"""The speed of an endpoint changes several times a second: a request should find a figure that is
+no older than a third of the time between requests.  Probes are paid for, so there are no more."""
+MIN_PROBES_PER_S = 6.0
+"""An endpoint with hardly any requests is still probed often enough to notice that it gets slow."""
+LARGE_MAX_PROBES_PER_S = 10.0
+"""In a large data centre each figure goes to all serving and hot standby VMs, and there are many
+endpoints."""
+VM_MAX_PROBES_PER_S = 150.0
+"""The number of probes that a small VM can send beside its other work.  Where there are more
+endpoints than the probing VMs of a data centre can probe as often as wanted, all endpoints are
+probed less often: a saturated VM answers no request in time."""
+TAKEOVER_INTERVALS = 2.2
+"""Two missed probes show that the VM that sends them is gone, however rare they are."""
 SLACK_MS = 5.0
-"""A probe that is due within this time goes out now, with the others."""
+"""A probe that is due within this time is sent now, together with the others."""
 LISTEN_MS = 2_000.0
-"""A VM that has just started knows nobody and would measure everything: it listens first, for long
-enough to meet the others after a loss of all power.  At a later start callers are waiting, so it
-measures a group."""
+"""A VM that has just started knows no other VM and would probe every endpoint.  It therefore waits
+first, for long enough to learn of the other VMs after a loss of all power.  At a later start
+callers are waiting, so it probes one group meanwhile."""
 ORDER_MS = 250.0
-"""The orders are worked out anew after this time; they change only with the VMs."""
+"""The orders are computed again after this time; they change only when VMs come or go."""
 
 
 class Measuring:
-    """The backend servers that are due for a probe by this VM."""
+    """The schedule of the backend servers that this VM probes."""
 
     def __init__(
         self,
@@ -57,22 +59,23 @@
         members: Members,
         registry: Registry,
         board: LoadBoard,
-        most_per_s: float,
+        max_per_s: float,
         requests_per_s: Callable[[str, float], float],
         listen_until_ms: float = 0.0,
         while_listening: int = 0,
         evacuated: Callable[[], frozenset[str]] = frozenset,
     ) -> None:
-        """`requests_per_s` says how many requests of a service this VM gets at a time.
+        """Set up the schedule.
 
-        Before `listen_until_ms` so many backend servers are measured as `while_listening` says.
-        The endpoints of `evacuated` data centres get nothing, so no probe either.
+        `requests_per_s` returns how many requests of a service this VM gets per second at a time.
+        Before `listen_until_ms`, at most `while_listening` backend servers are probed.  The
+        endpoints of the `evacuated` data centres get no requests, so they are not probed either.
         """
         self._listen_until_ms = listen_until_ms
         self._while_listening = while_listening
         self._own_vm = own_vm
         self._evacuated = evacuated
-        self._most_per_s = most_per_s
+        self._max_per_s = max_per_s
         self._requests_per_s = requests_per_s
         self._intervals_ms: dict[str, float] = {}
         self._next_ms: dict[str, float] = {}
@@ -82,29 +85,29 @@
         self._ranked: list[tuple[BackendServer, int]] = []
         self._own: list[BackendServer] = []
         self._order_due_ms = 0.0
-        self._step_in_due_ms = 0.0
+        self._takeover_check_ms = 0.0
 
     def due(self, now_ms: float) -> list[BackendServer]:
-        """Return the backend servers to probe now; to be asked often."""
-        if not self._most_per_s:
+        """Return the backend servers to probe now; to be called often."""
+        if not self._max_per_s:
             return []
         if now_ms >= self._order_due_ms:
             self._order_due_ms = now_ms + ORDER_MS
             self._ranked = []
             if self._members.is_cut_off(now_ms):
-                self._rank_for_itself()
+                self._rank_while_isolated()
                 self._set_intervals(now_ms)
             elif self._members.is_informed(now_ms):
-                self._order(now_ms)
+                self._rank_servers(now_ms)
                 self._set_intervals(now_ms)
             if now_ms < self._listen_until_ms:
                 self._order_due_ms = min(self._order_due_ms, self._listen_until_ms)
                 servers = [server for server, _ in self._ranked]
-                self._ranked = self._first_ones(servers, self._while_listening)
+                self._ranked = self._own_selection(servers, self._while_listening)
             self._own = [server for server, rank in self._ranked if rank == 0]
-            self._step_in_due_ms = now_ms
+            self._takeover_check_ms = now_ms
         found = [server for server in self._own if self._is_planned(server, now_ms)]
-        found += self._to_step_in(now_ms)
+        found += self._to_take_over(now_ms)
         for server in found:
             interval_ms = self._intervals_ms.get(server.service, ORDER_MS)
             planned_ms = self._next_ms.get(server.incarnation, now_ms)
@@ -112,19 +115,19 @@
         return found
 
     def forget(self, incarnation: str) -> None:
-        """Drop the plan for a backend server that is gone."""
+        """Drop the schedule of a backend server that is gone."""
         self._next_ms.pop(incarnation, None)
 
     def _is_planned(self, server: BackendServer, now_ms: float) -> bool:
         return now_ms >= self._next_ms.get(server.incarnation, 0.0) - SLACK_MS
 
-    def _to_step_in(self, now_ms: float) -> list[BackendServer]:
-        """Return the backend servers that another VM should measure and no VM has.
+    def _to_take_over(self, now_ms: float) -> list[BackendServer]:
+        """Return the backend servers that another VM should probe, but that no VM has probed.
 
-        The walk is repeated when the first of them could be due, not at each tick: it would be most
-        of what the ticks cost.
+        The search is repeated when the first of them could be due, not at each tick, because it
+        would be most of the cost of the ticks.
         """
-        if now_ms < self._step_in_due_ms:
+        if now_ms < self._takeover_check_ms:
             return []
         found, soonest_ms = [], ORDER_MS
         for server, rank in self._ranked:
@@ -132,79 +135,82 @@
                 continue
             unmeasured_ms = self._board.of(server.incarnation).unmeasured_ms(now_ms)
             interval_ms = self._intervals_ms.get(server.service, 0.0)
-            left_ms = rank * max(STEP_IN_MS, STEP_IN_INTERVALS * interval_ms) - unmeasured_ms
+            left_ms = rank * max(TAKEOVER_MS, TAKEOVER_INTERVALS * interval_ms) - unmeasured_ms
             soonest_ms = min(soonest_ms, left_ms)
             if left_ms <= 0 and self._is_planned(server, now_ms):
                 found.append(server)
-        self._step_in_due_ms = now_ms + soonest_ms
+        self._takeover_check_ms = now_ms + soonest_ms
         return found
 
     def _set_intervals(self, now_ms: float) -> None:
-        """Set how often the endpoints of each service are measured.
+        """Set how often the endpoints of each service are probed.
 
-        Callers choose VMs at random, so the others that they are sent to get about as many requests
-        as this one.
+        Callers choose VMs at random, so the other VMs whose addresses they get receive about as
+        many requests as this one.
         """
-        most_per_s = self._most_per_s
+        max_per_s = self._max_per_s
         vms = 1 + sum(1 for item in self._members.alive(now_ms) if item.ready)
         if self._members.crowded():
-            most_per_s = min(most_per_s, CROWD_MOST_PROBES_PER_S)
+            max_per_s = min(max_per_s, LARGE_MAX_PROBES_PER_S)
             data_centers = 1 + len(self._members.far(now_ms))
             vms = min(vms, data_centers * len(self._members.serving(now_ms)))
-        bearable_per_s = self._bearable_per_s(now_ms)
+        affordable_per_s = self._affordable_per_s(now_ms)
         for service in {server.service for server in self._registry.servers()}:
             endpoints = len(self._registry.of_service(service))
             requests_per_s = self._requests_per_s(service, now_ms) * vms / endpoints
-            wanted_per_s = max(PROBES_PER_REQUEST * requests_per_s, FEWEST_PROBES_PER_S)
-            self._intervals_ms[service] = 1000 / min(wanted_per_s, most_per_s, bearable_per_s)
+            wanted_per_s = max(PROBES_PER_REQUEST * requests_per_s, MIN_PROBES_PER_S)
+            self._intervals_ms[service] = 1000 / min(wanted_per_s, max_per_s, affordable_per_s)
 
-    def _bearable_per_s(self, now_ms: float) -> float:
+    def _affordable_per_s(self, now_ms: float) -> float:
         """Return how often each endpoint can be probed without too much work for a VM.
 
-        The data centre with most endpoints decides, so that all VMs come to the same.
+        The data centre with the most endpoints decides, so that all VMs come to the same result.
         """
         endpoints = Counter(server.data_center for server in self._in_use())
         if not endpoints:
-            return VM_MOST_PROBES_PER_S
+            return VM_MAX_PROBES_PER_S
         members = self._members
-        measurers = len(members.informed(now_ms)) - len(members.serving(now_ms))
-        if not members.crowded() or measurers <= 0:
+        probing_vms = len(members.informed(now_ms)) - len(members.serving(now_ms))
+        if not members.crowded() or probing_vms <= 0:
             alive = 1 + sum(1 for item in members.alive(now_ms) if item.ready)
-            measurers = max(1, alive // (1 + len(members.far(now_ms))))
-        return VM_MOST_PROBES_PER_S * measurers / max(endpoints.values())
+            probing_vms = max(1, alive // (1 + len(members.far(now_ms))))
+        return VM_MAX_PROBES_PER_S * probing_vms / max(endpoints.values())
 
-    def _order(self, now_ms: float) -> None:
-        """Work out this VM's place in the order for each backend server that it may measure."""
-        sites: dict[str, list[BackendServer]] = {}
+    def _rank_servers(self, now_ms: float) -> None:
+        """Compute this VM's rank in the order for each backend server that it may probe."""
+        by_data_center: dict[str, list[BackendServer]] = {}
         for server in self._in_use():
-            sites.setdefault(server.data_center, []).append(server)
-        for data_center, servers in sites.items():
-            places = self._places(data_center, -(-len(servers) // GROUP_SIZE), now_ms)
-            if places[0] is None:
+            by_data_center.setdefault(server.data_center, []).append(server)
+        for data_center, servers in by_data_center.items():
+            ranks = self._group_ranks(data_center, -(-len(servers) // GROUP_SIZE), now_ms)
+            if ranks[0] is None:
                 continue
             for server in servers:
-                rank = places[rank_weight("group", server.incarnation) % len(places)]
+                rank = ranks[rank_weight("group", server.incarnation) % len(ranks)]
                 if rank is not None:
                     self._ranked.append((server, rank))
 
     def _in_use(self) -> list[BackendServer]:
-        """Return the backend servers that may get requests, by their data centre."""
-        left = self._evacuated()
-        return [item for item in self._registry.servers() if item.data_center not in left]
+        """Return the backend servers that may get requests: their data centre is not evacuated."""
+        evacuated = self._evacuated()
+        return [item for item in self._registry.servers() if item.data_center not in evacuated]
 
-    def _rank_for_itself(self) -> None:
-        """Measure a group for this VM alone, if it has requests, while it hears no other VM.
+    def _rank_while_isolated(self) -> None:
+        """Probe a group for this VM alone while it is isolated, if it has requests.
 
-        A VM that callers are sent to is late in the order of each group: cut off, it would have to
-        wait for figures, and place requests blindly.
+        A serving VM is late in the order of each group: while isolated, it would have to wait for
+        figures, and would dispatch requests without them.
         """
         if self._board.has_requests():
-            self._ranked = self._first_ones(self._in_use(), GROUP_SIZE)
+            self._ranked = self._own_selection(self._in_use(), GROUP_SIZE)
 
-    def _first_ones(
+    def _own_selection(
         self, servers: Iterable[BackendServer], count: int
     ) -> list[tuple[BackendServer, int]]:
-        """Return a few backend servers for this VM alone, others at each VM, near ones first."""
+        """Return a few backend servers for this VM alone to probe, local ones first.
+
+        Each VM gets different ones.
+        """
 
         def order(server: BackendServer) -> tuple[bool, int]:
             is_far = server.data_center != self._members.data_center
@@ -212,40 +218,43 @@
 
         return [(server, 0) for server in sorted(servers, key=order)[:count]]
 
-    def _places(self, data_center: str, groups: int, now_ms: float) -> list[int | None]:
-        """Return this VM's place in the order of each group, or None where it has none."""
+    def _group_ranks(self, data_center: str, groups: int, now_ms: float) -> list[int | None]:
+        """Return this VM's rank in the order of each group, or None where it has none."""
         vms = self._members.data_center_vms(data_center, now_ms)
         if self._members.crowded():
-            return self._crowd_places(data_center, vms, groups, now_ms)
+            return self._large_group_ranks(data_center, vms, groups, now_ms)
         if not vms:
             alive = self._members.alive(now_ms)
             vms = [item.vm for item in alive if item.ready] + [self._own_vm]
         if self._own_vm not in vms:
             return [None] * groups
-        return [self._place(f"{data_center}/{group}", vms) for group in range(groups)]
+        return [self._group_rank(f"{data_center}/{group}", vms) for group in range(groups)]
 
-    def _crowd_places(
+    def _large_group_ranks(
         self, data_center: str, vms: list[str], groups: int, now_ms: float
     ) -> list[int | None]:
-        """Return the same where only a part of the VMs is told the figures, and so their absence.
+        """Return the same for a large data centre.
 
-        Those that would serve callers next go before those that do.  Where a data centre has no
-        VM, one of the others measures it, and the next one once that has failed as a whole.
+        Only a part of its VMs receives the figures, and so notices their absence.  The hot standby
+        VMs rank before the serving VMs.  A data centre that has no VM is probed by one of the other
+        data centres, and by the next one once that has failed as a whole.
         """
         informed = self._members.informed(now_ms)
         if vms and self._own_vm not in vms:
             return [None] * groups
-        before = 0 if vms else len(informed) * self._sites_before(data_center, now_ms)
+        before = 0 if vms else len(informed) * self._data_centers_before(data_center, now_ms)
         serving = self._members.serving(now_ms)
-        spare = [vm for vm in informed if vm not in serving]
-        peers = spare if self._own_vm in spare else serving
-        before += 0 if peers is spare else len(spare)
-        return [before + self._place(f"{data_center}/{group}", peers) for group in range(groups)]
+        hot_standby = [vm for vm in informed if vm not in serving]
+        peers = hot_standby if self._own_vm in hot_standby else serving
+        before += 0 if peers is hot_standby else len(hot_standby)
+        return [
+            before + self._group_rank(f"{data_center}/{group}", peers) for group in range(groups)
+        ]
 
-    def _sites_before(self, data_center: str, now_ms: float) -> int:
-        """Return how many data centres go before the own one in measuring an empty one."""
+    def _data_centers_before(self, data_center: str, now_ms: float) -> int:
+        """Return how many data centres rank before the own one in probing one that has no VM."""
         others = self._members.far(now_ms)
         return place_in_order(data_center, self._members.data_center, others)
 
-    def _place(self, key: str, vms: Sequence[str]) -> int:
+    def _group_rank(self, key: str, vms: Sequence[str]) -> int:
         return place_in_order(key, self._own_vm, vms)
--- a/cloverhook/gateway/prober.py
+++ b/cloverhook/gateway/prober.py
@@ -1,8 +1,9 @@
-"""Measures backend servers, and says what it found.
+"""Probes the load of backend servers, and reports the figures.
 
-Layer: transport.  `measuring` says which ones: each is asked by one VM, of the same data centre
-where there is one, so that the fleet as a whole asks once.  An endpoint's pace changes within half
-a second, and a figure that is a tenth of a second old still tells where to go.
+Layer: transport.  `measuring` decides which backend servers: each one is probed by one VM, of the
+same data centre where there is one, so that the fleet as a whole probes it once.  The speed of an
+endpoint changes within half a second, and a load figure that is a tenth of a second old is still
+good enough to choose an endpoint by.
 """
 
 import asyncio
@@ -19,13 +20,13 @@
 __all__ = ["Prober"]
 
 TIMEOUT_MS = 350.0
-SILENCES = 2
-"""A backend server is out of reach after so many probes in a row without an answer."""
+TIMEOUTS_LIMIT = 2
+"""A backend server is unreachable after this many consecutive probes without an answer."""
 CONNECTION_LIMIT = 1_000
 
 
 class Prober:
-    """Probes under way, at most one for each backend server."""
+    """The running probes, at most one for each backend server."""
 
     def __init__(
         self,
@@ -36,11 +37,11 @@
         self._on_figure = on_figure
         self._pool = BackendPool()
         self._running: dict[str, asyncio.Task[None]] = {}
-        self._silences: dict[str, int] = {}
+        self._timeouts: dict[str, int] = {}
         self.probes = 0
 
     def probe(self, servers: Iterable[tuple[BackendServer, str]]) -> None:
-        """Ask each backend server on its health path, unless an earlier probe still runs."""
+        """Probe each backend server on its health path, unless an earlier probe still runs."""
         for server, path in servers:
             if server.incarnation not in self._running:
                 self.probes += 1
@@ -51,9 +52,9 @@
     def sweep(self, known: Callable[[str], object]) -> None:
         """Forget backend servers that are gone."""
         self._pool.sweep()
-        for incarnation in tuple(self._silences):
+        for incarnation in tuple(self._timeouts):
             if not known(incarnation):
-                self._silences.pop(incarnation, None)
+                self._timeouts.pop(incarnation, None)
                 self._pool.forget(incarnation)
 
     def close(self) -> None:
@@ -68,13 +69,13 @@
             async with asyncio.timeout(TIMEOUT_MS / 1000):
                 figure = await self._ask(server, path)
         except TimeoutError:
-            silences = self._silences.get(server.incarnation, 0) + 1
-            self._silences[server.incarnation] = silences
-            figure = NOBODY if silences >= SILENCES else None
+            timeouts = self._timeouts.get(server.incarnation, 0) + 1
+            self._timeouts[server.incarnation] = timeouts
+            figure = NOBODY if timeouts >= TIMEOUTS_LIMIT else None
         except UpstreamError as error:
             figure = None if error.sent else NOBODY
         else:
-            self._silences[server.incarnation] = 0
+            self._timeouts[server.incarnation] = 0
         if figure is not None:
             self._on_figure(server, figure, asked_ms)
 
