--- a/cloverhook/gateway/announcing.py
+++ b/cloverhook/gateway/announcing.py
@@ -1,6 +1,6 @@
-"""Writes this VM down in the store and learns of the others there, when that is needed.
+"""Announces this VM in the store and reads which other VMs are announced there, when needed.
 
-Layer: coordination.  `discovery` decides when; most VMs never have to.
+Layer: coordination.  `discovery` decides when that is; most VMs never have to.
 """
 
 import asyncio
@@ -14,12 +14,12 @@
 
 __all__ = ["Announcer"]
 
-LOOK_MS = 200.0
+CHECK_INTERVAL_MS = 200.0
 RETRY_MS = 700.0
 
 
 class Announcer:
-    """The way to the others by the store."""
+    """Finds the other VMs through the store."""
 
     def __init__(
         self,
@@ -29,7 +29,7 @@
         on_members: Callable[[tuple[MemberRecord, ...]], None],
         log: EventLog,
     ) -> None:
-        """`on_members` takes the VMs that the store knows."""
+        """`on_members` is called with the VMs that the store knows."""
         self._own = own
         self._store = store
         self._discovery = discovery
@@ -38,9 +38,9 @@
         self.leaving = False
 
     async def run(self) -> None:
-        """Look again and again whether the store is needed, until cancelled."""
+        """Check periodically whether the store is needed, until cancelled."""
         while True:
-            await asyncio.sleep(LOOK_MS / 1000)
+            await asyncio.sleep(CHECK_INTERVAL_MS / 1000)
             if self.leaving or not self._discovery.needs_store(monotonic_ms()):
                 continue
             try:
--- a/cloverhook/gateway/store.py
+++ b/cloverhook/gateway/store.py
@@ -1,11 +1,11 @@
-"""The platform's store behind one narrow interface, as the gateway needs it.
+"""The interface to the platform's store, reduced to what the gateway needs.
 
 Layer: protocol.  A feed is a stream of records that each replace an earlier one of the same key.
-`MemoryStore` keeps everything in this process, for tests; the adapter of a platform brings the
-real twin.
+`MemoryStore` keeps everything in this process, for tests; the adapter of a platform provides the
+real implementation.
 
-Of the errors, `PlatformError` says that a call had no effect or was refused, and
-`PlatformSilentError` that nobody can tell.
+A call raises `PlatformError` if it had no effect or was refused, and `PlatformSilentError` if it is
+unknown whether it had its effect.
 """
 
 import asyncio
@@ -33,25 +33,25 @@
 
 
 class Feed(Enum):
-    """What can be followed in the store; evacuations come with the configuration."""
+    """The feeds of the store; evacuations are part of the configuration feed."""
 
     CONFIG = "config"
     SERVERS = "servers"
 
 
 class HistoryLostError(CloverhookError):
-    """The records from the offset asked for are no longer kept: take the newest ones."""
+    """The records from the requested offset on are no longer kept: read the newest ones instead."""
 
 
 @dataclass(frozen=True, slots=True)
 class FeedSlice:
     """Records of a feed, up to `end_offset`.
 
-    There are configurations and evacuations, or records of backend servers.
-    `era` counts how often the store has come back from an older copy, after which it gives offsets
-    out again; it is None where the answer doesn't say so.
-    `unreadable` names the records that are not sound, with the reason.  One of a backend server
-    stands among `servers` too, as one that names none.
+    They are configurations and evacuations, or records of backend servers.
+    `era` counts how often the store has been restored from an older copy, after which it assigns
+    the same offsets again; it is None where the answer doesn't contain it.
+    `unreadable` names the invalid records, with the reason.  An invalid record of a backend server
+    is among `servers` too, as a record without a server.
     """
 
     configs: tuple[GatewayConfig, ...]
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberList:
-    """The VMs that have announced themselves, and the records that name none, with the reason."""
+    """The VMs that have announced themselves, and the invalid records, with the reason."""
 
     members: tuple["MemberRecord", ...]
     unreadable: tuple[str, ...] = ()
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberRecord:
-    """A VM of the fleet as it announces itself; addresses are `ip:port`."""
+    """A VM of the fleet as it announces itself; its addresses have the form `ip:port`."""
 
     vm: str
     data_center: str
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuarantineRecord:
-    """A request in quarantine, by its key, until a time of day in Unix milliseconds."""
+    """A request in quarantine, identified by its key, until a time in Unix milliseconds."""
 
     key: int
     crashes: int
@@ -91,42 +91,42 @@
 
 @dataclass(frozen=True, slots=True)
 class QuarantineList:
-    """The requests in quarantine, and what stands for them that can't be read, with the reason."""
+    """The requests in quarantine, and the records of them that can't be read, with the reason."""
 
     records: tuple[QuarantineRecord, ...]
     unreadable: tuple[str, ...] = ()
 
 
 class Store(Protocol):
-    """What the gateway needs of the platform's store."""
+    """The operations of the platform's store that the gateway needs."""
 
     async def newest(self, feed: Feed) -> FeedSlice:
         """Return the newest record of each key."""
 
     async def changes(self, feed: Feed, from_offset: int, wait_ms: int) -> FeedSlice:
-        """Return the records from an offset; with none there, wait up to `wait_ms` for one.
+        """Return the records from an offset on; if there are none, wait up to `wait_ms` for one.
 
-        Raises `HistoryLostError` when they are no longer kept.
+        Raises `HistoryLostError` if they are no longer kept.
         """
 
     async def announce(self, member: MemberRecord) -> None:
-        """Write this VM down for the others to find."""
+        """Save the record of this VM, so that others can find it."""
 
     async def members(self) -> MemberList:
-        """Return all VMs that have announced themselves, also those long gone."""
+        """Return all VMs that have announced themselves, including those long gone."""
 
     async def keep_quarantine(self, records: tuple[QuarantineRecord, ...]) -> None:
-        """Write down the requests in quarantine, in place of those written before."""
+        """Save the requests in quarantine, in place of those saved before."""
 
     async def quarantine(self) -> QuarantineList:
-        """Return the requests in quarantine that were written down last."""
+        """Return the requests in quarantine that were saved last."""
 
     def close(self) -> None:
         """Release the connections."""
 
 
 class MemoryStore:
-    """A store in this process."""
+    """A store in the memory of this process."""
 
     def __init__(self) -> None:
         self.log: dict[Feed, list[GatewayConfig | ServerRecord | Evacuation]] = {
@@ -145,7 +145,7 @@
         self._append(Feed.CONFIG, config)
 
     def evacuate(self, data_center: str, wanted: bool = True) -> None:
-        """Append that a data centre is to be evacuated, or is taken back."""
+        """Append the evacuation of a data centre, or its end where it is not `wanted`."""
         self._append(Feed.CONFIG, Evacuation(data_center, self._end(Feed.CONFIG), wanted))
 
     def put_server(self, server: BackendServer) -> None:
@@ -154,12 +154,15 @@
         self._append(Feed.SERVERS, ServerRecord(server.name, offset, server))
 
     def remove_server(self, name: str) -> None:
-        """Append that a backend server is gone."""
+        """Append the removal of a backend server."""
         offset = self._end(Feed.SERVERS)
         self._append(Feed.SERVERS, ServerRecord(name, offset, None))
 
     def restore(self, lost: dict[Feed, int]) -> None:
-        """Come back from an older copy, which lacks the last records of each feed."""
+        """Replace the data by an older copy that lacks the last records of each feed.
+
+        `lost` holds the number of these records for each feed.
+        """
         for feed, count in lost.items():
             kept = max(0, len(self.log[feed]) - count)
             del self.log[feed][kept:]
@@ -176,7 +179,7 @@
         """Return the newest record of each key."""
         self._call()
         if feed is Feed.CONFIG:
-            configs, evacuations = _split(self.log[feed])
+            configs, evacuations = _split_by_type(self.log[feed])
             newest_of = {item.data_center: item for item in evacuations}
             wanted = tuple(item for item in newest_of.values() if item.wanted)
             return FeedSlice(configs[-1:], (), self._end(feed), evacuations=wanted, era=self.era)
@@ -185,7 +188,7 @@
         return FeedSlice((), kept, self._end(feed), era=self.era)
 
     async def changes(self, feed: Feed, from_offset: int, wait_ms: int) -> FeedSlice:
-        """Return the records from an offset."""
+        """Return the records from an offset on; if there are none, wait up to `wait_ms` for one."""
         self._call()
         self._check_kept(feed, from_offset)
         if self._end(feed) <= from_offset:
@@ -199,12 +202,12 @@
         self._check_kept(feed, from_offset)
         found = tuple(self.log[feed][from_offset:])
         if feed is Feed.CONFIG:
-            configs, evacuations = _split(found)
+            configs, evacuations = _split_by_type(found)
             return FeedSlice(configs, (), self._end(feed), evacuations=evacuations, era=self.era)
         return FeedSlice((), found, self._end(feed), era=self.era)
 
     async def announce(self, member: MemberRecord) -> None:
-        """Write a VM down."""
+        """Save the record of a VM."""
         self._call()
         self.announced[member.vm] = member
 
@@ -214,12 +217,12 @@
         return MemberList(tuple(self.announced.values()))
 
     async def keep_quarantine(self, records: tuple[QuarantineRecord, ...]) -> None:
-        """Keep the requests in quarantine."""
+        """Save the requests in quarantine."""
         self._call()
         self.quarantined = records
 
     async def quarantine(self) -> QuarantineList:
-        """Return the requests in quarantine."""
+        """Return the requests in quarantine that were saved last."""
         self._call()
         return QuarantineList(self.quarantined)
 
@@ -243,7 +246,7 @@
             raise self.failure
 
 
-def _split(
+def _split_by_type(
     items: Iterable[GatewayConfig | Evacuation],
 ) -> tuple[tuple[GatewayConfig, ...], tuple[Evacuation, ...]]:
     """Return the configurations and the evacuations among the records of one feed."""
--- a/cloverhook/gateway/store_follower.py
+++ b/cloverhook/gateway/store_follower.py
@@ -1,8 +1,8 @@
-"""Follows the feeds of the store for as long as this VM is the one to read.
+"""Follows the feeds of the store for as long as this VM is one of its readers.
 
-Layer: coordination.  A feed is read whole once and then by its changes.  The wait for changes of
-the configuration is short enough that a store which has gone silent is noticed before a change is
-overdue; the other feed then asks anew at once.
+Layer: coordination.  A feed is read in full once and then by its changes.  The wait for changes of
+the configuration is short enough that a store that has gone silent is noticed before a change is
+overdue; the other feed then repeats its call at once.
 """
 
 import asyncio
@@ -22,26 +22,28 @@
 __all__ = ["GAP_MS", "GAP_SHARE", "StoreFollower", "with_versions"]
 
 WAIT_MS = {Feed.CONFIG: 1_200, Feed.SERVERS: 1_000}
-"""Each call is paid for.  A silent store shows after the shorter wait and the client's timeout, and
-a slow one may leave a waiting call without a record that is there until the wait ends."""
+"""How long a call waits for changes.  Each call is paid for.  A silent store is noticed after the
+shorter wait plus the client's timeout, and a slow store may not return an existing record to a
+waiting call until the wait ends."""
 GAP_MS = 200.0
-"""Changes that come within this time are taken in one call: calls are paid for."""
+"""Changes that are made within this time are read by one call, because calls are paid for."""
 GAP_SHARE = 0.1
-"""The feed of backend servers is read more seldom where one that leaves serves for longer.  A
-vanished entry is used for most of that time, so that little is left for a pause."""
+"""The pause as a share of the drain time: the feed of backend servers is read less often where one
+that leaves serves for longer.  A vanished entry stays in use for most of that time, so that little
+is left for a pause."""
 RETRY_MS = (100.0, 200.0, 400.0, 600.0)
-PROMPT_MS = 100.0
-"""What comes sooner after a call was there before it; what comes later is new."""
-AWAY_MS = 400.0
-"""A store that answers nobody for this long has been away: entries may lapse meanwhile."""
+EXISTING_RECORD_MS = 100.0
+"""A record that arrives sooner than this after a call existed before it; a later one is new."""
+OUTAGE_MS = 400.0
+"""A store that has not answered for this long was unavailable: entries may expire meanwhile."""
 
 
 class StoreFollower:
-    """Reads the store and puts what it finds into `Knowledge`.
+    """Reads the store and applies what it finds to `Knowledge`.
 
-    `on_change` is called after each change with the names that it touched, and with the registry's
-    version before it.  There are no names for a change of the configuration or of evacuations, nor
-    after a whole list, which doesn't say what has changed.
+    `on_change` is called after each change with the names of the changed backend servers and the
+    registry's version before the change.  There are no names for a change of the configuration or
+    of evacuations, nor after a full list, which doesn't show what has changed.
     """
 
     def __init__(
@@ -61,50 +63,51 @@
         self._offsets: dict[Feed, int] = {}
         self._eras: dict[Feed, int] = {}
         self._read_era = 0
-        self._answers: dict[Feed, bool] = {}
+        self._answered: dict[Feed, bool] = {}
         self._failing_since_ms: dict[Feed, float] = {}
-        self._only_first = False
+        self._initial_only = False
 
     @property
     def active(self) -> bool:
-        """Whether this VM follows the store, or tries to."""
-        return bool(self._tasks) and not self._only_first
+        """Whether this VM follows the store, or tries to do so."""
+        return bool(self._tasks) and not self._initial_only
 
     @property
     def reading(self) -> bool:
-        """Whether every feed has answered the latest call of a VM that follows the store."""
-        return self.active and all(self._answers.get(feed, False) for feed in Feed)
+        """Whether this VM follows the store, and the latest call for each feed was answered."""
+        return self.active and all(self._answered.get(feed, False) for feed in Feed)
 
     def read_first(self) -> None:
-        """Read until there is enough to serve by, and stop: this VM is not one that follows.
+        """Read the store until there is enough data to serve requests, without following it.
 
-        After a loss of power all VMs do so at once: if each followed the store until it had heard
-        of two others that do, all would call it and announce themselves as readers meanwhile.
+        After a loss of power all VMs do so at once: if each followed the store until it had
+        heartbeats from two other readers, all VMs would call the store and announce themselves as
+        readers in the meantime.
         """
         if not self._tasks:
-            self._only_first = True
+            self._initial_only = True
             self._begin("read first")
 
     def start(self) -> None:
-        """Begin to follow the store."""
+        """Start to follow the store."""
         for task in self._tasks.values():
             task.cancel()
-        self._only_first = False
+        self._initial_only = False
         self._begin("start")
 
     def _begin(self, action: str) -> None:
-        self._answers.clear()
+        self._answered.clear()
         self._offsets.clear()
-        if not self._only_first:
+        if not self._initial_only:
             self._knowledge.registry.position.assume_changed()
-            self._go_on_from(Feed.SERVERS, self._knowledge.registry.as_of)
-            self._go_on_from(Feed.CONFIG, self._knowledge.config_as_of)
+            self._resume_from(Feed.SERVERS, self._knowledge.registry.as_of)
+            self._resume_from(Feed.CONFIG, self._knowledge.config_as_of)
         for feed in Feed:
-            self._ask(feed)
+            self._follow_feed(feed)
         self._log.note(Kind.READER, action=action, registry=self._knowledge.registry.version)
 
-    def _go_on_from(self, feed: Feed, as_of: int) -> None:
-        """Read a feed from where this VM knows it, by its own reading or by another's word."""
+    def _resume_from(self, feed: Feed, as_of: int) -> None:
+        """Read a feed on from the position known here, by own reading or from a peer's report."""
         if as_of >= 0:
             self._offsets[feed], self._eras[feed] = offset_of(as_of) + 1, era_of(as_of)
 
@@ -115,12 +118,12 @@
         for task in self._tasks.values():
             task.cancel()
         self._tasks.clear()
-        self._answers.clear()
+        self._answered.clear()
         self._failing_since_ms.clear()
         self._log.note(Kind.READER, action="stop", reason=reason)
 
-    def _ask(self, feed: Feed) -> None:
-        """Follow a feed from what has been read of it; a call that waits is given up."""
+    def _follow_feed(self, feed: Feed) -> None:
+        """Follow a feed from the position it has been read up to; a waiting call is cancelled."""
         waiting = self._tasks.get(feed)
         if waiting is not None:
             waiting.cancel()
@@ -130,7 +133,7 @@
     async def _follow(self, feed: Feed) -> None:
         failures = 0
         while True:
-            if self._only_first and self._knowledge.complete:
+            if self._initial_only and self._knowledge.complete:
                 self.stop("enough to serve by")
                 return
             offset = self._offsets.get(feed)
@@ -139,35 +142,35 @@
                 if offset is None:
                     found = await self._store.newest(feed)
                 else:
-                    # Others rely on a VM that has had an answer: the first call doesn't wait.
-                    wait_ms = WAIT_MS[feed] if self._answers.get(feed) else 0
+                    # Peers rely on a VM that has had an answer, so the first call doesn't wait.
+                    wait_ms = WAIT_MS[feed] if self._answered.get(feed) else 0
                     found = await self._store.changes(feed, offset, wait_ms)
             except HistoryLostError:
                 self._log.note(Kind.STORE, feed=feed.value, state="history-lost", offset=offset)
                 del self._offsets[feed]
                 continue
             except PlatformError as error:
-                self._failed(feed, error)
+                self._record_failure(feed, error)
                 await asyncio.sleep(RETRY_MS[min(failures, len(RETRY_MS) - 1)] / 1000)
                 failures += 1
                 continue
             failures = 0
-            self._answered(feed)
+            self._record_answer(feed)
             era = self._era_of(feed, found)
             if offset is not None and era != self._eras[feed]:
-                self._offsets.pop(feed, None)  # Another record has that offset now.
+                self._offsets.pop(feed, None)  # The offset belongs to another record now.
                 continue
             if era >= self._knowledge.store_era:
-                waited = monotonic_ms() - asked_ms > PROMPT_MS
-                self._take(feed, with_versions(found, era), offset is None, waited)
+                waited = monotonic_ms() - asked_ms > EXISTING_RECORD_MS
+                self._apply(feed, with_versions(found, era), offset is None, waited)
                 self._offsets[feed], self._eras[feed] = found.end_offset, era
-            await asyncio.sleep(self._gap_ms(feed) / 1000)
+            await asyncio.sleep(self._poll_gap_ms(feed) / 1000)
 
     def _era_of(self, feed: Feed, found: FeedSlice) -> int:
-        """Return the era of an answer, and begin with it where it is a later one.
+        """Return the era of an answer, and switch to that era if it is a later one.
 
-        An answer that tells none is taken to be of the era known.  One of an earlier era comes from
-        a copy, or was under way: the caller leaves it out.
+        An answer without an era is taken to be of the known era.  An answer of an earlier era comes
+        from a copy, or was already under way: the caller ignores it.
         """
         known = self._knowledge.store_era
         if found.era is None:
@@ -184,37 +187,37 @@
             if not first or known:
                 self._knowledge.enter_era(found.era, monotonic_ms())
                 self._log.note(Kind.STORE, feed=feed.value, state="new-era", era=found.era)
-                self._begin_again(feed)
+                self._reread_other_feeds(feed)
         return found.era
 
-    def _begin_again(self, noticed: Feed) -> None:
-        """Have the other feeds read whole too: a call may wait at an offset that is gone."""
+    def _reread_other_feeds(self, source_feed: Feed) -> None:
+        """Have the other feeds read in full too: a call may wait at an offset that is gone."""
         for feed in Feed:
-            if feed is not noticed and feed in self._tasks:
+            if feed is not source_feed and feed in self._tasks:
                 self._offsets.pop(feed, None)
-                self._ask(feed)
+                self._follow_feed(feed)
 
-    def _gap_ms(self, feed: Feed) -> float:
+    def _poll_gap_ms(self, feed: Feed) -> float:
         """Return the pause before the next call for a feed."""
         if feed is Feed.CONFIG:
             return GAP_MS
         return max(GAP_MS, GAP_SHARE * self._knowledge.drain_ms)
 
-    def _take(self, feed: Feed, found: FeedSlice, whole: bool, waited: bool) -> None:
+    def _apply(self, feed: Feed, found: FeedSlice, whole: bool, waited: bool) -> None:
         now_ms = monotonic_ms()
         knowledge = self._knowledge
         base_version = knowledge.registry.version
         for record in found.unreadable:
             self._log.note(Kind.STORE, feed=feed.value, state="unreadable", record=record)
         if feed is Feed.CONFIG:
-            changed = self._take_config(found, now_ms) | self._take_evacuations(found, whole)
+            changed = self._apply_config(found, now_ms) | self._apply_evacuations(found, whole)
             knowledge.config_as_of = max(knowledge.config_as_of, found.end_offset - 1)
             if changed:
                 self._on_change((), base_version)
             return
         if whole:
             touched = knowledge.take_server_list(
-                found.servers, found.end_offset, now_ms, follows=not self._only_first
+                found.servers, found.end_offset, now_ms, follows=not self._initial_only
             )
             if touched:
                 self._log.note(
@@ -237,15 +240,15 @@
         if touched:
             self._on_change(tuple(touched), base_version)
 
-    def _take_config(self, found: FeedSlice, now_ms: float) -> bool:
+    def _apply_config(self, found: FeedSlice, now_ms: float) -> bool:
         knowledge = self._knowledge
         taken = [config for config in found.configs if knowledge.take_config(config, now_ms)]
         if taken:
             self._log.note(Kind.CONFIG, version=knowledge.config_version, source="store")
         return bool(taken)
 
-    def _take_evacuations(self, found: FeedSlice, whole: bool) -> bool:
-        """Take the evacuations; return whether peers should hear of them."""
+    def _apply_evacuations(self, found: FeedSlice, whole: bool) -> bool:
+        """Apply the evacuations; return whether peers should be notified of them."""
         knowledge = self._knowledge
         if whole:
             after = Evacuations.as_of(found.end_offset - 1, found.evacuations)
@@ -258,29 +261,29 @@
         self._log.note(Kind.EVACUATION, **after.to_document(), held=held, source="store")
         return True
 
-    def _answered(self, feed: Feed) -> None:
+    def _record_answer(self, feed: Feed) -> None:
         since_ms = self._failing_since_ms.pop(feed, None)
         if since_ms is not None:
             now_ms = monotonic_ms()
-            if now_ms - since_ms > AWAY_MS:
+            if now_ms - since_ms > OUTAGE_MS:
                 self._knowledge.store_returned(now_ms)
             away_ms = round(now_ms - since_ms)
             self._log.note(Kind.STORE, feed=feed.value, state="regained", away_ms=away_ms)
-        self._answers[feed] = True
+        self._answered[feed] = True
         self._counters.add("store_calls", feed=feed.value, answered="yes")
 
-    def _failed(self, feed: Feed, error: PlatformError) -> None:
+    def _record_failure(self, feed: Feed, error: PlatformError) -> None:
         if feed not in self._failing_since_ms:
             self._failing_since_ms[feed] = monotonic_ms()
             self._log.note(Kind.STORE, feed=feed.value, state="lost", error=str(error))
             if feed is Feed.CONFIG:
-                self._ask(Feed.SERVERS)
-        self._answers[feed] = False
+                self._follow_feed(Feed.SERVERS)
+        self._answered[feed] = False
         self._counters.add("store_calls", feed=feed.value, answered="no")
 
 
 def with_versions(found: FeedSlice, era: int) -> FeedSlice:
-    """Return an answer of the store with versions in place of offsets."""
+    """Return an answer of the store with its offsets replaced by versions."""
     return replace(
         found,
         servers=tuple(replace(item, offset=version_of(era, item.offset)) for item in found.servers),
