--- a/cloverhook/gateway/measuring.py
+++ b/cloverhook/gateway/measuring.py
@@ -213,8 +213,8 @@
         """
 
         def order(server: BackendServer) -> tuple[bool, int]:
-            is_far = server.data_center != self._members.data_center
-            return is_far, rank_weight(self._own_vm, server.incarnation)
+            is_remote = server.data_center != self._members.data_center
+            return is_remote, rank_weight(self._own_vm, server.incarnation)
 
         return [(server, 0) for server in sorted(servers, key=order)[:count]]
 
--- a/cloverhook/gateway/members.py
+++ b/cloverhook/gateway/members.py
@@ -236,9 +236,9 @@
         else:
             ready = [item for item in self._members.values() if item.ready and not item.leaving]
             chosen = _live_or_all(ready, now_ms)
-            near = [item for item in chosen if item.data_center == self.data_center]
-            if len(near) >= ENOUGH_LOCAL_VMS:
-                chosen = near
+            local = [item for item in chosen if item.data_center == self.data_center]
+            if len(local) >= ENOUGH_LOCAL_VMS:
+                chosen = local
         if not reaches_nobody:
             chosen = [item for item in chosen if now_ms - item.heard_ms < ADDRESS_EXPIRY_MS]
         return [item.caller_address for item in chosen]
@@ -272,11 +272,11 @@
         if now_ms < self._serving_refresh_ms:
             return
         self._serving_refresh_ms = now_ms + REFRESH_MS
-        near = [item for item in self._local.values() if item.ready and not item.leaving]
-        found = [item.vm for item in _live_or_all(near, now_ms)]
+        local = [item for item in self._local.values() if item.ready and not item.leaving]
+        found = [item.vm for item in _live_or_all(local, now_ms)]
         found.append(self._own_vm)
         found.sort(key=lambda vm: rank_weight("callers", vm), reverse=True)
-        requests_per_s = sum(item.requests_per_s for item in near if item.is_alive(now_ms))
+        requests_per_s = sum(item.requests_per_s for item in local if item.is_alive(now_ms))
         wanted = max(MIN_SERVING_VMS, ceil(requests_per_s / REQUESTS_PER_SERVING_VM))
         self._serving = tuple(found[:wanted])
         self._informed = tuple(found[: wanted + HOT_STANDBY_VMS])
--- a/cloverhook/gateway/registry.py
+++ b/cloverhook/gateway/registry.py
@@ -209,7 +209,7 @@
         """Count an entry as changed when it first appears in a later era, whatever its content.
 
         Of two VMs that read the store, one may have found the entry missing for a moment, and may
-        have told its peers so.
+        have reported that to its peers.
         """
         known = self._offsets.get(name)
         if known is not None and era_of(known) < era_of(offset) and name not in self._grace_periods:
