--- a/cloverhook/gateway/heartbeat_pace.py
+++ b/cloverhook/gateway/heartbeat_pace.py
@@ -9,7 +9,7 @@
 
 from cloverhook.gateway.members import Members
 
-__all__ = ["HeartbeatPace"]
+__all__ = ["HeartbeatIntervals"]
 
 LOCAL_INTERVAL_MS = 400.0
 """A dead neighbour should get no callers after a few of these."""
@@ -33,33 +33,33 @@
 """Another VM starts to read the store when it has missed three of a reader's heartbeats."""
 
 
-class HeartbeatPace:
+class HeartbeatIntervals:
     """The time from one heartbeat of this VM to its next."""
 
     def __init__(self, members: Members) -> None:
         self._members = members
 
-    def near_ms(self, reading: bool, now_ms: float) -> float:
+    def local_interval_ms(self, reading: bool, now_ms: float) -> float:
         """Return the interval for the own data centre; `reading`: this VM reads the store."""
         if reading:
             return READER_INTERVAL_MS
-        if not self._members.crowded():
+        if not self._members.in_large_data_center():
             return LOCAL_INTERVAL_MS
-        if self._members.is_informed(now_ms):
+        if self._members.is_load_subscriber(now_ms):
             return LARGE_LOCAL_INTERVAL_MS
-        return max(STANDBY_INTERVAL_MS, STANDBY_INTERVAL_MS_PER_VM * self._members.near_count())
+        return max(STANDBY_INTERVAL_MS, STANDBY_INTERVAL_MS_PER_VM * self._members.local_count())
 
-    def far_ms(self, reading: bool, now_ms: float) -> float:
+    def remote_interval_ms(self, reading: bool, now_ms: float) -> float:
         """Return the interval for the other data centres, and for neighbours that are silent."""
         if reading:
             return READER_INTERVAL_MS
-        return LARGE_REMOTE_INTERVAL_MS if self._members.crowded() else REMOTE_INTERVAL_MS
+        return LARGE_REMOTE_INTERVAL_MS if self._members.in_large_data_center() else REMOTE_INTERVAL_MS
 
-    def is_heard_far(self, reading: bool, now_ms: float) -> bool:
+    def sends_to_remote(self, reading: bool, now_ms: float) -> bool:
         """Return whether other data centres get heartbeats: they need a few VMs that relay."""
-        return reading or self._members.is_informed(now_ms)
+        return reading or self._members.is_load_subscriber(now_ms)
 
-    def hears_ms(self, has_requests: bool, now_ms: float) -> float:
+    def receive_batch_ms(self, has_requests: bool, now_ms: float) -> float:
         """Return for how long received messages may wait, so that they are read in batches.
 
         They don't wait on a VM that dispatches requests: in overload, two VMs that don't know of
@@ -69,6 +69,6 @@
             return 0.0
         return (
             HOT_STANDBY_RECEIVE_DELAY_MS
-            if self._members.is_informed(now_ms)
+            if self._members.is_load_subscriber(now_ms)
             else STANDBY_RECEIVE_DELAY_MS
         )
--- a/cloverhook/gateway/holds.py
+++ b/cloverhook/gateway/holds.py
@@ -14,7 +14,7 @@
 
 from collections.abc import Iterable
 
-__all__ = ["Holds"]
+__all__ = ["GracePeriods"]
 
 GRACE_SHARE = 0.75
 """The grace period as a share of the drain time, after which a vanished entry must get no work."""
@@ -25,7 +25,7 @@
 MASS_EXPIRY_WINDOW_MS = 1_000.0
 
 
-class Holds:
+class GracePeriods:
     """The names of vanished entries and the end of each grace period; times are monotonic."""
 
     def __init__(self, drain_ms: float) -> None:
@@ -37,19 +37,19 @@
     def __contains__(self, name: str) -> bool:
         return name in self._until_ms
 
-    def begin(
-        self, name: str, service: str, of_service: int, now_ms: float, store_was_away: bool
+    def start(
+        self, name: str, service: str, service_size: int, now_ms: float, store_was_unavailable: bool
     ) -> bool:
         """Start the grace period of an entry whose service has `of_service` entries.
 
         Returns whether the entry has more likely expired because of the store than left.
         """
-        expired = self._is_mass_expiry(service, of_service, now_ms) or store_was_away
+        expired = self._is_mass_expiry(service, service_size, now_ms) or store_was_unavailable
         self._until_ms[name] = now_ms + (MASS_EXPIRY_GRACE_MS if expired else self._grace_ms)
         self._since_ms[name] = now_ms
         return expired
 
-    def prolong(self, names: Iterable[str], now_ms: float) -> None:
+    def extend(self, names: Iterable[str], now_ms: float) -> None:
         """Extend the grace periods of entries that vanished together with one that expires now.
 
         They then last as long as the grace period of that one.
@@ -68,11 +68,11 @@
         self._since_ms.pop(name, None)
         return self._until_ms.pop(name, None) is not None
 
-    def left_ms(self, name: str, now_ms: float) -> float:
+    def remaining_ms(self, name: str, now_ms: float) -> float:
         """Return the time left of an entry's grace period."""
         return max(0.0, self._until_ms[name] - now_ms)
 
-    def due(self, now_ms: float) -> list[str]:
+    def expired(self, now_ms: float) -> list[str]:
         """Return the names whose grace period is over."""
         return [name for name, until_ms in self._until_ms.items() if until_ms <= now_ms]
 
--- a/cloverhook/gateway/log_position.py
+++ b/cloverhook/gateway/log_position.py
@@ -37,7 +37,7 @@
         return max(self._as_of, self.version)
 
     @property
-    def claimed_version(self) -> int:
+    def advertised_version(self) -> int:
         """The version that peers may rely on, or -1 while that of the last change isn't known."""
         return self.version if self._knows_last_change else -1
 
@@ -46,22 +46,22 @@
         """The position since which all changes are known individually."""
         return self._history_floor
 
-    def changed(self, position: int) -> None:
+    def record_change(self, position: int) -> None:
         """Record a change at a position."""
         self.version = max(self.version, position)
 
-    def read_up_to(self, position: int) -> None:
+    def advance_to(self, position: int) -> None:
         """Record that all records up to a position have been applied."""
         self._as_of = max(self._as_of, position)
 
-    def heard(self, version: int, as_of: int) -> None:
+    def advance_from_peer(self, version: int, as_of: int) -> None:
         """Take a peer's report that nothing has changed between a version and `as_of`."""
         if version <= self.as_of <= as_of:
             self._as_of = as_of
             self.version = max(self.version, version)
             self._knows_last_change = True
 
-    def assume_changed(self) -> None:
+    def assume_last_change(self) -> None:
         """Treat the position read up to as the last change, where the last change isn't known.
 
         Peers that know less then ask for the full state.
@@ -70,7 +70,7 @@
             self.version = self.as_of
             self._knows_last_change = True
 
-    def listed(self, known: tuple[int, int], as_of: int, changed: bool) -> None:
+    def record_snapshot(self, known: tuple[int, int], as_of: int, changed: bool) -> None:
         """Record that a full list as of a position was applied; it doesn't show the last change.
 
         `known` holds `version` and `as_of` from before the list; `changed` says that the list
@@ -81,30 +81,30 @@
             self._knows_last_change = False
         self.version = known_version
         self._as_of = max(as_of, known_as_of)
-        self.learned_whole(known_as_of, as_of)
+        self.record_full_state(known_as_of, as_of)
 
-    def adopted(self, version: int, as_of: int) -> None:
+    def record_peer_state(self, version: int, as_of: int) -> None:
         """Record that everything that a peer knows has been applied."""
         self.version, self._as_of = version, max(as_of, self._as_of)
         self._knows_last_change = True
 
-    def learned_whole(self, known_as_of: int, floor: int) -> None:
+    def record_full_state(self, known_as_of: int, floor: int) -> None:
         """Record that a full state was applied, with all changes since `floor` known one by one."""
         if floor > known_as_of:
             self._history_floor = floor
         else:
             self._history_floor = min(self._history_floor, floor)
 
-    def forgot_up_to(self, position: int) -> None:
+    def truncate_history(self, position: int) -> None:
         """Record that changes up to a position are no longer known individually."""
         self._history_floor = max(self._history_floor, position)
 
-    def confirm(self, version: int, now_ms: float) -> None:
+    def confirm_current(self, version: int, now_ms: float) -> None:
         """Record that the store holds nothing newer than a version at this time."""
         if version <= self.as_of:
             self._confirmed_ms = now_ms
 
-    def vanished_since_ms(self, now_ms: float) -> float:
+    def earliest_removal_ms(self, now_ms: float) -> float:
         """Return the earliest time at which an entry found missing now may have vanished."""
         if self._confirmed_ms is None or now_ms - self._confirmed_ms > CONFIRMED_LIMIT_MS:
             return now_ms
--- a/cloverhook/gateway/measuring.py
+++ b/cloverhook/gateway/measuring.py
@@ -14,12 +14,12 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from cloverhook.gateway.backend_server import BackendServer
-from cloverhook.gateway.load import LoadBoard
+from cloverhook.gateway.load import LoadTable
 from cloverhook.gateway.members import Members
-from cloverhook.gateway.ranking import place_in_order, rank_weight
+from cloverhook.gateway.ranking import rendezvous_rank, rendezvous_weight
 from cloverhook.gateway.registry import Registry
 
-__all__ = ["GROUP_SIZE", "LISTEN_MS", "Measuring"]
+__all__ = ["GROUP_SIZE", "STARTUP_DELAY_MS", "ProbeSchedule"]
 
 GROUP_SIZE = 24
 """The figures of a group share one datagram, and a small VM can probe it beside its requests."""
@@ -42,7 +42,7 @@
 """Two missed probes show that the VM that sends them is gone, however rare they are."""
 SLACK_MS = 5.0
 """A probe that is due within this time is sent now, together with the others."""
-LISTEN_MS = 2_000.0
+STARTUP_DELAY_MS = 2_000.0
 """A VM that has just started knows no other VM and would probe every endpoint.  It therefore waits
 first, for long enough to learn of the other VMs after a loss of all power.  At a later start
 callers are waiting, so it probes one group meanwhile."""
@@ -50,7 +50,7 @@
 """The orders are computed again after this time; they change only when VMs come or go."""
 
 
-class Measuring:
+class ProbeSchedule:
     """The schedule of the backend servers that this VM probes."""
 
     def __init__(
@@ -58,11 +58,11 @@
         own_vm: str,
         members: Members,
         registry: Registry,
-        board: LoadBoard,
+        board: LoadTable,
         max_per_s: float,
         requests_per_s: Callable[[str, float], float],
-        listen_until_ms: float = 0.0,
-        while_listening: int = 0,
+        startup_until_ms: float = 0.0,
+        startup_probe_limit: int = 0,
         evacuated: Callable[[], frozenset[str]] = frozenset,
     ) -> None:
         """Set up the schedule.
@@ -71,8 +71,8 @@
         Before `listen_until_ms`, at most `while_listening` backend servers are probed.  The
         endpoints of the `evacuated` data centres get no requests, so they are not probed either.
         """
-        self._listen_until_ms = listen_until_ms
-        self._while_listening = while_listening
+        self._startup_until_ms = startup_until_ms
+        self._startup_probe_limit = startup_probe_limit
         self._own_vm = own_vm
         self._evacuated = evacuated
         self._max_per_s = max_per_s
@@ -97,13 +97,13 @@
             if self._members.is_cut_off(now_ms):
                 self._rank_while_isolated()
                 self._set_intervals(now_ms)
-            elif self._members.is_informed(now_ms):
+            elif self._members.is_load_subscriber(now_ms):
                 self._rank_servers(now_ms)
                 self._set_intervals(now_ms)
-            if now_ms < self._listen_until_ms:
-                self._order_due_ms = min(self._order_due_ms, self._listen_until_ms)
+            if now_ms < self._startup_until_ms:
+                self._order_due_ms = min(self._order_due_ms, self._startup_until_ms)
                 servers = [server for server, _ in self._ranked]
-                self._ranked = self._own_selection(servers, self._while_listening)
+                self._ranked = self._own_selection(servers, self._startup_probe_limit)
             self._own = [server for server, rank in self._ranked if rank == 0]
             self._takeover_check_ms = now_ms
         found = [server for server in self._own if self._is_planned(server, now_ms)]
@@ -133,7 +133,7 @@
         for server, rank in self._ranked:
             if rank == 0:
                 continue
-            unmeasured_ms = self._board.of(server.incarnation).unmeasured_ms(now_ms)
+            unmeasured_ms = self._board.get_or_create(server.incarnation).since_last_probe_ms(now_ms)
             interval_ms = self._intervals_ms.get(server.service, 0.0)
             left_ms = rank * max(TAKEOVER_MS, TAKEOVER_INTERVALS * interval_ms) - unmeasured_ms
             soonest_ms = min(soonest_ms, left_ms)
@@ -150,10 +150,10 @@
         """
         max_per_s = self._max_per_s
         vms = 1 + sum(1 for item in self._members.alive(now_ms) if item.ready)
-        if self._members.crowded():
+        if self._members.in_large_data_center():
             max_per_s = min(max_per_s, LARGE_MAX_PROBES_PER_S)
-            data_centers = 1 + len(self._members.far(now_ms))
-            vms = min(vms, data_centers * len(self._members.serving(now_ms)))
+            data_centers = 1 + len(self._members.remote_members(now_ms))
+            vms = min(vms, data_centers * len(self._members.serving_vms(now_ms)))
         affordable_per_s = self._affordable_per_s(now_ms)
         for service in {server.service for server in self._registry.servers()}:
             endpoints = len(self._registry.of_service(service))
@@ -170,10 +170,10 @@
         if not endpoints:
             return VM_MAX_PROBES_PER_S
         members = self._members
-        probing_vms = len(members.informed(now_ms)) - len(members.serving(now_ms))
-        if not members.crowded() or probing_vms <= 0:
+        probing_vms = len(members.load_subscribers(now_ms)) - len(members.serving_vms(now_ms))
+        if not members.in_large_data_center() or probing_vms <= 0:
             alive = 1 + sum(1 for item in members.alive(now_ms) if item.ready)
-            probing_vms = max(1, alive // (1 + len(members.far(now_ms))))
+            probing_vms = max(1, alive // (1 + len(members.remote_members(now_ms))))
         return VM_MAX_PROBES_PER_S * probing_vms / max(endpoints.values())
 
     def _rank_servers(self, now_ms: float) -> None:
@@ -186,7 +186,7 @@
             if ranks[0] is None:
                 continue
             for server in servers:
-                rank = ranks[rank_weight("group", server.incarnation) % len(ranks)]
+                rank = ranks[rendezvous_weight("group", server.incarnation) % len(ranks)]
                 if rank is not None:
                     self._ranked.append((server, rank))
 
@@ -214,14 +214,14 @@
 
         def order(server: BackendServer) -> tuple[bool, int]:
             is_remote = server.data_center != self._members.data_center
-            return is_remote, rank_weight(self._own_vm, server.incarnation)
+            return is_remote, rendezvous_weight(self._own_vm, server.incarnation)
 
         return [(server, 0) for server in sorted(servers, key=order)[:count]]
 
     def _group_ranks(self, data_center: str, groups: int, now_ms: float) -> list[int | None]:
         """Return this VM's rank in the order of each group, or None where it has none."""
         vms = self._members.data_center_vms(data_center, now_ms)
-        if self._members.crowded():
+        if self._members.in_large_data_center():
             return self._large_group_ranks(data_center, vms, groups, now_ms)
         if not vms:
             alive = self._members.alive(now_ms)
@@ -239,11 +239,11 @@
         VMs rank before the serving VMs.  A data centre that has no VM is probed by one of the other
         data centres, and by the next one once that has failed as a whole.
         """
-        informed = self._members.informed(now_ms)
+        informed = self._members.load_subscribers(now_ms)
         if vms and self._own_vm not in vms:
             return [None] * groups
         before = 0 if vms else len(informed) * self._data_centers_before(data_center, now_ms)
-        serving = self._members.serving(now_ms)
+        serving = self._members.serving_vms(now_ms)
         hot_standby = [vm for vm in informed if vm not in serving]
         peers = hot_standby if self._own_vm in hot_standby else serving
         before += 0 if peers is hot_standby else len(hot_standby)
@@ -253,8 +253,8 @@
 
     def _data_centers_before(self, data_center: str, now_ms: float) -> int:
         """Return how many data centres rank before the own one in probing one that has no VM."""
-        others = self._members.far(now_ms)
-        return place_in_order(data_center, self._members.data_center, others)
+        others = self._members.remote_members(now_ms)
+        return rendezvous_rank(data_center, self._members.data_center, others)
 
     def _group_rank(self, key: str, vms: Sequence[str]) -> int:
-        return place_in_order(key, self._own_vm, vms)
+        return rendezvous_rank(key, self._own_vm, vms)
--- a/cloverhook/gateway/members.py
+++ b/cloverhook/gateway/members.py
@@ -17,7 +17,7 @@
 from typing import Protocol
 
 from cloverhook.gateway.peer_messages import Heartbeat
-from cloverhook.gateway.ranking import place_in_order, rank_weight
+from cloverhook.gateway.ranking import rendezvous_rank, rendezvous_weight
 
 __all__ = ["READERS", "KnownVersions", "Member", "Members"]
 
@@ -83,13 +83,13 @@
     data_center: str
     caller_address: str
     peer_address: str
-    heard_ms: float
+    last_heartbeat_ms: float
     ready: bool = False
     reading: bool = False
     leaving: bool = False
     config_version: int = -1
     registry_version: int = -1
-    silent_ms: float = HEARTBEAT_TIMEOUT_MS
+    heartbeat_timeout_ms: float = HEARTBEAT_TIMEOUT_MS
     requests_per_s: int = 0
     near_vms: int = 0
     evacuation_version: int = -1
@@ -97,7 +97,7 @@
 
     def is_alive(self, now_ms: float) -> bool:
         """Return whether the last heartbeat is more recent than the timeout."""
-        return now_ms - self.heard_ms < self.silent_ms
+        return now_ms - self.last_heartbeat_ms < self.heartbeat_timeout_ms
 
 
 class KnownVersions(Protocol):
@@ -131,7 +131,7 @@
     def __len__(self) -> int:
         return len(self._members)
 
-    def near_count(self) -> int:
+    def local_count(self) -> int:
         """Return the number of other VMs of the own data centre that are known."""
         return len(self._local)
 
@@ -143,7 +143,7 @@
         """Return the member of this name, or None where it has sent no heartbeat."""
         return self._members.get(vm)
 
-    def heard(self, heartbeat: Heartbeat, now_ms: float) -> bool:
+    def record_heartbeat(self, heartbeat: Heartbeat, now_ms: float) -> bool:
         """Take a heartbeat; return whether the VM or its process is new, or was not alive before.
 
         Incarnations are only compared for equality, never ordered: clocks may step back between two
@@ -162,8 +162,8 @@
                 now_ms,
             )
             self._add(member)
-        member.heard_ms = self._last_message_ms = now_ms
-        member.silent_ms = max(
+        member.last_heartbeat_ms = self._last_message_ms = now_ms
+        member.heartbeat_timeout_ms = max(
             HEARTBEAT_TIMEOUT_MS, HEARTBEAT_TIMEOUT_INTERVALS * heartbeat.every_ms
         )
         member.ready = heartbeat.ready
@@ -183,7 +183,7 @@
             self._readers.pop(heartbeat.vm, None)
         return returned
 
-    def hears(self, now_ms: float) -> None:
+    def record_message(self, now_ms: float) -> None:
         """Record that some message of another VM has arrived."""
         self._last_message_ms = now_ms
 
@@ -193,11 +193,11 @@
         That is so when no message has arrived for a while, or when most neighbours are silent.  An
         isolated VM dispatches requests without the counts and load figures of others.
         """
-        if not self.crowded():
+        if not self.in_large_data_center():
             return False
-        return now_ms - self._last_message_ms > ISOLATED_MS or _most_silent(self.near(), now_ms)
+        return now_ms - self._last_message_ms > ISOLATED_MS or _most_silent(self.local_members(), now_ms)
 
-    def names_itself(self, now_ms: float) -> bool:
+    def advertises_itself(self, now_ms: float) -> bool:
         """Return whether this VM, if it is ready, gives its own address to callers.
 
         An isolated VM does not: callers still reach the others, which dispatch requests better.
@@ -215,7 +215,7 @@
         """Return the members that are alive."""
         return tuple(item for item in self._members.values() if item.is_alive(now_ms))
 
-    def count(self) -> int:
+    def estimated_fleet_size(self) -> int:
         """Return how many VMs may be serving, this one included.
 
         Silent VMs count until they are forgotten.  Of another data centre that is large, only a few
@@ -223,15 +223,15 @@
         """
         return 1 + len(self._members) + self._unseen_vms
 
-    def caller_addresses(self, now_ms: float, reaches_nobody: bool = False) -> list[str]:
+    def caller_addresses(self, now_ms: float, fully_isolated: bool = False) -> list[str]:
         """Return the addresses of the other VMs that callers may use.
 
         VMs without a heartbeat for a long time are left out, unless `reaches_nobody` is set: this
         VM then reaches neither other VMs nor the store, so it is the one that is isolated, and
         callers still reach the others.
         """
-        if self.crowded() and len(self.serving(now_ms)) >= ENOUGH_LOCAL_VMS:
-            found = (self._local.get(vm) for vm in self.serving(now_ms))
+        if self.in_large_data_center() and len(self.serving_vms(now_ms)) >= ENOUGH_LOCAL_VMS:
+            found = (self._local.get(vm) for vm in self.serving_vms(now_ms))
             chosen = [item for item in found if item is not None]
         else:
             ready = [item for item in self._members.values() if item.ready and not item.leaving]
@@ -239,15 +239,15 @@
             local = [item for item in chosen if item.data_center == self.data_center]
             if len(local) >= ENOUGH_LOCAL_VMS:
                 chosen = local
-        if not reaches_nobody:
-            chosen = [item for item in chosen if now_ms - item.heard_ms < ADDRESS_EXPIRY_MS]
+        if not fully_isolated:
+            chosen = [item for item in chosen if now_ms - item.last_heartbeat_ms < ADDRESS_EXPIRY_MS]
         return [item.caller_address for item in chosen]
 
     def serves_callers(self, now_ms: float) -> bool:
         """Return whether this VM, if it is ready, is a serving VM."""
-        return not self.crowded() or self._serves(self._own_vm, now_ms)
+        return not self.in_large_data_center() or self._serves(self._own_vm, now_ms)
 
-    def serving(self, now_ms: float) -> tuple[str, ...]:
+    def serving_vms(self, now_ms: float) -> tuple[str, ...]:
         """Return the serving VMs of the own data centre: callers get the addresses of these.
 
         Each VM computes them by itself from the members it has heartbeats of: they are the first
@@ -256,7 +256,7 @@
         self._refresh_serving(now_ms)
         return self._serving
 
-    def informed(self, now_ms: float) -> tuple[str, ...]:
+    def load_subscribers(self, now_ms: float) -> tuple[str, ...]:
         """Return the VMs of the own data centre that need load figures, in the same order.
 
         They are the serving VMs and the hot standby VMs, which would become serving VMs next.
@@ -264,9 +264,9 @@
         self._refresh_serving(now_ms)
         return self._informed
 
-    def is_informed(self, now_ms: float) -> bool:
+    def is_load_subscriber(self, now_ms: float) -> bool:
         """Return whether this VM is one of those that need load figures."""
-        return not self.crowded() or self._own_vm in self.informed(now_ms)
+        return not self.in_large_data_center() or self._own_vm in self.load_subscribers(now_ms)
 
     def _refresh_serving(self, now_ms: float) -> None:
         if now_ms < self._serving_refresh_ms:
@@ -275,54 +275,54 @@
         local = [item for item in self._local.values() if item.ready and not item.leaving]
         found = [item.vm for item in _live_or_all(local, now_ms)]
         found.append(self._own_vm)
-        found.sort(key=lambda vm: rank_weight("callers", vm), reverse=True)
+        found.sort(key=lambda vm: rendezvous_weight("callers", vm), reverse=True)
         requests_per_s = sum(item.requests_per_s for item in local if item.is_alive(now_ms))
         wanted = max(MIN_SERVING_VMS, ceil(requests_per_s / REQUESTS_PER_SERVING_VM))
         self._serving = tuple(found[:wanted])
         self._informed = tuple(found[: wanted + HOT_STANDBY_VMS])
 
-    def placing(self, data_center: str, now_ms: float) -> tuple[str, ...]:
+    def dispatching_vms(self, data_center: str, now_ms: float) -> tuple[str, ...]:
         """Return the VMs that dispatch requests to the endpoints of a data centre with good data.
 
         Where the own data centre is large, these are its serving VMs for its own endpoints, and
         none for those of another data centre.  Otherwise they are all ready VMs of the fleet.
         """
-        if self.crowded():
-            return self.serving(now_ms) if data_center == self.data_center else ()
+        if self.in_large_data_center():
+            return self.serving_vms(now_ms) if data_center == self.data_center else ()
         ready = [item for item in self._members.values() if item.ready and not item.leaving]
         return (*(item.vm for item in _live_or_all(ready, now_ms)), self._own_vm)
 
-    def sent_counts(self, vm: str, now_ms: float) -> None:
+    def record_count_sender(self, vm: str, now_ms: float) -> None:
         """Record that a VM has requests in flight: it dispatches them, serving VM or not."""
         self._count_senders_ms[vm] = now_ms
 
-    def senders(self, now_ms: float) -> int:
+    def count_senders(self, now_ms: float) -> int:
         """Return how many other VMs, of any data centre, have recently sent counts in flight."""
         return sum(
             1 for at_ms in self._count_senders_ms.values() if at_ms > now_ms - COUNT_SENDER_MS
         )
 
-    def count_audience(self, now_ms: float) -> list[Member]:
+    def live_count_subscribers(self, now_ms: float) -> list[Member]:
         """Return the live neighbours that dispatch requests, and so receive the counts in flight.
 
         They are the serving VMs, and those that callers with outdated addresses use.
         """
-        return self._live_neighbours(self.serving(now_ms), now_ms)
+        return self._live_neighbours(self.serving_vms(now_ms), now_ms)
 
-    def audience(self, now_ms: float) -> list[Member]:
+    def live_load_subscribers(self, now_ms: float) -> list[Member]:
         """Return the live neighbours that receive load figures.
 
         They are those that dispatch requests, or may do so soon.  In a data centre that is not
         large, they are all the live neighbours.
         """
-        return self._live_neighbours(self.informed(now_ms), now_ms)
+        return self._live_neighbours(self.load_subscribers(now_ms), now_ms)
 
     def _live_neighbours(self, vms: tuple[str, ...], now_ms: float) -> list[Member]:
         """Return the live neighbours of these names, and those that have recently sent counts.
 
         In a data centre that is not large, return all the live neighbours.
         """
-        if not self.crowded():
+        if not self.in_large_data_center():
             return [item for item in self._local.values() if item.is_alive(now_ms)]
         since_ms = now_ms - COUNT_SENDER_MS
         self._count_senders_ms = {
@@ -332,7 +332,7 @@
         return [item for item in found if item is not None and item.is_alive(now_ms)]
 
     def _serves(self, vm: str, now_ms: float) -> bool:
-        return vm in self.serving(now_ms)
+        return vm in self.serving_vms(now_ms)
 
     def data_center_vms(self, data_center: str, now_ms: float) -> list[str]:
         """Return the VMs of a data centre that are ready and alive, this one included if there."""
@@ -343,24 +343,24 @@
         ]
         return [*found, self._own_vm] if data_center == self.data_center else found
 
-    def holders(self, knows: Callable[[Member], bool], now_ms: float) -> list[Member]:
+    def members_with_state(self, has_state: Callable[[Member], bool], now_ms: float) -> list[Member]:
         """Return the live neighbours whose reported versions satisfy `knows`.
 
         If some of them have sent a heartbeat recently, only those are returned: some VMs send
         heartbeats so rarely that a dead one counts as alive for a long time.
         """
-        found = [item for item in self.near() if item.is_alive(now_ms) and knows(item)]
-        return [item for item in found if now_ms - item.heard_ms < RECENT_MS] or found
+        found = [item for item in self.local_members() if item.is_alive(now_ms) and has_state(item)]
+        return [item for item in found if now_ms - item.last_heartbeat_ms < RECENT_MS] or found
 
-    def crowded(self) -> bool:
+    def in_large_data_center(self) -> bool:
         """Return whether the own data centre is large, that is, has many VMs."""
         return len(self._local) > LARGE_DATA_CENTER_VMS
 
-    def near(self) -> list[Member]:
+    def local_members(self) -> list[Member]:
         """Return the other VMs of the own data centre, including those that are not alive."""
         return list(self._local.values())
 
-    def far(self, now_ms: float) -> dict[str, list[Member]]:
+    def remote_members(self, now_ms: float) -> dict[str, list[Member]]:
         """Return the live VMs of each other data centre, or all its VMs where none is alive."""
         groups: dict[str, list[Member]] = {}
         for item in self._members.values():
@@ -371,7 +371,7 @@
             for name, group in groups.items()
         }
 
-    def relays(self, now_ms: float) -> dict[str, list[Member]]:
+    def relay_candidates(self, now_ms: float) -> dict[str, list[Member]]:
         """Return the VMs of each other data centre that are likely to relay messages.
 
         They have sent a heartbeat recently, where there are such VMs: some VMs send heartbeats so
@@ -380,12 +380,12 @@
         if now_ms >= self._relays_refresh_ms:
             self._relays_refresh_ms = now_ms + REFRESH_MS
             self._relays = {
-                name: [item for item in group if now_ms - item.heard_ms < RECENT_MS] or group
-                for name, group in self.far(now_ms).items()
+                name: [item for item in group if now_ms - item.last_heartbeat_ms < RECENT_MS] or group
+                for name, group in self.remote_members(now_ms).items()
             }
         return self._relays
 
-    def reads_store(self, reading: bool, now_ms: float) -> bool:
+    def should_read_store(self, reading: bool, now_ms: float) -> bool:
         """Return whether this VM should read the store.
 
         `reading` says whether it already does so successfully.
@@ -393,20 +393,20 @@
         others = [
             item
             for item in self._readers.values()
-            if not item.leaving and now_ms - item.heard_ms < READER_TIMEOUT_MS
+            if not item.leaving and now_ms - item.last_heartbeat_ms < READER_TIMEOUT_MS
         ]
         if reading:
-            place = place_in_order("reader", self._own_vm, (item.vm for item in others))
+            place = rendezvous_rank("reader", self._own_vm, (item.vm for item in others))
             return place < READERS
         if len(others) >= READERS:
             self._enough_readers_ms = now_ms
             self._had_enough_readers = True
             return False
         recent = (
-            item for item in self.alive(now_ms) if now_ms - item.heard_ms < CANDIDATE_EXPIRY_MS
+            item for item in self.alive(now_ms) if now_ms - item.last_heartbeat_ms < CANDIDATE_EXPIRY_MS
         )
         idle = [item.vm for item in recent if item not in others]
-        wait_ms = TAKEOVER_STEP_MS * place_in_order("reader", self._own_vm, idle)
+        wait_ms = TAKEOVER_STEP_MS * rendezvous_rank("reader", self._own_vm, idle)
         if others or not self._had_enough_readers:
             wait_ms += READER_TIMEOUT_MS
         return now_ms - self._enough_readers_ms >= wait_ms
@@ -414,14 +414,14 @@
     def forget(self, now_ms: float) -> None:
         """Drop members without a heartbeat for a long time; to be called periodically."""
         for vm, item in tuple(self._members.items()):
-            if now_ms - item.heard_ms > FORGET_MS:
+            if now_ms - item.last_heartbeat_ms > FORGET_MS:
                 del self._members[vm]
                 self._local.pop(vm, None)
                 self._readers.pop(vm, None)
         known = Counter(item.data_center for item in self._members.values())
         self._unseen_vms = sum(
             max(0, max(item.near_vms for item in group) - known[name])
-            for name, group in self.far(now_ms).items()
+            for name, group in self.remote_members(now_ms).items()
         )
 
 
@@ -440,7 +440,7 @@
 
 def _most_silent(members: list[Member], now_ms: float) -> bool:
     """Return whether most members are silent, or most of those with frequent heartbeats."""
-    often = [item for item in members if item.silent_ms <= HEARTBEAT_TIMEOUT_MS]
+    often = [item for item in members if item.heartbeat_timeout_ms <= HEARTBEAT_TIMEOUT_MS]
     for group in (often, members):
         if sum(1 for item in group if item.is_alive(now_ms)) < MAJORITY * len(group):
             return True
--- a/cloverhook/gateway/store_follower.py
+++ b/cloverhook/gateway/store_follower.py
@@ -13,21 +13,21 @@
 from cloverhook.errors import PlatformError
 from cloverhook.gateway.counters import Counters
 from cloverhook.gateway.evacuation import Evacuations
-from cloverhook.gateway.event_log import EventLog, Kind
-from cloverhook.gateway.knowledge import Knowledge
+from cloverhook.gateway.event_log import EventKind, EventLog
+from cloverhook.gateway.knowledge import GatewayState
 from cloverhook.gateway.store import Feed, FeedSlice, HistoryLostError, Store
-from cloverhook.gateway.supervision import keep_running
+from cloverhook.gateway.supervision import run_with_restarts
 from cloverhook.gateway.versions import era_of, offset_of, version_of
 
-__all__ = ["GAP_MS", "GAP_SHARE", "StoreFollower", "with_versions"]
+__all__ = ["POLL_GAP_MS", "POLL_GAP_DRAIN_RATIO", "StoreFollower", "offsets_to_versions"]
 
 WAIT_MS = {Feed.CONFIG: 1_200, Feed.SERVERS: 1_000}
 """How long a call waits for changes.  Each call is paid for.  A silent store is noticed after the
 shorter wait plus the client's timeout, and a slow store may not return an existing record to a
 waiting call until the wait ends."""
-GAP_MS = 200.0
+POLL_GAP_MS = 200.0
 """Changes that are made within this time are read by one call, because calls are paid for."""
-GAP_SHARE = 0.1
+POLL_GAP_DRAIN_RATIO = 0.1
 """The pause as a share of the drain time: the feed of backend servers is read less often where one
 that leaves serves for longer.  A vanished entry stays in use for most of that time, so that little
 is left for a pause."""
@@ -49,7 +49,7 @@
     def __init__(
         self,
         store: Store,
-        knowledge: Knowledge,
+        knowledge: GatewayState,
         on_change: Callable[[tuple[str, ...], int], None],
         log: EventLog,
         counters: Counters,
@@ -77,7 +77,7 @@
         """Whether this VM follows the store, and the latest call for each feed was answered."""
         return self.active and all(self._answered.get(feed, False) for feed in Feed)
 
-    def read_first(self) -> None:
+    def read_initial_state(self) -> None:
         """Read the store until there is enough data to serve requests, without following it.
 
         After a loss of power all VMs do so at once: if each followed the store until it had
@@ -99,12 +99,12 @@
         self._answered.clear()
         self._offsets.clear()
         if not self._initial_only:
-            self._knowledge.registry.position.assume_changed()
+            self._knowledge.registry.position.assume_last_change()
             self._resume_from(Feed.SERVERS, self._knowledge.registry.as_of)
             self._resume_from(Feed.CONFIG, self._knowledge.config_as_of)
         for feed in Feed:
             self._follow_feed(feed)
-        self._log.note(Kind.READER, action=action, registry=self._knowledge.registry.version)
+        self._log.note(EventKind.READER, action=action, registry=self._knowledge.registry.version)
 
     def _resume_from(self, feed: Feed, as_of: int) -> None:
         """Read a feed on from the position known here, by own reading or from a peer's report."""
@@ -120,20 +120,20 @@
         self._tasks.clear()
         self._answered.clear()
         self._failing_since_ms.clear()
-        self._log.note(Kind.READER, action="stop", reason=reason)
+        self._log.note(EventKind.READER, action="stop", reason=reason)
 
     def _follow_feed(self, feed: Feed) -> None:
         """Follow a feed from the position it has been read up to; a waiting call is cancelled."""
         waiting = self._tasks.get(feed)
         if waiting is not None:
             waiting.cancel()
-        work = keep_running(lambda: self._follow(feed), f"following {feed.value}", self._log)
+        work = run_with_restarts(lambda: self._follow(feed), f"following {feed.value}", self._log)
         self._tasks[feed] = asyncio.create_task(work)
 
     async def _follow(self, feed: Feed) -> None:
         failures = 0
         while True:
-            if self._initial_only and self._knowledge.complete:
+            if self._initial_only and self._knowledge.can_serve:
                 self.stop("enough to serve by")
                 return
             offset = self._offsets.get(feed)
@@ -146,7 +146,7 @@
                     wait_ms = WAIT_MS[feed] if self._answered.get(feed) else 0
                     found = await self._store.changes(feed, offset, wait_ms)
             except HistoryLostError:
-                self._log.note(Kind.STORE, feed=feed.value, state="history-lost", offset=offset)
+                self._log.note(EventKind.STORE, feed=feed.value, state="history-lost", offset=offset)
                 del self._offsets[feed]
                 continue
             except PlatformError as error:
@@ -162,7 +162,7 @@
                 continue
             if era >= self._knowledge.store_era:
                 waited = monotonic_ms() - asked_ms > EXISTING_RECORD_MS
-                self._apply(feed, with_versions(found, era), offset is None, waited)
+                self._apply(feed, offsets_to_versions(found, era), offset is None, waited)
                 self._offsets[feed], self._eras[feed] = found.end_offset, era
             await asyncio.sleep(self._poll_gap_ms(feed) / 1000)
 
@@ -175,18 +175,18 @@
         known = self._knowledge.store_era
         if found.era is None:
             if known:
-                self._log.note(Kind.STORE, feed=feed.value, state="no-era", era=known)
+                self._log.note(EventKind.STORE, feed=feed.value, state="no-era", era=known)
             return known
         if found.era < known:
             self._log.note(
-                Kind.STORE, feed=feed.value, state="older-era", era=found.era, known=known
+                EventKind.STORE, feed=feed.value, state="older-era", era=found.era, known=known
             )
         elif found.era > self._read_era:
             first = not self._read_era
             self._read_era = found.era
             if not first or known:
-                self._knowledge.enter_era(found.era, monotonic_ms())
-                self._log.note(Kind.STORE, feed=feed.value, state="new-era", era=found.era)
+                self._knowledge.begin_store_era(found.era, monotonic_ms())
+                self._log.note(EventKind.STORE, feed=feed.value, state="new-era", era=found.era)
                 self._reread_other_feeds(feed)
         return found.era
 
@@ -200,15 +200,15 @@
     def _poll_gap_ms(self, feed: Feed) -> float:
         """Return the pause before the next call for a feed."""
         if feed is Feed.CONFIG:
-            return GAP_MS
-        return max(GAP_MS, GAP_SHARE * self._knowledge.drain_ms)
+            return POLL_GAP_MS
+        return max(POLL_GAP_MS, POLL_GAP_DRAIN_RATIO * self._knowledge.drain_ms)
 
     def _apply(self, feed: Feed, found: FeedSlice, whole: bool, waited: bool) -> None:
         now_ms = monotonic_ms()
         knowledge = self._knowledge
         base_version = knowledge.registry.version
         for record in found.unreadable:
-            self._log.note(Kind.STORE, feed=feed.value, state="unreadable", record=record)
+            self._log.note(EventKind.STORE, feed=feed.value, state="unreadable", record=record)
         if feed is Feed.CONFIG:
             changed = self._apply_config(found, now_ms) | self._apply_evacuations(found, whole)
             knowledge.config_as_of = max(knowledge.config_as_of, found.end_offset - 1)
@@ -216,12 +216,12 @@
                 self._on_change((), base_version)
             return
         if whole:
-            touched = knowledge.take_server_list(
-                found.servers, found.end_offset, now_ms, follows=not self._initial_only
+            touched = knowledge.apply_server_list(
+                found.servers, found.end_offset, now_ms, follows_store=not self._initial_only
             )
             if touched:
                 self._log.note(
-                    Kind.SERVER,
+                    EventKind.SERVER,
                     version=knowledge.registry.as_of,
                     source="store",
                     whole=True,
@@ -233,32 +233,32 @@
         touched = [
             record.name
             for record in found.servers
-            if knowledge.take_server(record, now_ms, was_waited_for=waited)
+            if knowledge.apply_server_record(record, now_ms, from_long_poll=waited)
         ]
-        knowledge.registry.position.read_up_to(found.end_offset - 1)
-        knowledge.registry.position.confirm(found.end_offset - 1, now_ms)
+        knowledge.registry.position.advance_to(found.end_offset - 1)
+        knowledge.registry.position.confirm_current(found.end_offset - 1, now_ms)
         if touched:
             self._on_change(tuple(touched), base_version)
 
     def _apply_config(self, found: FeedSlice, now_ms: float) -> bool:
         knowledge = self._knowledge
-        taken = [config for config in found.configs if knowledge.take_config(config, now_ms)]
+        taken = [config for config in found.configs if knowledge.apply_config(config, now_ms)]
         if taken:
-            self._log.note(Kind.CONFIG, version=knowledge.config_version, source="store")
+            self._log.note(EventKind.CONFIG, version=knowledge.config_version, source="store")
         return bool(taken)
 
     def _apply_evacuations(self, found: FeedSlice, whole: bool) -> bool:
         """Apply the evacuations; return whether peers should be notified of them."""
         knowledge = self._knowledge
         if whole:
-            after = Evacuations.as_of(found.end_offset - 1, found.evacuations)
+            after = Evacuations.from_records(found.end_offset - 1, found.evacuations)
         else:
-            after = knowledge.evacuations.after(found.evacuations)
-        taken_back = frozenset(item.data_center for item in found.evacuations if not item.wanted)
-        if not knowledge.take_evacuations(after, monotonic_ms(), taken_back):
+            after = knowledge.evacuations.with_records(found.evacuations)
+        revoked = frozenset(item.data_center for item in found.evacuations if not item.is_evacuated)
+        if not knowledge.apply_evacuations(after, monotonic_ms(), revoked):
             return False
         held = sorted(knowledge.evacuated() - after.data_centers)
-        self._log.note(Kind.EVACUATION, **after.to_document(), held=held, source="store")
+        self._log.note(EventKind.EVACUATION, **after.to_document(), held=held, source="store")
         return True
 
     def _record_answer(self, feed: Feed) -> None:
@@ -266,23 +266,23 @@
         if since_ms is not None:
             now_ms = monotonic_ms()
             if now_ms - since_ms > OUTAGE_MS:
-                self._knowledge.store_returned(now_ms)
+                self._knowledge.record_store_recovery(now_ms)
             away_ms = round(now_ms - since_ms)
-            self._log.note(Kind.STORE, feed=feed.value, state="regained", away_ms=away_ms)
+            self._log.note(EventKind.STORE, feed=feed.value, state="regained", away_ms=away_ms)
         self._answered[feed] = True
         self._counters.add("store_calls", feed=feed.value, answered="yes")
 
     def _record_failure(self, feed: Feed, error: PlatformError) -> None:
         if feed not in self._failing_since_ms:
             self._failing_since_ms[feed] = monotonic_ms()
-            self._log.note(Kind.STORE, feed=feed.value, state="lost", error=str(error))
+            self._log.note(EventKind.STORE, feed=feed.value, state="lost", error=str(error))
             if feed is Feed.CONFIG:
                 self._follow_feed(Feed.SERVERS)
         self._answered[feed] = False
         self._counters.add("store_calls", feed=feed.value, answered="no")
 
 
-def with_versions(found: FeedSlice, era: int) -> FeedSlice:
+def offsets_to_versions(found: FeedSlice, era: int) -> FeedSlice:
     """Return an answer of the store with its offsets replaced by versions."""
     return replace(
         found,
