--- a/bench/choice_cost.py
+++ b/bench/choice_cost.py
@@ -9,10 +9,10 @@
 from bench.figures import Figure, median
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
 from cloverhook.gateway.balancer import Balancer
-from cloverhook.gateway.choice import Room, WorkEstimates
-from cloverhook.gateway.load import LoadBoard, LoadFigure
+from cloverhook.gateway.choice import CapacityRequirement, WorkEstimates
+from cloverhook.gateway.load import LoadReport, LoadTable
 from cloverhook.gateway.registry import Registry
-from cloverhook.gateway.waiting_line import Waiter, WaitingLine
+from cloverhook.gateway.waiting_line import QueuedRequest, RequestQueue
 
 __all__ = ["measure_choices"]
 
@@ -42,7 +42,7 @@
 
 
 def _balancer(size: int, seed: int, full: bool) -> Balancer:
-    source, registry, board = random.Random(seed), Registry(), LoadBoard()
+    source, registry, board = random.Random(seed), Registry(), LoadTable()
     servers = [
         BackendServer(
             f"i-{n}", SERVICE, f"10.0.{n // 250}.{n % 250}:80", f"dc-{n % CENTERS}", SLOTS
@@ -55,23 +55,23 @@
     for item in servers:
         running = SLOTS if full else source.randrange(SLOTS)
         pace = source.choice((1.0, 1.0, 1.0, SLOW_PACE))
-        board.of(item.incarnation).report(LoadFigure(running, 0, pace), 0.0)
+        board.get_or_create(item.incarnation).update(LoadReport(running, 0, pace), 0.0)
     return Balancer(registry, board, WorkEstimates(), "dc-0", source)
 
 
 def _choice_us(size: int, seed: int) -> float:
     balancer = _balancer(size, seed, full=False)
-    balancer.choose(SERVICE, WORK_MS, 1.0, (), Room.SLOT)
+    balancer.choose(SERVICE, WORK_MS, 1.0, (), CapacityRequirement.FREE_SLOT)
     started_s = time.perf_counter()
     for _ in range(CHOICES):
-        balancer.choose(SERVICE, WORK_MS, 1.0, (), Room.SLOT)
+        balancer.choose(SERVICE, WORK_MS, 1.0, (), CapacityRequirement.FREE_SLOT)
     return (time.perf_counter() - started_s) / CHOICES * 1_000_000
 
 
 def _look_us(size: int, seed: int) -> float:
-    line = WaitingLine(_balancer(size, seed, full=True))
+    line = RequestQueue(_balancer(size, seed, full=True))
     for number in range(WAITERS):
-        line.add(Waiter(SERVICE, number % 2, WORK_MS, 0.0, AIM_MS, DEADLINE_MS))
+        line.add(QueuedRequest(SERVICE, number % 2, WORK_MS, 0.0, AIM_MS, DEADLINE_MS))
     line.next(SERVICE, 1.0)
     started_s = time.perf_counter()
     for _ in range(LOOKS):
--- a/bench/gateway_replay.py
+++ b/bench/gateway_replay.py
@@ -1,8 +1,9 @@
 """Replays load on the gateway's own decisions: no sockets, no clock, the same each time.
 
-Some VMs, each with its own `WaitingLine`, `Balancer` and `LoadBoard`, serve two kinds of request on
-endpoints with few slots, whose pace changes many times a second and whose last slot makes all their
-work slow.  Figures of probes and counts in flight reach the VMs late, as between real gateways.
+Some VMs, each with its own `RequestQueue`, `Balancer` and `LoadTable`, serve two kinds of request
+on endpoints with few slots, whose pace changes many times a second and whose last slot makes all
+their work slow.  Figures of probes and counts in flight reach the VMs late, as between real
+gateways.
 
 `python -m bench.gateway_replay` prints a table of deployments and loads; see `docs/LOAD.md`.
 
@@ -23,12 +24,12 @@
 from bench.gateway_loads import Deployment, Kind, Load, Outcome
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
 from cloverhook.gateway.balancer import Balancer
-from cloverhook.gateway.choice import Choice, Room, WorkEstimates
-from cloverhook.gateway.final_answer import RETURN_MS
-from cloverhook.gateway.load import LoadBoard, LoadFigure
+from cloverhook.gateway.choice import CapacityRequirement, Choice, WorkEstimates
+from cloverhook.gateway.final_answer import RETRY_AFTER_RANGE_MS
+from cloverhook.gateway.load import LoadReport, LoadTable
 from cloverhook.gateway.registry import Registry
-from cloverhook.gateway.trust import ANSWERED_MS, Trust
-from cloverhook.gateway.waiting_line import Waiter, WaitingLine
+from cloverhook.gateway.trust import RECENT_ANSWER_MS, CircuitBreaker
+from cloverhook.gateway.waiting_line import QueuedRequest, RequestQueue
 
 __all__ = ["Deployment", "Kind", "Load", "Outcome", "play"]
 
@@ -83,19 +84,19 @@
     sheds: bool = False
     down: bool = False
 
-    def figure(self) -> LoadFigure:
-        return LoadFigure(len(self.running), len(self.queued), self.pace, not self.down)
+    def figure(self) -> LoadReport:
+        return LoadReport(len(self.running), len(self.queued), self.pace, not self.down)
 
 
 class _Vm:
     def __init__(self, name: str, registry: Registry, source: random.Random) -> None:
         self.name = name
-        self.board = LoadBoard()
+        self.board = LoadTable()
         self.estimates = WorkEstimates()
         balancer = Balancer(registry, self.board, self.estimates, DATA_CENTER, source)
-        self.line = WaitingLine(balancer)
+        self.line = RequestQueue(balancer)
         self.cut_off = False
-        self.requests: dict[Waiter, _Request] = {}
+        self.requests: dict[QueuedRequest, _Request] = {}
         self.arrivals = self.repeats = 0
 
     def may_repeat(self) -> bool:
@@ -166,15 +167,15 @@
         vm.arrivals += 1
         request.tries += 1
         kind = request.kind
-        waiter = Waiter(
+        waiter = QueuedRequest(
             SERVICE,
             kind.priority,
             vm.estimates.work_ms(kind.name, kind.aim_ms),
             self.now_ms + WAY_MS,
             kind.aim_ms,
             min(self.now_ms + kind.timeout_ms, request.until_ms),
-            urgent=kind.priority <= min(item.priority for item in self.load.kinds),
-            repeatable=kind.repeatable,
+            is_top_priority=kind.priority <= min(item.priority for item in self.load.kinds),
+            retryable=kind.repeatable,
         )
         vm.requests[waiter] = request
         self.at(self.now_ms + WAY_MS, lambda: (vm.line.add(waiter), self._look(vm)))
@@ -188,7 +189,7 @@
                 self._start(request, vm, decision.choice, decision.waiter.deadline_ms)
 
     def _refuse(self, request: _Request, vm: _Vm) -> None:
-        back_ms = self.source.uniform(*RETURN_MS)
+        back_ms = self.source.uniform(*RETRY_AFTER_RANGE_MS)
         left_ms = request.until_ms - self.now_ms
         if request.tries > 1 or back_ms > left_ms / 3:
             request.result = "refused"
@@ -205,7 +206,7 @@
 
     def _count(self, vm: _Vm, choice: Choice, change: int) -> None:
         name = choice.server.incarnation
-        load = vm.board.of(name)
+        load = vm.board.get_or_create(name)
         load.in_flight += change
         count = load.in_flight
         self.at(self.now_ms + NEWS_MS, lambda: self._told(vm, name, count))
@@ -213,7 +214,7 @@
     def _told(self, vm: _Vm, name: str, count: int) -> None:
         for other in self.vms:
             if other is not vm and not (vm.cut_off or other.cut_off):
-                other.board.of(name).peer_has(vm.name, count, self.now_ms)
+                other.board.get_or_create(name).set_peer_in_flight(vm.name, count, self.now_ms)
                 self._look(other)
 
     def _at_endpoint(self, work: _Work) -> None:
@@ -265,13 +266,13 @@
 
     def _answered(self, endpoint: _Endpoint, work: _Work) -> None:
         vm, choice, kind = work.vm, work.choice, work.request.kind
-        load = vm.board.of(choice.server.incarnation)
-        load.report(endpoint.figure(), self.now_ms, counted=1)
-        load.succeeded(self.now_ms)
-        load.trust.answered(self.now_ms)
+        load = vm.board.get_or_create(choice.server.incarnation)
+        load.update(endpoint.figure(), self.now_ms, ended_count=1)
+        load.record_success(self.now_ms)
+        load.circuit_breaker.record_answer(self.now_ms)
         latency_ms = self.now_ms - work.begun_ms
         if choice.load < choice.server.slots:
-            vm.estimates.measured(kind.name, kind.aim_ms, latency_ms, choice)
+            vm.estimates.record_latency(kind.name, kind.aim_ms, latency_ms, choice)
         total_ms = self.now_ms + WAY_MS - work.request.first_ms
         work.request.result = "in aim" if total_ms <= kind.aim_ms else "late"
         self._count(vm, choice, -1)
@@ -287,7 +288,7 @@
         request.tried.append(work.choice.server.incarnation)
         if kind.repeatable and len(request.tried) < ATTEMPTS:
             choice = vm.line._balancer.choose(
-                SERVICE, kind.work_ms, self.now_ms, request.tried, Room.SLOT
+                SERVICE, kind.work_ms, self.now_ms, request.tried, CapacityRequirement.FREE_SLOT
             )
             if choice is not None:
                 self._start(request, vm, choice, work.until_ms)
@@ -298,11 +299,11 @@
         work.over = True
         vm, name = work.vm, work.choice.server.incarnation
         self._count(vm, work.choice, -1)
-        vm.board.of(name).ended_here(self.now_ms)
+        vm.board.get_or_create(name).record_end(self.now_ms)
         for other in self.vms:
             delay_ms = 0.0 if other is vm else NEWS_MS
-            load = other.board.of(name)
-            self.at(self.now_ms + delay_ms, lambda load=load: load.refused(self.now_ms))
+            load = other.board.get_or_create(name)
+            self.at(self.now_ms + delay_ms, lambda load=load: load.record_refusal(self.now_ms))
         vm.repeats += self._send_on(work, vm.may_repeat())
 
     def _not_reached(self, work: _Work) -> None:
@@ -310,7 +311,7 @@
         work.over = True
         name = work.choice.server.incarnation
         self._count(work.vm, work.choice, -1)
-        work.vm.board.of(name).not_reached(self.now_ms)
+        work.vm.board.get_or_create(name).record_unreachable(self.now_ms)
         self._send_on(work, allowed=True)
 
     def _send_on(self, work: _Work, allowed: bool) -> bool:
@@ -321,7 +322,7 @@
         if len(request.tried) < SENDS and allowed:
             work_ms = vm.estimates.work_ms(request.kind.name, request.kind.aim_ms)
             choice = vm.line._balancer.choose(
-                SERVICE, work_ms, self.now_ms, request.tried, Room.SLOT
+                SERVICE, work_ms, self.now_ms, request.tried, CapacityRequirement.FREE_SLOT
             )
         if choice is None:
             request.tried.clear()
@@ -333,18 +334,18 @@
 
     def _distrust(self, work: _Work) -> None:
         name, began_ms = work.choice.server.incarnation, work.begun_ms
-        load = work.vm.board.of(name)
-        answered = load.trust.answered_since(self.now_ms - ANSWERED_MS)
-        load.failed(self.now_ms)
-        load.trust.failed(self.now_ms, began_ms)
+        load = work.vm.board.get_or_create(name)
+        answered = load.circuit_breaker.answered_since(self.now_ms - RECENT_ANSWER_MS)
+        load.record_failure(self.now_ms)
+        load.circuit_breaker.record_failure(self.now_ms, began_ms)
         for other in self.vms:
             if other is not work.vm and not (work.vm.cut_off or other.cut_off):
-                trust = other.board.of(name).trust
+                trust = other.board.get_or_create(name).circuit_breaker
                 news = functools.partial(self._told_failure, trust, began_ms, answered)
                 self.at(self.now_ms + NEWS_MS, news)
 
-    def _told_failure(self, trust: Trust, began_ms: float, answered: bool) -> None:
-        trust.peer_failed(self.now_ms, began_ms, answered)
+    def _told_failure(self, trust: CircuitBreaker, began_ms: float, answered: bool) -> None:
+        trust.record_peer_failure(self.now_ms, began_ms, answered)
 
     def _give_up(self, work: _Work) -> None:
         if work.over:
@@ -370,10 +371,10 @@
             self.at(at_ms + NEWS_MS, lambda x=(name, figure, at_ms): self._measured(*x))
         self.at(self.now_ms + self.deployment.probe_ms, self._probe)
 
-    def _measured(self, name: str, figure: LoadFigure, at_ms: float) -> None:
+    def _measured(self, name: str, figure: LoadReport, at_ms: float) -> None:
         for vm in self.vms:
             if not vm.cut_off:
-                vm.board.of(name).measured(figure, at_ms)
+                vm.board.get_or_create(name).update_from_probe(figure, at_ms)
 
     def _cut_off(self) -> None:
         """Let some VMs hear no other one from now on."""
@@ -385,7 +386,9 @@
     def _probe_for_itself(self, vm: _Vm, names: list[str]) -> None:
         """Let a VM that hears no other measure some endpoints."""
         for name in names:
-            vm.board.of(name).measured(self.endpoints[name].figure(), self.now_ms)
+            vm.board.get_or_create(name).update_from_probe(
+                self.endpoints[name].figure(), self.now_ms
+            )
         self.at(
             self.now_ms + self.deployment.own_probe_ms, lambda: self._probe_for_itself(vm, names)
         )
--- a/bench/reference.py
+++ b/bench/reference.py
@@ -16,7 +16,7 @@
 from cloverhook.errors import ANSWERS, ErrorKind
 from cloverhook.fleet import Policy
 from cloverhook.gateway.counters import METRICS, PREFIX
-from cloverhook.gateway.event_log import Kind
+from cloverhook.gateway.event_log import EventKind
 from cloverhook.gateway.settings import GatewaySettings
 from cloverhook.metrics import Metric
 from cloverhook.settings import DaemonSettings
@@ -119,7 +119,7 @@
         Section(
             "Log lines of a gateway",
             ("Kind", "Lines a second at most", "Meaning"),
-            tuple((kind.value, str(kind.lines_per_s)) for kind in Kind),
+            tuple((kind.value, str(kind.lines_per_s)) for kind in EventKind),
         ),
         Section(
             "Events of the time line", ("Event", "Meaning"), tuple((e.value,) for e in EventName)
--- a/cloverhook/exchange.py
+++ b/cloverhook/exchange.py
@@ -174,7 +174,7 @@
             raise
         except (UpstreamError, asyncio.CancelledError):
             if connection.silent:
-                pool.went_silent(address, started_ms)
+                pool.close_idle_since(address, started_ms)
             connection.close()
             raise
         except BaseException:
--- a/cloverhook/gateway/announcing.py
+++ b/cloverhook/gateway/announcing.py
@@ -9,7 +9,7 @@
 from cloverhook.clock import monotonic_ms
 from cloverhook.errors import PlatformError
 from cloverhook.gateway.discovery import Discovery
-from cloverhook.gateway.event_log import EventLog, Kind
+from cloverhook.gateway.event_log import EventKind, EventLog
 from cloverhook.gateway.store import MemberRecord, Store
 
 __all__ = ["Announcer"]
@@ -41,19 +41,19 @@
         """Look again and again whether the store is needed, until cancelled."""
         while True:
             await asyncio.sleep(LOOK_MS / 1000)
-            if self.leaving or not self._discovery.needs_store(monotonic_ms()):
+            if self.leaving or not self._discovery.should_announce(monotonic_ms()):
                 continue
             try:
                 await self._announce()
             except PlatformError as error:
-                self._log.note(Kind.STORE, feed="members", state="lost", error=str(error))
+                self._log.note(EventKind.STORE, feed="members", state="lost", error=str(error))
                 await asyncio.sleep(RETRY_MS / 1000)
 
     async def _announce(self) -> None:
         await self._store.announce(self._own)
         found = await self._store.members()
         for record in found.unreadable:
-            self._log.note(Kind.STORE, feed="members", state="unreadable", record=record)
+            self._log.note(EventKind.STORE, feed="members", state="unreadable", record=record)
         self._on_members(found.members)
-        self._discovery.announced()
-        self._log.note(Kind.STORE, feed="members", state="announced")
+        self._discovery.announcement_stored()
+        self._log.note(EventKind.STORE, feed="members", state="announced")
--- a/cloverhook/gateway/attempt.py
+++ b/cloverhook/gateway/attempt.py
@@ -19,15 +19,15 @@
 from cloverhook.gateway.backend_server import BackendServer
 from cloverhook.gateway.call_headers import (
     CallHeaders,
+    end_to_end_headers,
     find,
-    load_figure,
-    passed_on,
-    rate_limit_per_s,
+    parse_load,
+    parse_rate_limit,
 )
 from cloverhook.gateway.calls import CallerAnswer, CallerRequest
 from cloverhook.gateway.choice import Choice
-from cloverhook.gateway.load import SLOW_PACE, LoadBoard, ServerLoad
-from cloverhook.gateway.load_probe import ask_load
+from cloverhook.gateway.load import SLOW_FACTOR, LoadTable, ServerLoad
+from cloverhook.gateway.load_probe import probe_load
 from cloverhook.upstream_connection import AnswerHead, RequestHead, UpstreamConnection
 
 __all__ = ["Attempt", "AttemptResult", "Outcome"]
@@ -38,7 +38,7 @@
 """An endpoint says so of a request whose time has passed: that may be the caller's doing."""
 FORGOTTEN_MS = 20.0
 """A reset within this time of the send comes from an end that had forgotten the connection."""
-ASK_AGE_MS = 15.0
+LOAD_MAX_AGE_MS = 15.0
 """A figure that is younger needs no question; an answer takes about 1 ms in the data centre."""
 ASK_TIMEOUT_MS = 60.0
 KEPT_BODY_BYTES = 262_144
@@ -72,13 +72,13 @@
     detail: str = ""
     crashed: bool = False
     """Whether the backend server ended while it had the request."""
-    at_fault: bool = False
+    server_failed: bool = False
     """Whether the backend server has failed a request that it should have answered."""
-    with_room: bool = False
+    refused_with_free_slot: bool = False
     """Whether the backend server turned the request away although it had a free slot."""
-    named_limit_per_s: float | None = None
+    advertised_limit_per_s: float | None = None
     """The requests a second that the backend server said it takes."""
-    usual_ms: float = 0.0
+    nominal_ms: float = 0.0
     """How long the work would have taken at the usual pace, by the figures known meanwhile."""
 
     @property
@@ -125,12 +125,12 @@
         self._idempotent = idempotent
         self._headers = headers
 
-    async def run(self, pool: BackendPool, board: LoadBoard, limit: int) -> AttemptResult:
+    async def run(self, pool: BackendPool, board: LoadTable, limit: int) -> AttemptResult:
         """Make the attempt; being cancelled ends the work at the backend server too."""
         server = self.choice.server
-        load = board.of(server.incarnation)
+        load = board.get_or_create(server.incarnation)
         started_ms = monotonic_ms()
-        self.progress_at_start_ms = load.progress_ms(started_ms)
+        self.progress_at_start_ms = load.expected_progress_ms(started_ms)
         connection: UpstreamConnection | None = None
         kept = False
         try:
@@ -139,14 +139,14 @@
             if self._ask_path and self._should_ask(load, started_ms):
                 await self._ask(connection, load, self._ask_path)
             head = await self._send(connection)
-            figure = load_figure(find(head.headers, self._headers.load))
+            figure = parse_load(find(head.headers, self._headers.load))
             if figure is not None:
-                load.report(figure, monotonic_ms(), counted=1)
+                load.update(figure, monotonic_ms(), ended_count=1)
             result = await self._take(head, connection, pool, started_ms)
             if head.status != MISDIRECTED:
-                limit_per_s = rate_limit_per_s(head.headers, self._headers)
-                result = replace(result, named_limit_per_s=limit_per_s)
-            kept = result.answer is not None and result.answer.rest is not None
+                limit_per_s = parse_rate_limit(head.headers, self._headers)
+                result = replace(result, advertised_limit_per_s=limit_per_s)
+            kept = result.answer is not None and result.answer.remaining_body is not None
             if not kept:
                 pool.release(server, connection, head)
         except UpstreamError as error:
@@ -154,13 +154,15 @@
             result = self._failed(error, monotonic_ms() - started_ms)
             forgotten = False
             if connection is not None and connection.silent:
-                pool.went_silent(server, started_ms)
+                pool.close_idle_since(server, started_ms)
                 quick = result.latency_ms < FORGOTTEN_MS
                 if quick and self.choice.load < server.slots:
-                    pool.was_forgotten(server, connection)
+                    pool.shorten_idle_limit(server, connection)
                 forgotten = quick and connection.idle_since_ms > 0.0
-            crashed = self.sent and not error.bad_answer and await pool.has_ended(server)
-            result = replace(result, at_fault=self.sent and not forgotten, crashed=crashed)
+            crashed = (
+                self.sent and not error.bad_answer and await pool.has_stopped_listening(server)
+            )
+            result = replace(result, server_failed=self.sent and not forgotten, crashed=crashed)
         finally:
             if connection is not None and not kept and not connection.usable:
                 connection.close()
@@ -168,19 +170,19 @@
             pool.release(server, connection, self._declined)
         self._learn(result, board)
         return replace(
-            result, usual_ms=load.progress_ms(monotonic_ms()) - self.progress_at_start_ms
+            result, nominal_ms=load.expected_progress_ms(monotonic_ms()) - self.progress_at_start_ms
         )
 
     def _should_ask(self, load: ServerLoad, now_ms: float) -> bool:
         """Return whether a question is of use: it is where the endpoint tells its load at all."""
-        return load.figure is not None and load.age_ms(now_ms) > ASK_AGE_MS
+        return load.latest_report is not None and load.age_ms(now_ms) > LOAD_MAX_AGE_MS
 
     async def _ask(self, connection: UpstreamConnection, load: ServerLoad, path: str) -> None:
         """Ask for the load.  Raises `UpstreamError` if the request should go elsewhere."""
         server = self.choice.server
         try:
             async with asyncio.timeout(ASK_TIMEOUT_MS / 1000):
-                head, figure = await ask_load(connection, server, path, self._headers)
+                head, figure = await probe_load(connection, server, path, self._headers)
         except TimeoutError as error:
             connection.close()
             raise UpstreamError("no answer to the question for its load", sent=False) from error
@@ -188,12 +190,12 @@
             raise UpstreamError(f"asked for its load: {error}", sent=False) from error
         if figure is None:
             return
-        load.report(figure, monotonic_ms(), counted=1)
+        load.update(figure, monotonic_ms(), ended_count=1)
         if not figure.reachable:
             raise UpstreamError("another incarnation answers there", sent=False)
-        if figure.pace >= SLOW_PACE > self.choice.pace:
+        if figure.slowdown >= SLOW_FACTOR > self.choice.slowdown:
             self._declined = head
-            raise UpstreamError(f"it has turned slow, pace {figure.pace:g}", sent=False)
+            raise UpstreamError(f"it has turned slow, pace {figure.slowdown:g}", sent=False)
 
     async def _send(self, connection: UpstreamConnection) -> AnswerHead:
         request, names = self._request, self._headers
@@ -203,7 +205,7 @@
             connection.close()
             raise UpstreamError(objection, sent=False)
         left_ms = max(1, int(self._deadline_ms - monotonic_ms()))
-        headers = passed_on(request.headers, names.own())
+        headers = end_to_end_headers(request.headers, names.set_by_gateway())
         headers += (
             (names.request_id, self._request_id),
             (names.timeout_ms, b"%d" % left_ms),
@@ -244,7 +246,7 @@
                 self.choice,
                 latency_ms,
                 head.status,
-                with_room=head.status != MISDIRECTED and self._has_room(head),
+                refused_with_free_slot=head.status != MISDIRECTED and self._has_room(head),
             )
         if head.status < 300 and find(head.headers, names.receipt) is None:
             raise UpstreamError("a success without a receipt", sent=True, bad_answer=True)
@@ -252,20 +254,20 @@
         length = find(head.headers, b"content-length") if more or not size_bytes else None
         answer = CallerAnswer(
             head.status,
-            passed_on(head.headers, names.hidden()),
+            end_to_end_headers(head.headers, names.internal()),
             b"".join(parts),
             rest,
             int(length) if length is not None else None,
         )
         at_fault = head.status >= FAILURE_STATUSES and head.status != TIME_OUT
         return AttemptResult(
-            Outcome.ANSWERED, self.choice, latency_ms, head.status, answer, at_fault=at_fault
+            Outcome.ANSWERED, self.choice, latency_ms, head.status, answer, server_failed=at_fault
         )
 
     def _has_room(self, head: AnswerHead) -> bool:
         """Return whether an endpoint has a free slot by its own word, or else by what is known."""
         slots = self.choice.server.slots
-        figure = load_figure(find(head.headers, self._headers.load))
+        figure = parse_load(find(head.headers, self._headers.load))
         if figure is None:
             return self.choice.load < slots
         return figure.running + figure.waiting < slots
@@ -291,16 +293,18 @@
             outcome = Outcome.WITHHELD
         return AttemptResult(outcome, self.choice, latency_ms, detail=str(error))
 
-    def _learn(self, result: AttemptResult, board: LoadBoard) -> None:
+    def _learn(self, result: AttemptResult, board: LoadTable) -> None:
         """Keep what the end of the attempt says of the backend server."""
         now_ms = monotonic_ms()
-        load = board.of(self.choice.server.incarnation)
-        load.ended_here(now_ms)
+        load = board.get_or_create(self.choice.server.incarnation)
+        load.record_end(now_ms)
         if result.outcome is Outcome.NOT_SENT:
-            load.not_reached(now_ms)
-        elif result.outcome in (Outcome.DECLINED, Outcome.WITHHELD) or result.with_room:
+            load.record_unreachable(now_ms)
+        elif (
+            result.outcome in (Outcome.DECLINED, Outcome.WITHHELD) or result.refused_with_free_slot
+        ):
             return
         elif result.failed:
-            load.failed(now_ms)
+            load.record_failure(now_ms)
         else:
-            load.succeeded(now_ms)
+            load.record_success(now_ms)
--- a/cloverhook/gateway/backend_pool.py
+++ b/cloverhook/gateway/backend_pool.py
@@ -66,7 +66,7 @@
             raise UpstreamError(f"{limit} connections to {server.address} are in use", sent=False)
         return await self._connect(server, min(connect_ms, CONNECT_TIMEOUT_MS))
 
-    async def has_ended(self, server: BackendServer) -> bool:
+    async def has_stopped_listening(self, server: BackendServer) -> bool:
         """Return whether a backend server that has cut a connection listens no more.
 
         Those who ask at the same time share the answer.  One that can't be reached may live.
@@ -104,7 +104,7 @@
         kept = self._idle.setdefault(server.incarnation, deque())
         kept.append((connection, now_ms + keep_ms))
 
-    def was_forgotten(self, server: BackendServer, connection: UpstreamConnection) -> None:
+    def shorten_idle_limit(self, server: BackendServer, connection: UpstreamConnection) -> None:
         """Keep idle connections of a service for less time: one was reset when used again."""
         if not connection.idle_since_ms:
             return
@@ -115,7 +115,7 @@
         limit_ms = max(IDLE_FLOOR_MS, min(known_ms, idle_ms * IDLE_CUT))
         self._idle_limit_ms[server.service] = limit_ms
 
-    def went_silent(self, server: BackendServer, since_ms: float) -> None:
+    def close_idle_since(self, server: BackendServer, since_ms: float) -> None:
         """Close what has been idle since before a request that got no byte of an answer."""
         idle = self._idle.get(server.incarnation)
         while idle and idle[0][0].idle_since_ms < since_ms:
--- a/cloverhook/gateway/backend_server.py
+++ b/cloverhook/gateway/backend_server.py
@@ -13,7 +13,7 @@
 
 from cloverhook.checking import Address, Flag, Integer, Number, Table, Text
 
-__all__ = ["SERVER", "BackendServer", "ServerRecord"]
+__all__ = ["SERVER_SCHEMA", "BackendServer", "ServerRecord"]
 
 COLD_CHANGE_MS = 300.0
 """Each report of a cold endpoint tells its time left anew; what differs by less is no change."""
@@ -27,7 +27,7 @@
     "warm_at_ms": Number(),
     "sequence": Integer(),
 }
-SERVER = Table({**SERVER_FIELDS, "born_ms": Integer()}, frozenset(SERVER_FIELDS))
+SERVER_SCHEMA = Table({**SERVER_FIELDS, "born_ms": Integer()}, frozenset(SERVER_FIELDS))
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,7 +68,7 @@
         row["warm_at_ms"] = max(0.0, self.warm_at_ms - now_ms)
         return row
 
-    def is_like(self, before: "BackendServer", now_ms: float) -> bool:
+    def same_routing_as(self, before: "BackendServer", now_ms: float) -> bool:
         """Return whether an earlier record differs in nothing that decides where requests go."""
         was_warm_at_ms, is_warm_at_ms = (max(now_ms, x.warm_at_ms) for x in (before, self))
         if abs(is_warm_at_ms - was_warm_at_ms) > COLD_CHANGE_MS:
--- a/cloverhook/gateway/balancer.py
+++ b/cloverhook/gateway/balancer.py
@@ -15,9 +15,9 @@
 
 from cloverhook.gateway.backend_server import BackendServer
 from cloverhook.gateway.candidates import Candidates
-from cloverhook.gateway.choice import Choice, Room, WorkEstimates, nearly_full
+from cloverhook.gateway.choice import CapacityRequirement, Choice, WorkEstimates, nearly_full
 from cloverhook.gateway.cold_limit import ColdLimit
-from cloverhook.gateway.load import LoadBoard, ServerLoad
+from cloverhook.gateway.load import LoadTable, ServerLoad
 from cloverhook.gateway.rate_limits import RateLimits
 from cloverhook.gateway.registry import Registry
 
@@ -71,15 +71,15 @@
         "best",
         "best_expected_ms",
         "best_rank",
-        "crowding",
         "drawn",
         "found",
         "harmed",
+        "nearly_full_slowdown",
         "now_ms",
-        "repeatable",
-        "room",
+        "required_capacity",
+        "retryable",
         "service",
-        "tried",
+        "tried_incarnations",
         "work_ms",
     )
 
@@ -88,15 +88,19 @@
         service: str,
         work_ms: float,
         now_ms: float,
-        tried: Collection[str],
-        room: Room,
-        repeatable: bool,
+        tried_incarnations: Collection[str],
+        required_capacity: CapacityRequirement,
+        retryable: bool,
         estimates: WorkEstimates,
     ) -> None:
         self.service, self.work_ms, self.now_ms = service, work_ms, now_ms
-        self.tried, self.room, self.repeatable = tried, room, repeatable
-        self.crowding = estimates.crowding(service)
-        self.harmed = estimates.harmed_when_full(service)
+        self.tried_incarnations, self.required_capacity, self.retryable = (
+            tried_incarnations,
+            required_capacity,
+            retryable,
+        )
+        self.nearly_full_slowdown = estimates.nearly_full_slowdown(service)
+        self.harmed = estimates.degrades_when_full(service)
         self._limits: dict[int, float] = {}
         self.best: BackendServer | None = None
         self.best_expected_ms = self.best_rank = 0.0
@@ -106,7 +110,7 @@
         """Return the number of requests from which on an endpoint has no room."""
         limit = self._limits.get(slots)
         if limit is None:
-            limit = self._limits[slots] = self.room.limit(slots, self.harmed)
+            limit = self._limits[slots] = self.required_capacity.limit(slots, self.harmed)
         return limit
 
 
@@ -116,7 +120,7 @@
     def __init__(
         self,
         registry: Registry,
-        board: LoadBoard,
+        board: LoadTable,
         estimates: WorkEstimates,
         data_center: str,
         source: random.Random,
@@ -144,46 +148,54 @@
         self._source = source
         self._random = source.random
         self._panic: dict[str, tuple[float, bool]] = {}
-        self._candidates: dict[tuple[str, Room, tuple[str, ...]], _Usable] = {}
+        self._candidates: dict[tuple[str, CapacityRequirement, tuple[str, ...]], _Usable] = {}
 
     def choose(
         self,
         service: str,
         work_ms: float,
         now_ms: float,
-        tried: Collection[str] = (),
-        room: Room = Room.ANY,
-        repeatable: bool = True,
+        tried_incarnations: Collection[str] = (),
+        required_capacity: CapacityRequirement = CapacityRequirement.NONE,
+        retryable: bool = True,
         regions: tuple[str, ...] = (),
     ) -> Choice | None:
         """Return the best backend server found that has not been tried and has room, or None.
 
         One that can't be reached has no room: it would use up a request's attempts while others
         are full, and a slot there comes free in time for most.
-        A request that is not `repeatable` goes nowhere on trial, one with `regions` only there.
+        A request that is not `retryable` goes nowhere on trial, one with `regions` only there.
         """
-        look = _Look(service, work_ms, now_ms, tried, room, repeatable, self._estimates)
-        near, far = self._candidates_of(service, room, regions)
+        look = _Look(
+            service,
+            work_ms,
+            now_ms,
+            tried_incarnations,
+            required_capacity,
+            retryable,
+            self._estimates,
+        )
+        near, far = self._candidates_of(service, required_capacity, regions)
         self._weigh(look, near, NEAR_DRAWN)
         few_near = near.total <= NEAR_DRAWN
         if look.best is None or few_near or look.best_rank > work_ms * (1.0 + CROSSING_SHARE):
             self._weigh(look, far, FAR_DRAWN)
         if look.best is None:
             return None
-        load = self._board.of(look.best.incarnation)
+        load = self._board.get_or_create(look.best.incarnation)
         endpoints = near.total + far.total
         return Choice(
             look.best,
             look.best_expected_ms,
             load.load(now_ms),
-            load.pace(now_ms),
+            load.slowdown(now_ms),
             load.age_ms(now_ms),
             round((len(near) + len(far)) * look.found / look.drawn),
             endpoints,
         )
 
     def _candidates_of(
-        self, service: str, room: Room, regions: tuple[str, ...]
+        self, service: str, room: CapacityRequirement, regions: tuple[str, ...]
     ) -> tuple[Candidates, Candidates]:
         """Return those of the own data centre and the others; each room has its own."""
         servers, left = self._registry.of_service(service), self._evacuated()
@@ -201,7 +213,7 @@
         self._candidates[service, room, regions] = known
         return known.near, known.far
 
-    def may_get(self, server: BackendServer) -> bool:
+    def may_receive(self, server: BackendServer) -> bool:
         """Return whether a request that was placed at a backend server may still be sent there."""
         return server.data_center not in self._evacuated()
 
@@ -217,38 +229,40 @@
     def _weigh(self, look: "_Look", candidates: Candidates, count: int) -> None:
         """Draw some candidates and keep the best one."""
         now_ms, work_ms, board = look.now_ms, look.work_ms, self._board
-        for server in candidates.draw(count, now_ms):
+        for server in candidates.sample(count, now_ms):
             look.drawn += 1
-            load = board.of(server.incarnation)
+            load = board.get_or_create(server.incarnation)
             busy = load.load(now_ms)
             if busy >= look.limit(server.slots) or load.unreachable(now_ms):
                 candidates.set_aside(load, now_ms)
                 continue
-            if server.incarnation in look.tried or not self._limit_allows(server, now_ms):
+            if server.incarnation in look.tried_incarnations or not self._limit_allows(
+                server, now_ms
+            ):
                 continue
-            if load.trust.in_question and not self._may_get(look, load):
+            if load.circuit_breaker.needs_check and not self._may_get(look, load):
                 continue
-            pace = load.pace(now_ms)
+            pace = load.slowdown(now_ms)
             if self._is_cold(server, load, now_ms):
                 if not self._cold_may_get(server, now_ms):
                     continue
                 pace *= COLD_PACE
             look.found += 1
-            expected_ms = self._expected_ms(server, pace, busy, work_ms, look.crowding)
+            expected_ms = self._expected_ms(server, pace, busy, work_ms, look.nearly_full_slowdown)
             rank = self._rank(server, load, busy, expected_ms, work_ms, now_ms)
-            if not look.repeatable and load.trust.is_doubted(now_ms):
+            if not look.retryable and load.circuit_breaker.has_unresolved_failure(now_ms):
                 rank *= DOUBT_WEIGHT
             if look.best is None or rank < look.best_rank:
                 look.best, look.best_expected_ms, look.best_rank = server, expected_ms, rank
 
-    def placed(self, server: BackendServer, now_ms: float) -> None:
+    def record_placement(self, server: BackendServer, now_ms: float) -> None:
         """Count a request that goes to a backend server, against its limit if that is cold."""
-        load = self._board.of(server.incarnation)
+        load = self._board.get_or_create(server.incarnation)
         if self._cold_limit is not None and self._is_cold(server, load, now_ms):
-            self._cold_limit.sent(server, now_ms)
+            self._cold_limit.record_sent(server, now_ms)
 
         if self._rate_limits is not None:
-            self._rate_limits.sent(server, now_ms)
+            self._rate_limits.record_sent(server, now_ms)
 
     def _limit_allows(self, server: BackendServer, now_ms: float) -> bool:
         """Return whether an endpoint has no limit, or this VM's part of it is not used up."""
@@ -257,12 +271,14 @@
             return True
         return limits.may_send(server, now_ms)
 
-    def knows_rate_limits(self) -> bool:
+    def has_rate_limits(self) -> bool:
         """Return whether any endpoint has named a limit."""
         return bool(self._rate_limits)
 
-    def is_rate_limited(self, service: str, now_ms: float, time_ms: float, before: int = 0) -> bool:
-        """Return whether limits leave no place for a request within a time, `before` others first.
+    def is_rate_limited(
+        self, service: str, now_ms: float, within_ms: float, queued_ahead: int = 0
+    ) -> bool:
+        """Return whether limits leave no place within a time, with `queued_ahead` others first.
 
         That is so where all endpoints have named a limit, and what they take from this VM is less.
         """
@@ -276,8 +292,8 @@
                 continue
             if server.incarnation not in limits:
                 return False
-            places += limits.places_within(server, now_ms, time_ms)
-        return places <= before
+            places += limits.available_within(server, now_ms, within_ms)
+        return places <= queued_ahead
 
     def _is_cold(self, server: BackendServer, load: ServerLoad, now_ms: float) -> bool:
         """Return whether an endpoint is cold by its entry or by its newest probe."""
@@ -289,9 +305,9 @@
 
     def _may_get(self, look: "_Look", load: ServerLoad) -> bool:
         """Return whether an endpoint that has failed requests may get this one."""
-        trust, now_ms = load.trust, look.now_ms
-        if trust.is_on_trial(now_ms):
-            allowed = look.repeatable and not load.in_flight
+        trust, now_ms = load.circuit_breaker, look.now_ms
+        if trust.is_half_open(now_ms):
+            allowed = look.retryable and not load.in_flight
         else:
             allowed = not trust.is_suspended(now_ms)
         return allowed or self._panics(look.service, now_ms)
@@ -302,14 +318,19 @@
         if now_ms < due_ms:
             return panics
         servers = self._registry.of_service(service)
-        loads = (self._board.of(server.incarnation) for server in servers)
-        suspended = sum(1 for load in loads if load.trust.is_suspended(now_ms))
+        loads = (self._board.get_or_create(server.incarnation) for server in servers)
+        suspended = sum(1 for load in loads if load.circuit_breaker.is_suspended(now_ms))
         panics = suspended > PANIC_SHARE * len(servers)
         self._panic[service] = now_ms + PANIC_MS, panics
         return panics
 
     def _expected_ms(
-        self, server: BackendServer, pace: float, busy: float, work_ms: float, crowding: float
+        self,
+        server: BackendServer,
+        pace: float,
+        busy: float,
+        work_ms: float,
+        nearly_full_slowdown: float,
     ) -> float:
         """Return how long a request is expected to take at a backend server of this pace."""
         slots = server.slots
@@ -317,7 +338,7 @@
         if busy >= slots:
             expected_ms *= 1.0 + (busy + 1 - slots) / slots
         if nearly_full(busy, slots):
-            expected_ms += work_ms * pace * (crowding - 1.0)
+            expected_ms += work_ms * pace * (nearly_full_slowdown - 1.0)
         if server.data_center != self._data_center:
             expected_ms += CROSSING_MS
         return expected_ms
@@ -339,7 +360,7 @@
         refusals = load.refusal_share(now_ms)
         if refusals:
             rank *= 1.0 + REFUSAL_WEIGHT * refusals
-        if self._registry.held(server):
+        if self._registry.in_grace_period(server):
             rank *= HELD_WEIGHT
         if server.data_center != self._data_center:
             rank += CROSSING_SHARE * work_ms
--- a/cloverhook/gateway/broadcast.py
+++ b/cloverhook/gateway/broadcast.py
@@ -28,38 +28,40 @@
         self._turns: dict[str, int] = {}
         self._relays_from_ms = 0.0
 
-    def to(self, members: Iterable[Member], data: bytes) -> None:
+    def send_to(self, members: Iterable[Member], data: bytes) -> None:
         """Send to each of these VMs."""
         for member in members:
             self._link.send_encoded(member.peer_address, data)
 
-    def near(self, data: bytes, now_ms: float) -> None:
+    def send_local(self, data: bytes, now_ms: float) -> None:
         """Send to every VM of the own data centre that is alive."""
-        self.to((item for item in self._members.near() if item.is_alive(now_ms)), data)
+        self.send_to(
+            (item for item in self._members.local_members() if item.is_alive(now_ms)), data
+        )
 
-    def to_audience(self, data: bytes, now_ms: float) -> None:
+    def send_to_load_subscribers(self, data: bytes, now_ms: float) -> None:
         """Send to the VMs of the own data centre that place requests, or may soon."""
-        self.to(self._members.audience(now_ms), data)
+        self.send_to(self._members.live_load_subscribers(now_ms), data)
 
-    def far(self, data: bytes, now_ms: float, relays: int = 1) -> None:
+    def send_remote(self, data: bytes, now_ms: float, relay_count: int = 1) -> None:
         """Send to so many VMs of each other data centre, which relay it."""
         wrapped = encode(Relay(self._own_vm, data))
-        for data_center, members in self._members.relays(now_ms).items():
+        for data_center, members in self._members.relay_candidates(now_ms).items():
             turn = self._turns.get(data_center, 0)
-            wanted = min(relays, len(members))
+            wanted = min(relay_count, len(members))
             self._turns[data_center] = turn + wanted
             for place in range(turn, turn + wanted):
                 self._link.send_encoded(members[place % len(members)].peer_address, wrapped)
 
-    def relay(self, message: Relay, now_ms: float, audience_only: bool = False) -> None:
+    def relay(self, message: Relay, now_ms: float, load_subscribers_only: bool = False) -> None:
         """Pass a message on to the neighbours, or to those alone that are told load figures."""
         if now_ms < self._relays_from_ms:
             return
-        if audience_only:
-            self.to_audience(message.data, now_ms)
+        if load_subscribers_only:
+            self.send_to_load_subscribers(message.data, now_ms)
         else:
-            self.near(message.data, now_ms)
+            self.send_local(message.data, now_ms)
 
-    def paused(self, now_ms: float) -> None:
+    def record_process_pause(self, now_ms: float) -> None:
         """Note that this process has stood still until now."""
         self._relays_from_ms = now_ms + STALE_MS
--- a/cloverhook/gateway/call_headers.py
+++ b/cloverhook/gateway/call_headers.py
@@ -7,17 +7,17 @@
 import re
 from dataclasses import dataclass
 
-from cloverhook.gateway.load import LoadFigure
+from cloverhook.gateway.load import LoadReport
 from cloverhook.hop_by_hop import HOP_BY_HOP, KEPT_ALWAYS, find
 
 __all__ = [
     "CallHeaders",
     "HeaderList",
-    "cold_ms",
+    "parse_cold_ms",
     "find",
-    "load_figure",
-    "passed_on",
-    "rate_limit_per_s",
+    "parse_load",
+    "end_to_end_headers",
+    "parse_rate_limit",
 ]
 
 HeaderList = list[tuple[bytes, bytes]]
@@ -51,7 +51,7 @@
     cold_ms: bytes = b"cloverhook-cold-ms"
     rate_limits: tuple[bytes, ...] = (b"cloverhook-rate-limit",)
 
-    def own(self) -> frozenset[bytes]:
+    def set_by_gateway(self) -> frozenset[bytes]:
         """Return the names that a gateway sets itself on the way to a backend server."""
         return frozenset(
             (
@@ -65,12 +65,12 @@
             )
         )
 
-    def hidden(self) -> frozenset[bytes]:
+    def internal(self) -> frozenset[bytes]:
         """Return the names that are between gateway and backend server alone."""
         return frozenset((self.load, self.not_run, self.incarnation))
 
 
-def passed_on(headers: HeaderList, left_out: frozenset[bytes]) -> HeaderList:
+def end_to_end_headers(headers: HeaderList, left_out: frozenset[bytes]) -> HeaderList:
     """Return the headers that concern more than one connection, less those left out."""
     named: set[bytes] = set()
     kept: HeaderList = []
@@ -83,14 +83,14 @@
     return [pair for pair in kept if pair[0] not in named] if named else kept
 
 
-def cold_ms(value: bytes | None) -> float:
+def parse_cold_ms(value: bytes | None) -> float:
     """Return for how long an endpoint stays cold by a header, 0 where that says nothing sound."""
     if value is None or not value.isdigit() or int(value) > COLD_MOST_MS:
         return 0.0
     return float(value)
 
 
-def rate_limit_per_s(headers: HeaderList, names: CallHeaders) -> float | None:
+def parse_rate_limit(headers: HeaderList, names: CallHeaders) -> float | None:
     """Return the requests a second that an answer names, or None where it names nothing sound."""
     found = (find(headers, name) for name in names.rate_limits)
     value = next((item for item in found if item is not None), None)
@@ -99,7 +99,7 @@
     return float(value)
 
 
-def load_figure(value: bytes | None) -> LoadFigure | None:
+def parse_load(value: bytes | None) -> LoadReport | None:
     """Return the load figure of a header, or None where there is none that can be read."""
     if value is None:
         return None
@@ -110,4 +110,4 @@
     if len(figures) < 2 or min(figures) < 0:
         return None
     pace = figures[3] / PERCENT if len(figures) > 3 and figures[3] else 1.0
-    return LoadFigure(figures[0], figures[1], pace)
+    return LoadReport(figures[0], figures[1], pace)
--- a/cloverhook/gateway/calls.py
+++ b/cloverhook/gateway/calls.py
@@ -31,16 +31,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerAnswer:
-    """An answer; `rest` yields what follows `body`.
+    """An answer; `remaining_body` yields what follows `body`.
 
-    With `length_bytes` None the length is that of `body`, or unknown where there is a rest.
+    With `content_length` None the length is that of `body`, or unknown where there is a rest.
     """
 
     status: int
     headers: HeaderList
     body: bytes = b""
-    rest: AsyncIterator[bytes] | None = None
-    length_bytes: int | None = None
+    remaining_body: AsyncIterator[bytes] | None = None
+    content_length: int | None = None
 
 
 Handler = Callable[[CallerRequest], Awaitable[CallerAnswer]]
--- a/cloverhook/gateway/candidates.py
+++ b/cloverhook/gateway/candidates.py
@@ -7,7 +7,7 @@
 
 >>> servers = tuple(BackendServer(f"i-{n}", "bookings", f"10.0.0.{n}:80", "here") for n in range(9))
 >>> found = Candidates(servers, random.Random(1))
->>> len(tuple(found.draw(4, 0.0)))
+>>> len(tuple(found.sample(4, 0.0)))
 4
 """
 
@@ -46,7 +46,7 @@
         """How many there are, those set aside included."""
         return self._total
 
-    def draw(self, count: int, now_ms: float) -> Iterator[BackendServer]:
+    def sample(self, count: int, now_ms: float) -> Iterator[BackendServer]:
         """Yield endpoints by chance, each once, until so many were kept or all were seen.
 
         One that is full is to be set aside before the next one is asked for: it doesn't count.
@@ -74,7 +74,7 @@
         self._returns.append((now_ms + RETURN_MS, incarnation))
         if incarnation not in self._watched:
             self._watched.add(incarnation)
-            load.when_changed(partial(self._changed, incarnation))
+            load.on_next_change(partial(self._changed, incarnation))
 
     def _changed(self, incarnation: str) -> None:
         self._watched.discard(incarnation)
--- a/cloverhook/gateway/cold_limit.py
+++ b/cloverhook/gateway/cold_limit.py
@@ -13,9 +13,9 @@
 from dataclasses import dataclass
 
 from cloverhook.gateway.backend_server import BackendServer
-from cloverhook.gateway.ranking import place_in_order
+from cloverhook.gateway.ranking import rendezvous_rank
 
-__all__ = ["ColdBound", "ColdLimit"]
+__all__ = ["ColdRateBound", "ColdLimit"]
 
 MOST_USERS = 3
 """So many VMs use a cold endpoint: with one, its loss would leave the endpoint idle; with all, each
@@ -26,19 +26,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ColdBound:
-    """In a second, a cold endpoint gets at most `over` times its rate and `slack` requests."""
+class ColdRateBound:
+    """A cold endpoint gets at most `rate_factor` times its rate and `burst` requests a second."""
 
-    over: float = 1.5
-    slack: float = 8.0
+    rate_factor: float = 1.5
+    burst: float = 8.0
 
-    def users(self) -> int:
+    def sender_count(self) -> int:
         """Return how many VMs may use an endpoint: each may begin with a request at once."""
-        return max(1, min(MOST_USERS, int(self.slack / LISTS)))
+        return max(1, min(MOST_USERS, int(self.burst / LISTS)))
 
     def spacing_ms(self, rate_per_s: float) -> float:
         """Return the time between two requests of one of those VMs."""
-        return LISTS * self.users() * MS / (self.over * rate_per_s)
+        return LISTS * self.sender_count() * MS / (self.rate_factor * rate_per_s)
 
 
 class ColdLimit:
@@ -47,16 +47,16 @@
     def __init__(
         self,
         own_vm: str,
-        users_from: Callable[[str, float], tuple[str, ...]],
+        senders_for: Callable[[str, float], tuple[str, ...]],
         rate_per_s: Callable[[str], float],
-        bound: ColdBound,
+        bound: ColdRateBound,
     ) -> None:
-        """`users_from` names the VMs that place requests at a data centre's endpoints.
+        """`senders_for` names the VMs that place requests at a data centre's endpoints.
 
         `rate_per_s` tells what a cold endpoint of a service bears; 0 where that is not limited.
         """
         self._own_vm = own_vm
-        self._users_from = users_from
+        self._senders_for = senders_for
         self._rate_per_s = rate_per_s
         self._bound = bound
         self._next_ms: dict[str, float] = {}
@@ -69,7 +69,7 @@
             return False
         return self._uses(server, now_ms)
 
-    def sent(self, server: BackendServer, now_ms: float) -> None:
+    def record_sent(self, server: BackendServer, now_ms: float) -> None:
         """Count a request that is placed at a cold endpoint: the next one may follow later."""
         rate_per_s = self._rate_per_s(server.service)
         if rate_per_s:
@@ -81,7 +81,7 @@
 
     def _uses(self, server: BackendServer, now_ms: float) -> bool:
         """Return whether this VM is one of the few that use a cold endpoint."""
-        vms = self._users_from(server.data_center, now_ms)
+        vms = self._senders_for(server.data_center, now_ms)
         if self._own_vm not in vms:
             return False
-        return place_in_order(server.incarnation, self._own_vm, vms) < self._bound.users()
+        return rendezvous_rank(server.incarnation, self._own_vm, vms) < self._bound.sender_count()
--- a/cloverhook/gateway/counters.py
+++ b/cloverhook/gateway/counters.py
@@ -66,7 +66,7 @@
         row[bisect_left(BUCKETS_MS, value_ms)] += 1
         row[-1] += value_ms
 
-    def page(self) -> bytes:
+    def to_prometheus_text(self) -> bytes:
         """Return all counts as text."""
         lines = [
             f"{PREFIX}{name}{_labels(labels)} {value:g}"
--- a/cloverhook/gateway/datagram_port.py
+++ b/cloverhook/gateway/datagram_port.py
@@ -24,17 +24,17 @@
 class DatagramPort:
     """Hands what it receives to `on_datagram`, with the sender's address.
 
-    After a read the next one comes `together_ms()` milliseconds later at the earliest, and then
-    takes all that has come meanwhile; with 0 each datagram is read when it comes.
+    After a read the next one comes `receive_batch_ms()` milliseconds later at the earliest, and
+    then takes all that has come meanwhile; with 0 each datagram is read when it comes.
     """
 
     def __init__(
         self,
         on_datagram: Callable[[bytes, SocketAddress], None],
-        together_ms: Callable[[], float],
+        receive_batch_ms: Callable[[], float],
     ) -> None:
         self._on_datagram = on_datagram
-        self._together_ms = together_ms
+        self._receive_batch_ms = receive_batch_ms
         self._socket: socket.socket | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._unsent: deque[tuple[bytes, SocketAddress]] = deque()
@@ -95,18 +95,18 @@
 
     def _read(self) -> None:
         """Read what has come, and wait before the next read if that is wanted."""
-        together_ms = self._together_ms()
-        if together_ms > 0:
+        receive_batch_ms = self._receive_batch_ms()
+        if receive_batch_ms > 0:
             loop = asyncio.get_running_loop()
             loop.remove_reader(self._socket)
-            self._timer = loop.call_later(together_ms / 1000, self._read_on)
+            self._timer = loop.call_later(receive_batch_ms / 1000, self._read_on)
         self._take_all()
 
     def _read_on(self) -> None:
         """Read what has come during a wait; while there is some, another wait follows."""
         loop = asyncio.get_running_loop()
-        together_ms = self._together_ms()
-        self._timer = loop.call_later(together_ms / 1000, self._read_on)
+        receive_batch_ms = self._receive_batch_ms()
+        self._timer = loop.call_later(receive_batch_ms / 1000, self._read_on)
         if not self._take_all() and self._socket is not None:
             self._timer.cancel()
             loop.add_reader(self._socket, self._read)
--- a/cloverhook/gateway/discovery.py
+++ b/cloverhook/gateway/discovery.py
@@ -7,7 +7,7 @@
 """
 
 from cloverhook.gateway.members import Members
-from cloverhook.gateway.ranking import place_in_order
+from cloverhook.gateway.ranking import rendezvous_rank
 
 __all__ = ["Discovery"]
 
@@ -32,7 +32,7 @@
         """Take the address of a VM that is meant to be there from the start."""
         self._seeds.add(peer_address)
 
-    def needs_store(self, now_ms: float) -> bool:
+    def should_announce(self, now_ms: float) -> bool:
         """Return whether this VM should announce itself in the store and read who is there."""
         if self._announced:
             return False
@@ -46,13 +46,13 @@
             return False
         if not self._met_all:
             return True
-        place = place_in_order("announce", self._own_vm, (item.vm for item in alive))
+        place = rendezvous_rank("announce", self._own_vm, (item.vm for item in alive))
         return place < ANNOUNCERS
 
     def announcement_lost(self) -> None:
         """Note that the store has forgotten what this VM wrote down."""
         self._announced = False
 
-    def announced(self) -> None:
+    def announcement_stored(self) -> None:
         """Note that the store has answered."""
         self._announced = True
--- a/cloverhook/gateway/early_signals.py
+++ b/cloverhook/gateway/early_signals.py
@@ -7,10 +7,10 @@
 import os
 import signal
 
-__all__ = ["take_early_signals"]
+__all__ = ["install_early_signal_handlers"]
 
 
-def take_early_signals() -> None:
+def install_early_signal_handlers() -> None:
     """Make a stop clean at once, as nothing is served yet, and ignore that settings have changed.
 
     They are read later, so a change that is announced now is not missed.
--- a/cloverhook/gateway/evacuation.py
+++ b/cloverhook/gateway/evacuation.py
@@ -4,10 +4,10 @@
 configuration.  What is known is always whole as of an offset of that log, so of two states the one
 of the later offset is right, however they came here; nobody has to merge them.
 
->>> found = Evacuations().after((Evacuation("papine", 4, wanted=True),))
+>>> found = Evacuations().with_records((Evacuation("papine", 4, is_evacuated=True),))
 >>> sorted(found.data_centers), found.version
 (['papine'], 4)
->>> found.after((Evacuation("papine", 3, wanted=False),)) == found
+>>> found.with_records((Evacuation("papine", 3, is_evacuated=False),)) == found
 True
 """
 
@@ -27,11 +27,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Evacuation:
-    """A record of the log: a data centre is to be evacuated, or with `wanted` False taken back."""
+    """A record of the log: a data centre is evacuated, or with `is_evacuated` False taken back."""
 
     data_center: str
     offset: int
-    wanted: bool
+    is_evacuated: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,23 +41,23 @@
     version: int = -1
     data_centers: frozenset[str] = frozenset()
 
-    def after(self, records: Iterable[Evacuation]) -> "Evacuations":
+    def with_records(self, records: Iterable[Evacuation]) -> "Evacuations":
         """Return what holds after the next records of the log; older ones change nothing."""
         version, found = self.version, set(self.data_centers)
         for record in records:
             if record.offset <= version:
                 continue
             version = record.offset
-            if record.wanted:
+            if record.is_evacuated:
                 found.add(record.data_center)
             else:
                 found.discard(record.data_center)
         return Evacuations(version, frozenset(found))
 
     @classmethod
-    def as_of(cls, version: int, records: Iterable[Evacuation]) -> "Evacuations":
+    def from_records(cls, version: int, records: Iterable[Evacuation]) -> "Evacuations":
         """Return what holds by the newest record of each data centre, read whole at an offset."""
-        return cls(version, frozenset(item.data_center for item in records if item.wanted))
+        return cls(version, frozenset(item.data_center for item in records if item.is_evacuated))
 
     @classmethod
     def from_document(cls, document: Mapping[str, Any]) -> "Evacuations":
--- a/cloverhook/gateway/final_answer.py
+++ b/cloverhook/gateway/final_answer.py
@@ -8,11 +8,11 @@
 from cloverhook.errors import ErrorKind, answer_for
 from cloverhook.gateway.attempt import Outcome
 from cloverhook.gateway.calls import CallerAnswer
-from cloverhook.gateway.request_run import RequestRun
+from cloverhook.gateway.request_run import RequestState
 
-__all__ = ["error_answer", "final_kind"]
+__all__ = ["error_answer", "final_error_kind"]
 
-RETURN_MS = (30.0, 80.0)
+RETRY_AFTER_RANGE_MS = (30.0, 80.0)
 """Refused callers are told to come back after a random time between these, not all at once: late
 enough for a slot to come free, soon enough for the answer to be in time."""
 EVACUATED_RETURN_MS = (700.0, 1_400.0)
@@ -26,8 +26,8 @@
 }
 
 
-def final_kind(
-    run: RequestRun, late: bool, evacuated: bool, known: bool, rate_limited: bool = False
+def final_error_kind(
+    run: RequestState, late: bool, evacuated: bool, known: bool, rate_limited: bool = False
 ) -> ErrorKind:
     """Return why a request ends without an answer of a backend server.
 
@@ -35,9 +35,9 @@
     evacuated data centres, `known` that there are endpoints at all, and `rate_limited` that they
     take no more from this VM for now.
     """
-    if run.maybe_runs:
+    if run.possible_executions:
         return ErrorKind.DEADLINE_IN_RUN if late else ErrorKind.CONNECTION_CUT
-    if run.quarantined_ms > 0.0:
+    if run.quarantine_left_ms > 0.0:
         return ErrorKind.QUARANTINED
     if any(item.outcome is Outcome.REJECTED for item in run.results):
         return ErrorKind.REFUSED
@@ -55,7 +55,7 @@
     answer = answer_for(kind)
     headers = [(b"content-type", b"text/plain")]
     if answer.retry_after:
-        times_ms = RETURNS_MS.get(kind, RETURN_MS)
+        times_ms = RETURNS_MS.get(kind, RETRY_AFTER_RANGE_MS)
         return_ms = max(random.uniform(*times_ms), held_ms)
         headers.append((b"retry-after", b"%.3f" % (return_ms / 1000)))
     return CallerAnswer(answer.status, headers, kind.value.encode())
--- a/cloverhook/gateway/heartbeat_pace.py
+++ b/cloverhook/gateway/heartbeat_pace.py
@@ -9,7 +9,7 @@
 
 from cloverhook.gateway.members import Members
 
-__all__ = ["HeartbeatPace"]
+__all__ = ["HeartbeatIntervals"]
 
 NEAR_MS = 400.0
 """A dead neighbour should get no callers after a few of these."""
@@ -30,33 +30,33 @@
 """Another VM reads the store when it has missed three of a reader's heartbeats."""
 
 
-class HeartbeatPace:
+class HeartbeatIntervals:
     """The time from one heartbeat of this VM to its next."""
 
     def __init__(self, members: Members) -> None:
         self._members = members
 
-    def near_ms(self, reading: bool, now_ms: float) -> float:
+    def local_interval_ms(self, reading: bool, now_ms: float) -> float:
         """Return it for the own data centre; `reading` says that this VM reads the store."""
         if reading:
             return READER_MS
-        if not self._members.crowded():
+        if not self._members.in_large_data_center():
             return NEAR_MS
-        if self._members.is_informed(now_ms):
+        if self._members.is_load_subscriber(now_ms):
             return CROWD_NEAR_MS
-        return max(STANDBY_NEAR_MS, STANDBY_NEAR_MS_A_VM * self._members.near_count())
+        return max(STANDBY_NEAR_MS, STANDBY_NEAR_MS_A_VM * self._members.local_count())
 
-    def far_ms(self, reading: bool, now_ms: float) -> float:
+    def remote_interval_ms(self, reading: bool, now_ms: float) -> float:
         """Return it for the other data centres, and for neighbours that are silent."""
         if reading:
             return READER_MS
-        return CROWD_FAR_MS if self._members.crowded() else FAR_MS
+        return CROWD_FAR_MS if self._members.in_large_data_center() else FAR_MS
 
-    def is_heard_far(self, reading: bool, now_ms: float) -> bool:
+    def sends_to_remote(self, reading: bool, now_ms: float) -> bool:
         """Return whether other data centres hear this VM: they need a few that relay."""
-        return reading or self._members.is_informed(now_ms)
+        return reading or self._members.is_load_subscriber(now_ms)
 
-    def hears_ms(self, has_requests: bool, now_ms: float) -> float:
+    def receive_batch_ms(self, has_requests: bool, now_ms: float) -> float:
         """Return for how long messages from others may wait, to be read together.
 
         Where requests are placed none does: in overload, two VMs that have not heard of each other
@@ -64,4 +64,4 @@
         """
         if has_requests or self._members.serves_callers(now_ms):
             return 0.0
-        return UNDERSTUDY_HEARS_MS if self._members.is_informed(now_ms) else STANDBY_HEARS_MS
+        return UNDERSTUDY_HEARS_MS if self._members.is_load_subscriber(now_ms) else STANDBY_HEARS_MS
--- a/cloverhook/gateway/holds.py
+++ b/cloverhook/gateway/holds.py
@@ -4,16 +4,16 @@
 half of a service's entries do at once, and they are back within two seconds.  A single one that
 vanishes has most likely left, and is held for less.
 
->>> holds = Holds(drain_ms=2_000.0)
->>> holds.begin("i-1", "orders", of_service=9, now_ms=0.0, store_was_away=False)
+>>> holds = GracePeriods(drain_ms=2_000.0)
+>>> holds.start("i-1", "orders", service_size=9, now_ms=0.0, store_was_unavailable=False)
 False
->>> "i-1" in holds, holds.due(1_499.0), holds.due(1_500.0)
+>>> "i-1" in holds, holds.expired(1_499.0), holds.expired(1_500.0)
 (True, [], ['i-1'])
 """
 
 from collections.abc import Iterable
 
-__all__ = ["Holds"]
+__all__ = ["GracePeriods"]
 
 HOLD_SHARE = 0.75
 """The part of the time until it must get no more work for which a vanished entry stays in use."""
@@ -23,7 +23,7 @@
 LAPSE_WINDOW_MS = 1_000.0
 
 
-class Holds:
+class GracePeriods:
     """The names of vanished entries, and until when each is held; times are monotonic."""
 
     def __init__(self, drain_ms: float) -> None:
@@ -35,16 +35,16 @@
     def __contains__(self, name: str) -> bool:
         return name in self._until_ms
 
-    def begin(
-        self, name: str, service: str, of_service: int, now_ms: float, store_was_away: bool
+    def start(
+        self, name: str, service: str, service_size: int, now_ms: float, store_was_unavailable: bool
     ) -> bool:
         """Hold an entry of a service with so many; return whether it rather has lapsed."""
-        lapse = self._is_lapse(service, of_service, now_ms) or store_was_away
+        lapse = self._is_lapse(service, service_size, now_ms) or store_was_unavailable
         self._until_ms[name] = now_ms + (LAPSE_HOLD_MS if lapse else self._hold_ms)
         self._since_ms[name] = now_ms
         return lapse
 
-    def prolong(self, names: Iterable[str], now_ms: float) -> None:
+    def extend(self, names: Iterable[str], now_ms: float) -> None:
         """Hold those that have vanished together with one that lapses now as long as that one."""
         for name in names:
             since_ms = self._since_ms.get(name)
@@ -60,11 +60,11 @@
         self._since_ms.pop(name, None)
         return self._until_ms.pop(name, None) is not None
 
-    def left_ms(self, name: str, now_ms: float) -> float:
+    def remaining_ms(self, name: str, now_ms: float) -> float:
         """Return for how long an entry is held."""
         return max(0.0, self._until_ms[name] - now_ms)
 
-    def due(self, now_ms: float) -> list[str]:
+    def expired(self, now_ms: float) -> list[str]:
         """Return the names whose time has passed."""
         return [name for name, until_ms in self._until_ms.items() if until_ms <= now_ms]
 
--- a/cloverhook/gateway/knowledge.py
+++ b/cloverhook/gateway/knowledge.py
@@ -9,12 +9,12 @@
 from cloverhook.gateway.backend_server import ServerRecord
 from cloverhook.gateway.config_codec import EncodedConfig
 from cloverhook.gateway.evacuation import Evacuations
-from cloverhook.gateway.load import LoadBoard
+from cloverhook.gateway.load import LoadTable
 from cloverhook.gateway.registry import DRAIN_MS, Registry
 from cloverhook.gateway.routes import GatewayConfig
 from cloverhook.gateway.versions import era_of
 
-__all__ = ["Knowledge"]
+__all__ = ["GatewayState"]
 
 STORE_AWAY_MS = 4_000.0
 """For this long after the store's return, entries that vanish may have lapsed while it was away."""
@@ -26,7 +26,7 @@
 """Without more than this share of its endpoints a data centre has no room for its own requests."""
 
 
-class Knowledge:
+class GatewayState:
     """The configuration in force, the evacuated data centres, the registry and the load board."""
 
     def __init__(self, drain_ms: float = DRAIN_MS) -> None:
@@ -37,7 +37,7 @@
         self.evacuations = Evacuations()
         self.drain_ms = drain_ms
         self.registry = Registry(drain_ms)
-        self.board = LoadBoard()
+        self.load_table = LoadTable()
         self._store_back_ms = -STORE_AWAY_MS
         self._entered_era = 0
         self._held_evacuations: frozenset[str] = frozenset()
@@ -56,17 +56,17 @@
         told = max(self.registry.as_of, self.evacuations.version)
         return max(self._entered_era, era_of(told))
 
-    def enter_era(self, era: int, now_ms: float) -> None:
+    def begin_store_era(self, era: int, now_ms: float) -> None:
         """Note that the store has come back from an older copy: what it lacks may be back soon."""
         self._entered_era = era
-        self.store_returned(now_ms)
+        self.record_store_recovery(now_ms)
 
     @property
-    def complete(self) -> bool:
+    def can_serve(self) -> bool:
         """Whether requests can be served: there is a configuration and someone to serve them."""
         return self.config is not None and len(self.registry) > 0
 
-    def take_config(self, config: GatewayConfig, now_ms: float) -> bool:
+    def apply_config(self, config: GatewayConfig, now_ms: float) -> bool:
         """Put a configuration in force unless it is as old as the present one."""
         if config.version <= self.config_version:
             return False
@@ -81,18 +81,18 @@
             self._encoded = EncodedConfig.from_config(self.config)
         return self._encoded
 
-    def offer_config(self, encoded: EncodedConfig) -> None:
+    def relay_config(self, encoded: EncodedConfig) -> None:
         """Keep a configuration to hand it on, while it is decoded here."""
         known = self.encoded_config()
         if known is None or encoded.version > known.version:
             self._encoded = encoded
 
-    def withdraw_config(self, encoded: EncodedConfig) -> None:
+    def stop_relaying_config(self, encoded: EncodedConfig) -> None:
         """Hand on a configuration no longer, as it can't be decoded."""
         if self._encoded is encoded:
             self._encoded = None
 
-    def crossing(self, now_ms: float) -> bool:
+    def needs_remote_capacity(self, now_ms: float) -> bool:
         """Return whether some data centre can't serve itself, so that requests have to cross.
 
         Most of its endpoints are evacuated, out of reach or about to leave the registry.
@@ -106,9 +106,9 @@
         total, lost = Counter[str](), Counter[str]()
         for server in self.registry.servers():
             total[server.data_center] += 1
-            load = self.board.get(server.incarnation)
+            load = self.load_table.get(server.incarnation)
             out_of_reach = load is not None and load.unreachable(now_ms)
-            if out_of_reach or server.draining or self.registry.held(server):
+            if out_of_reach or server.draining or self.registry.in_grace_period(server):
                 lost[server.data_center] += 1
         if any(name in total for name in self.evacuated()):
             return True
@@ -119,12 +119,12 @@
         spec = None if self.config is None else self.config.services.get(service)
         return 0.0 if spec is None else spec.cold_per_s
 
-    def take_evacuations(
-        self, found: Evacuations, now_ms: float, taken_back: frozenset[str] = frozenset()
+    def apply_evacuations(
+        self, found: Evacuations, now_ms: float, revoked: frozenset[str] = frozenset()
     ) -> bool:
         """Take a state of a later version; return whether other data centres are evacuated now.
 
-        One of a later era may lack what was written last; what operators have `taken_back` since
+        One of a later era may lack what was written last; what operators have `revoked` since
         is not held.
         """
         if found.version <= self.evacuations.version:
@@ -133,7 +133,7 @@
         if era_of(found.version) > era_of(self.evacuations.version) and before:
             self._held_evacuations = before - found.data_centers
             self._held_until_ms = now_ms + EVACUATION_HOLD_MS
-        self._held_evacuations -= taken_back
+        self._held_evacuations -= revoked
         self.evacuations = found
         return before != self.evacuated()
 
@@ -141,44 +141,46 @@
         """Return the data centres whose endpoints get nothing."""
         return self.evacuations.data_centers | self._held_evacuations
 
-    def store_returned(self, now_ms: float) -> None:
+    def record_store_recovery(self, now_ms: float) -> None:
         """Note that the store answers again after a time in which it did not."""
         self._store_back_ms = now_ms
 
-    def store_was_away(self, now_ms: float) -> bool:
+    def store_was_unavailable(self, now_ms: float) -> bool:
         """Return whether the store has been away until a moment ago."""
         return now_ms - self._store_back_ms < STORE_AWAY_MS
 
-    def take_server(self, record: ServerRecord, now_ms: float, was_waited_for: bool = True) -> bool:
+    def apply_server_record(
+        self, record: ServerRecord, now_ms: float, from_long_poll: bool = True
+    ) -> bool:
         """Take what the store says of a backend server; return whether anything has changed.
 
-        A record that `was_waited_for` is new; another may have been there since the last look.
+        A record that `from_long_poll` is new; another may have been there since the last look.
         """
-        away = self.store_was_away(now_ms)
-        return self.registry.apply(record, now_ms, away, was_waited_for=was_waited_for)
+        away = self.store_was_unavailable(now_ms)
+        return self.registry.apply(record, now_ms, away, from_long_poll=from_long_poll)
 
-    def take_server_list(
+    def apply_server_list(
         self,
         records: tuple[ServerRecord, ...],
         end_offset: int,
         now_ms: float,
-        follows: bool = True,
+        follows_store: bool = True,
     ) -> tuple[str, ...]:
         """Take the store's whole list; return the names that changed or vanished.
 
         A list that ends before what is known was read from a copy that lags, and is left out.
-        Others rely on a VM that `follows` the store from then on, and ask for all it knows.
+        Others rely on a VM that `follows_store` from then on, and ask for all it knows.
         """
         newest_offset = end_offset - 1
         if newest_offset < self.registry.as_of:
             return ()
-        away = self.store_was_away(now_ms)
-        touched = self.registry.take_list(records, newest_offset, now_ms, away)
-        if follows:
-            self.registry.position.assume_changed()
+        away = self.store_was_unavailable(now_ms)
+        touched = self.registry.apply_snapshot(records, newest_offset, now_ms, away)
+        if follows_store:
+            self.registry.position.assume_last_change()
         return touched
 
-    def heard_config_as_of(self, config: int, evacuations: int, as_of: int) -> None:
+    def confirm_config_as_of(self, config: int, evacuations: int, as_of: int) -> None:
         """Take another VM's word that after these versions nothing was written up to `as_of`."""
         if config <= self.config_version and evacuations <= self.evacuations.version:
             self.config_as_of = max(self.config_as_of, as_of)
@@ -187,7 +189,7 @@
         """Drop backend servers whose hold time has passed; return the incarnations that ended."""
         if self._held_evacuations and now_ms >= self._held_until_ms:
             self._held_evacuations = frozenset()
-        gone = self.registry.expire(now_ms)
+        gone = self.registry.expire_grace_periods(now_ms)
         for incarnation in gone:
-            self.board.forget(incarnation)
+            self.load_table.forget(incarnation)
         return gone
--- a/cloverhook/gateway/load.py
+++ b/cloverhook/gateway/load.py
@@ -10,11 +10,11 @@
 from functools import partial
 
 from cloverhook.gateway.refusals import RefusalShare
-from cloverhook.gateway.trust import Trust
+from cloverhook.gateway.trust import CircuitBreaker
 
-__all__ = ["SLOW_PACE", "LoadBoard", "LoadFigure", "ServerLoad"]
+__all__ = ["SLOW_FACTOR", "LoadTable", "LoadReport", "ServerLoad"]
 
-SLOW_PACE = 2.5
+SLOW_FACTOR = 2.5
 """Work that takes this many times as long is worth asking a second endpoint for, or avoiding the
 endpoint where that can't be done."""
 USUAL_PACE = 1.0
@@ -31,17 +31,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LoadFigure:
+class LoadReport:
     """One report: requests running and waiting, and how long work takes compared with usual.
 
-    An endpoint that is cold stays so for `cold_ms`; only probes tell that.
+    An endpoint that is cold stays so for `cold_for_ms`; only probes tell that.
     """
 
     running: int
     waiting: int
-    pace: float
+    slowdown: float
     reachable: bool = True
-    cold_ms: float = 0.0
+    cold_for_ms: float = 0.0
 
 
 class ServerLoad:
@@ -63,7 +63,7 @@
         "_refusals",
         "_unreachable_until_ms",
         "_used",
-        "trust",
+        "circuit_breaker",
     )
 
     def __init__(self, used: Callable[[int], None] = lambda count: None) -> None:
@@ -71,10 +71,10 @@
         self._used = used
         self._in_flight = 0
         self._changed: list[Callable[[], None]] = []
-        self.trust = Trust()
+        self.circuit_breaker = CircuitBreaker()
         self._refusals = RefusalShare()
         self._peers: dict[str, tuple[int, float]] = {}
-        self._figure: LoadFigure | None = None
+        self._figure: LoadReport | None = None
         self._figure_ms = -1e12
         self._measured_ms: float | None = None
         self._progress_ms = 0.0
@@ -96,7 +96,7 @@
         self._used(count)
         self._tell_change()
 
-    def when_changed(self, callback: Callable[[], None]) -> None:
+    def on_next_change(self, callback: Callable[[], None]) -> None:
         """Call back once, when the load may be another than now."""
         self._changed.append(callback)
 
@@ -107,7 +107,7 @@
                 callback()
 
     @property
-    def figure(self) -> LoadFigure | None:
+    def latest_report(self) -> LoadReport | None:
         """The newest figure, whatever its age."""
         return self._figure
 
@@ -115,11 +115,11 @@
         """Return the age of the newest figure."""
         return now_ms - self._figure_ms
 
-    def peer_has(self, vm: str, count: int, now_ms: float) -> None:
+    def set_peer_in_flight(self, vm: str, count: int, now_ms: float) -> None:
         """Take how many requests another VM has in flight there."""
         before, _ = self._peers.get(vm, (0, 0.0))
         if before > count:
-            self._refusals.ended(before - count, now_ms)
+            self._refusals.record_ended(before - count, now_ms)
         if count:
             self._peers[vm] = (count, now_ms)
         else:
@@ -127,41 +127,41 @@
         if count != before:
             self._tell_change()
 
-    def shared(self, now_ms: float) -> int:
+    def known_in_flight(self, now_ms: float) -> int:
         """Return the requests that this VM and those that tell it have in flight there."""
         if not self._peers:
             return self._in_flight
         oldest_ms = now_ms - FRESH_COUNT_MS
         return self._in_flight + sum(n for n, at_ms in self._peers.values() if at_ms >= oldest_ms)
 
-    def report(self, figure: LoadFigure, at_ms: float, counted: int = 0) -> None:
+    def update(self, figure: LoadReport, at_ms: float, ended_count: int = 0) -> None:
         """Take a figure of the time `at_ms`; an older one than known is left out.
 
-        `counted` is how many requests in flight here the figure no longer counts: an answer's
+        `ended_count` is how many requests in flight here the figure no longer counts: an answer's
         figure leaves its own request out.
         """
         if at_ms < self._figure_ms:
             return
-        self._progress_ms = self.progress_ms(at_ms)
+        self._progress_ms = self.expected_progress_ms(at_ms)
         self._progress_to_ms = at_ms
         self._figure = figure
         self._figure_ms = at_ms
-        self._base = self.shared(at_ms) - counted
+        self._base = self.known_in_flight(at_ms) - ended_count
         self._unreachable_until_ms = 0.0 if figure.reachable else at_ms + UNREACHABLE_MS
         self._tell_change()
 
-    def measured(self, figure: LoadFigure, at_ms: float) -> None:
+    def update_from_probe(self, figure: LoadReport, at_ms: float) -> None:
         """Take the figure of a probe, by this VM or another one."""
         if self._measured_ms is None or at_ms >= self._measured_ms:
-            self._cold_until_ms = at_ms + figure.cold_ms if figure.cold_ms else 0.0
+            self._cold_until_ms = at_ms + figure.cold_for_ms if figure.cold_for_ms else 0.0
         self._measured_ms = max(at_ms, self._measured_ms or at_ms)
-        self.report(figure, at_ms)
+        self.update(figure, at_ms)
 
     def is_cold(self, now_ms: float) -> bool:
         """Return whether the newest probe found the endpoint cold, and it still must be."""
         return now_ms < self._cold_until_ms
 
-    def unmeasured_ms(self, now_ms: float) -> float:
+    def since_last_probe_ms(self, now_ms: float) -> float:
         """Return for how long no probe has brought a figure; the first question starts the time."""
         if self._measured_ms is None:
             self._measured_ms = now_ms
@@ -169,19 +169,19 @@
 
     def load(self, now_ms: float) -> float:
         """Return the requests that the endpoint has, as far as this VM can tell."""
-        shared = self.shared(now_ms)
+        shared = self.known_in_flight(now_ms)
         if self._figure is None or self.age_ms(now_ms) > FRESH_FIGURE_MS:
             return shared
         reported = self._figure.running + self._figure.waiting
         return max(shared, reported + shared - self._base)
 
-    def pace(self, now_ms: float) -> float:
+    def slowdown(self, now_ms: float) -> float:
         """Return how long work takes there now, as a multiple of usual."""
         if self._figure is None or self.age_ms(now_ms) > FRESH_FIGURE_MS:
             return UNKNOWN_PACE if self._figure is not None else USUAL_PACE
-        return self._figure.pace
+        return self._figure.slowdown
 
-    def progress_ms(self, now_ms: float) -> float:
+    def expected_progress_ms(self, now_ms: float) -> float:
         """Return how much work a request would have had done there since the first figure.
 
         The unit is a millisecond at the usual pace.  The difference between two times says how
@@ -189,41 +189,41 @@
         """
         if self._figure is None:
             return 0.0
-        return self._progress_ms + (now_ms - self._progress_to_ms) / max(self._figure.pace, 0.1)
+        return self._progress_ms + (now_ms - self._progress_to_ms) / max(self._figure.slowdown, 0.1)
 
     def unreachable(self, now_ms: float) -> bool:
         """Return whether no connection could be made there a moment ago."""
         return now_ms < self._unreachable_until_ms
 
-    def not_reached(self, now_ms: float) -> None:
+    def record_unreachable(self, now_ms: float) -> None:
         """Count an attempt that found nobody."""
         self._unreachable_until_ms = now_ms + UNREACHABLE_MS
-        self.failed(now_ms)
+        self.record_failure(now_ms)
 
     def failure_share(self, now_ms: float) -> float:
         """Return the share of recent requests that failed there; it fades with time."""
         return self._failure * 0.5 ** ((now_ms - self._failure_ms) / FAILURE_HALF_LIFE_MS)
 
-    def failed(self, now_ms: float) -> None:
+    def record_failure(self, now_ms: float) -> None:
         """Count a failed request."""
         self._count(1.0, now_ms)
 
-    def succeeded(self, now_ms: float) -> None:
+    def record_success(self, now_ms: float) -> None:
         """Count a request that was answered well."""
         if self._failure:
             self._count(0.0, now_ms)
 
-    def refused(self, now_ms: float) -> None:
+    def record_refusal(self, now_ms: float) -> None:
         """Count a request, of this VM or another one, that was turned away with free slots."""
-        self._refusals.refused(now_ms)
+        self._refusals.record_refusal(now_ms)
 
     def refusal_share(self, now_ms: float) -> float:
         """Return the share of requests that are turned away there with free slots."""
-        return self._refusals.at(now_ms)
+        return self._refusals.share_at(now_ms)
 
-    def ended_here(self, now_ms: float) -> None:
+    def record_end(self, now_ms: float) -> None:
         """Count a request of this VM that has ended there."""
-        self._refusals.ended(1, now_ms)
+        self._refusals.record_ended(1, now_ms)
 
     def _count(self, value: float, now_ms: float) -> None:
         share = self.failure_share(now_ms)
@@ -231,14 +231,14 @@
         self._failure_ms = now_ms
 
 
-class LoadBoard:
+class LoadTable:
     """The loads of all incarnations."""
 
     def __init__(self) -> None:
         self._loads: dict[str, ServerLoad] = {}
         self._in_flight: dict[str, int] = {}
 
-    def of(self, incarnation: str) -> ServerLoad:
+    def get_or_create(self, incarnation: str) -> ServerLoad:
         """Return the load of an incarnation, kept from its first use on."""
         load = self._loads.get(incarnation)
         if load is None:
@@ -269,7 +269,7 @@
         if load is not None and not load.in_flight:
             del self._loads[incarnation]
 
-    def sweep(self, known: Callable[[str], object]) -> None:
+    def remove_unknown(self, known: Callable[[str], object]) -> None:
         """Forget every incarnation that is not `known`: updates on one may come late."""
         for incarnation in tuple(self._loads):
             if not known(incarnation):
--- a/cloverhook/gateway/load_probe.py
+++ b/cloverhook/gateway/load_probe.py
@@ -6,22 +6,23 @@
 from dataclasses import replace
 
 from cloverhook.gateway.backend_server import BackendServer
-from cloverhook.gateway.call_headers import CallHeaders, cold_ms, find, load_figure
-from cloverhook.gateway.load import LoadFigure
+from cloverhook.gateway.call_headers import CallHeaders, find, parse_cold_ms, parse_load
+from cloverhook.gateway.load import LoadReport
 from cloverhook.upstream_connection import AnswerHead, RequestHead, UpstreamConnection
 
-__all__ = ["NOBODY", "ask_load"]
+__all__ = ["UNREACHABLE_REPORT", "probe_load"]
 
-NOBODY = LoadFigure(0, 0, 1.0, reachable=False)
+UNREACHABLE_REPORT = LoadReport(0, 0, 1.0, reachable=False)
 """The figure of an endpoint that can't be reached."""
 
 
-async def ask_load(
+async def probe_load(
     connection: UpstreamConnection, server: BackendServer, path: str, names: CallHeaders
-) -> tuple[AnswerHead, LoadFigure | None]:
-    """Return the answer's head and the load figure; `NOBODY` where another incarnation answers.
+) -> tuple[AnswerHead, LoadReport | None]:
+    """Return the answer's head and the load figure.
 
-    The figure is None where the endpoint tells none.  Raises `UpstreamError`.
+    The figure is `UNREACHABLE_REPORT` where another incarnation answers, and None where the
+    endpoint tells none.  Raises `UpstreamError`.
     """
     host = [(b"host", server.address.encode())]
     head = await connection.send(RequestHead(b"GET", path.encode(), host))
@@ -30,9 +31,9 @@
         _, more = await connection.read()
     named = find(head.headers, names.incarnation)
     if named is not None and named.decode("latin-1") != server.name:
-        return head, NOBODY
-    figure = load_figure(find(head.headers, names.load))
-    left_ms = cold_ms(find(head.headers, names.cold_ms))
+        return head, UNREACHABLE_REPORT
+    figure = parse_load(find(head.headers, names.load))
+    left_ms = parse_cold_ms(find(head.headers, names.cold_ms))
     if figure is not None and left_ms:
-        figure = replace(figure, cold_ms=left_ms)
+        figure = replace(figure, cold_for_ms=left_ms)
     return head, figure
--- a/cloverhook/gateway/load_updates.py
+++ b/cloverhook/gateway/load_updates.py
@@ -11,8 +11,8 @@
 
 from cloverhook.clock import monotonic_ms
 from cloverhook.gateway.broadcast import Broadcast
-from cloverhook.gateway.load import LoadFigure
-from cloverhook.gateway.peer_messages import Loads, encode
+from cloverhook.gateway.load import LoadReport
+from cloverhook.gateway.peer_messages import LoadReports, encode
 
 __all__ = ["LoadUpdates"]
 
@@ -35,7 +35,7 @@
 FAR_PACE_RATIO = 1.5
 """Other data centres hear of a pace once it has changed by this factor, or after a second."""
 
-Measured = dict[str, tuple[LoadFigure, float]]
+Measured = dict[str, tuple[LoadReport, float]]
 
 
 class LoadUpdates:
@@ -45,16 +45,16 @@
         self,
         own_vm: str,
         broadcast: Broadcast,
-        crowded: Callable[[], bool] = lambda: False,
-        crossing: Callable[[float], bool] = lambda now_ms: False,
+        in_large_data_center: Callable[[], bool] = lambda: False,
+        needs_remote_capacity: Callable[[float], bool] = lambda now_ms: False,
     ) -> None:
-        """`crowded` says whether the own data centre has many VMs.
+        """`in_large_data_center` says whether the own data centre has many VMs.
 
-        `crossing` says whether VMs of other data centres have to place their requests here.
+        `needs_remote_capacity` says whether other data centres have to place their requests here.
         """
-        self._crossing = crossing
+        self._crossing = needs_remote_capacity
         self._own_vm = own_vm
-        self._crowded = crowded
+        self._crowded = in_large_data_center
         self._broadcast = broadcast
         self._near: Measured = {}
         self._far: Measured = {}
@@ -62,11 +62,11 @@
         self._timer: asyncio.TimerHandle | None = None
         self._far_timer: asyncio.TimerHandle | None = None
 
-    def add(self, incarnation: str, figure: LoadFigure, at_ms: float) -> None:
+    def add(self, incarnation: str, report: LoadReport, at_ms: float) -> None:
         """Take a figure that was measured at a time, and send it soon."""
-        self._near[incarnation] = (figure, at_ms)
-        if self._is_far_change(incarnation, figure, at_ms):
-            self._far_sent[incarnation] = self._far[incarnation] = (figure, at_ms)
+        self._near[incarnation] = (report, at_ms)
+        if self._is_far_change(incarnation, report, at_ms):
+            self._far_sent[incarnation] = self._far[incarnation] = (report, at_ms)
         loop = asyncio.get_running_loop()
         if self._timer is None:
             self._timer = loop.call_later(FLUSH_MS / 1000, self._flush)
@@ -86,26 +86,26 @@
         self._timer = None
         now_ms = monotonic_ms()
         for data in self._datagrams(self._near, now_ms):
-            self._broadcast.to_audience(data, now_ms)
+            self._broadcast.send_to_load_subscribers(data, now_ms)
         self._near.clear()
 
     def _flush_far(self) -> None:
         self._far_timer = None
         now_ms = monotonic_ms()
         for data in self._datagrams(self._far, now_ms):
-            self._broadcast.far(data, now_ms)
+            self._broadcast.send_remote(data, now_ms)
         self._far.clear()
 
     def _datagrams(self, measured: Measured, now_ms: float) -> list[bytes]:
         rows = [(name, figure, now_ms - at_ms) for name, (figure, at_ms) in measured.items()]
         return [
-            encode(Loads(self._own_vm, tuple(rows[start : start + ROWS_LIMIT])))
+            encode(LoadReports(self._own_vm, tuple(rows[start : start + ROWS_LIMIT])))
             for start in range(0, len(rows), ROWS_LIMIT)
         ]
 
-    def _is_far_change(self, incarnation: str, figure: LoadFigure, at_ms: float) -> bool:
+    def _is_far_change(self, incarnation: str, figure: LoadReport, at_ms: float) -> bool:
         sent, sent_ms = self._far_sent.get(incarnation, (figure, -1e12))
-        ratio = max(figure.pace, sent.pace) / max(min(figure.pace, sent.pace), 0.01)
+        ratio = max(figure.slowdown, sent.slowdown) / max(min(figure.slowdown, sent.slowdown), 0.01)
         step = abs(figure.running + figure.waiting - sent.running - sent.waiting)
         changed = figure.reachable != sent.reachable
         if self._crossing(at_ms) and at_ms - sent_ms >= CROSSING_FIGURE_MS:
--- a/cloverhook/gateway/log_position.py
+++ b/cloverhook/gateway/log_position.py
@@ -5,8 +5,8 @@
 hears of no change still gets further, and can go on reading from there.
 
 >>> position = LogPosition()
->>> position.adopted(version=4, as_of=6)
->>> position.heard(version=4, as_of=9)
+>>> position.record_peer_state(version=4, as_of=6)
+>>> position.advance_from_peer(version=4, as_of=9)
 >>> position.version, position.as_of
 (4, 9)
 """
@@ -35,7 +35,7 @@
         return max(self._as_of, self.version)
 
     @property
-    def claimed_version(self) -> int:
+    def advertised_version(self) -> int:
         """The version that others may rely on, or -1 while that of the last change isn't known."""
         return self.version if self._knows_last_change else -1
 
@@ -44,22 +44,22 @@
         """The position since which the changes are known one by one."""
         return self._history_floor
 
-    def changed(self, position: int) -> None:
+    def record_change(self, position: int) -> None:
         """Note a change at a position."""
         self.version = max(self.version, position)
 
-    def read_up_to(self, position: int) -> None:
+    def advance_to(self, position: int) -> None:
         """Note that all records up to a position have been taken."""
         self._as_of = max(self._as_of, position)
 
-    def heard(self, version: int, as_of: int) -> None:
+    def advance_from_peer(self, version: int, as_of: int) -> None:
         """Take another VM's word that nothing has changed between a version and `as_of`."""
         if version <= self.as_of <= as_of:
             self._as_of = as_of
             self.version = max(self.version, version)
             self._knows_last_change = True
 
-    def assume_changed(self) -> None:
+    def assume_last_change(self) -> None:
         """Count the position read up to as a change, where the last one isn't known.
 
         Whoever knows less then asks for all.
@@ -68,7 +68,7 @@
             self.version = self.as_of
             self._knows_last_change = True
 
-    def listed(self, known: tuple[int, int], as_of: int, changed: bool) -> None:
+    def record_snapshot(self, known: tuple[int, int], as_of: int, changed: bool) -> None:
         """Note that a whole list was taken as of a position, which doesn't say what changed last.
 
         `known` are version and `as_of` from before it.
@@ -78,30 +78,30 @@
             self._knows_last_change = False
         self.version = known_version
         self._as_of = max(as_of, known_as_of)
-        self.learned_whole(known_as_of, as_of)
+        self.record_full_state(known_as_of, as_of)
 
-    def adopted(self, version: int, as_of: int) -> None:
+    def record_peer_state(self, version: int, as_of: int) -> None:
         """Note that all has been taken that a peer knows."""
         self.version, self._as_of = version, max(as_of, self._as_of)
         self._knows_last_change = True
 
-    def learned_whole(self, known_as_of: int, floor: int) -> None:
+    def record_full_state(self, known_as_of: int, floor: int) -> None:
         """Note that a whole state was taken whose changes are known one by one since `floor`."""
         if floor > known_as_of:
             self._history_floor = floor
         else:
             self._history_floor = min(self._history_floor, floor)
 
-    def forgot_up_to(self, position: int) -> None:
+    def truncate_history(self, position: int) -> None:
         """Note that changes up to a position are no longer known one by one."""
         self._history_floor = max(self._history_floor, position)
 
-    def confirm(self, version: int, now_ms: float) -> None:
+    def confirm_current(self, version: int, now_ms: float) -> None:
         """Note that the store holds nothing newer than a version at this time."""
         if version <= self.as_of:
             self._confirmed_ms = now_ms
 
-    def vanished_since_ms(self, now_ms: float) -> float:
+    def earliest_removal_ms(self, now_ms: float) -> float:
         """Return the earliest time at which what is found missing now may have vanished."""
         if self._confirmed_ms is None or now_ms - self._confirmed_ms > CONFIRMED_LIMIT_MS:
             return now_ms
--- a/cloverhook/gateway/measuring.py
+++ b/cloverhook/gateway/measuring.py
@@ -14,12 +14,12 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from cloverhook.gateway.backend_server import BackendServer
-from cloverhook.gateway.load import LoadBoard
+from cloverhook.gateway.load import LoadTable
 from cloverhook.gateway.members import Members
-from cloverhook.gateway.ranking import place_in_order, rank_weight
+from cloverhook.gateway.ranking import rendezvous_rank, rendezvous_weight
 from cloverhook.gateway.registry import Registry
 
-__all__ = ["GROUP_SIZE", "LISTEN_MS", "Measuring"]
+__all__ = ["GROUP_SIZE", "STARTUP_DELAY_MS", "ProbeSchedule"]
 
 GROUP_SIZE = 24
 """The figures of a group share one datagram, and a small VM can measure it beside its requests."""
@@ -40,7 +40,7 @@
 """Two probes that are missed show that their sender is gone, however seldom they are."""
 SLACK_MS = 5.0
 """A probe that is due within this time goes out now, with the others."""
-LISTEN_MS = 2_000.0
+STARTUP_DELAY_MS = 2_000.0
 """A VM that has just started knows nobody and would measure everything: it listens first, for long
 enough to meet the others after a loss of all power.  At a later start callers are waiting, so it
 measures a group."""
@@ -48,7 +48,7 @@
 """The orders are worked out anew after this time; they change only with the VMs."""
 
 
-class Measuring:
+class ProbeSchedule:
     """The backend servers that are due for a probe by this VM."""
 
     def __init__(
@@ -56,20 +56,20 @@
         own_vm: str,
         members: Members,
         registry: Registry,
-        board: LoadBoard,
+        board: LoadTable,
         most_per_s: float,
         requests_per_s: Callable[[str, float], float],
-        listen_until_ms: float = 0.0,
-        while_listening: int = 0,
+        startup_until_ms: float = 0.0,
+        startup_probe_limit: int = 0,
         evacuated: Callable[[], frozenset[str]] = frozenset,
     ) -> None:
         """`requests_per_s` says how many requests of a service this VM gets at a time.
 
-        Before `listen_until_ms` so many backend servers are measured as `while_listening` says.
-        The endpoints of `evacuated` data centres get nothing, so no probe either.
+        Before `startup_until_ms` so many backend servers are measured as `startup_probe_limit`
+        says.  The endpoints of `evacuated` data centres get nothing, so no probe either.
         """
-        self._listen_until_ms = listen_until_ms
-        self._while_listening = while_listening
+        self._startup_until_ms = startup_until_ms
+        self._startup_probe_limit = startup_probe_limit
         self._own_vm = own_vm
         self._evacuated = evacuated
         self._most_per_s = most_per_s
@@ -94,13 +94,13 @@
             if self._members.is_cut_off(now_ms):
                 self._rank_for_itself()
                 self._set_intervals(now_ms)
-            elif self._members.is_informed(now_ms):
+            elif self._members.is_load_subscriber(now_ms):
                 self._order(now_ms)
                 self._set_intervals(now_ms)
-            if now_ms < self._listen_until_ms:
-                self._order_due_ms = min(self._order_due_ms, self._listen_until_ms)
+            if now_ms < self._startup_until_ms:
+                self._order_due_ms = min(self._order_due_ms, self._startup_until_ms)
                 servers = [server for server, _ in self._ranked]
-                self._ranked = self._first_ones(servers, self._while_listening)
+                self._ranked = self._first_ones(servers, self._startup_probe_limit)
             self._own = [server for server, rank in self._ranked if rank == 0]
             self._step_in_due_ms = now_ms
         found = [server for server in self._own if self._is_planned(server, now_ms)]
@@ -130,7 +130,9 @@
         for server, rank in self._ranked:
             if rank == 0:
                 continue
-            unmeasured_ms = self._board.of(server.incarnation).unmeasured_ms(now_ms)
+            unmeasured_ms = self._board.get_or_create(server.incarnation).since_last_probe_ms(
+                now_ms
+            )
             interval_ms = self._intervals_ms.get(server.service, 0.0)
             left_ms = rank * max(STEP_IN_MS, STEP_IN_INTERVALS * interval_ms) - unmeasured_ms
             soonest_ms = min(soonest_ms, left_ms)
@@ -147,10 +149,10 @@
         """
         most_per_s = self._most_per_s
         vms = 1 + sum(1 for item in self._members.alive(now_ms) if item.ready)
-        if self._members.crowded():
+        if self._members.in_large_data_center():
             most_per_s = min(most_per_s, CROWD_MOST_PROBES_PER_S)
-            data_centers = 1 + len(self._members.far(now_ms))
-            vms = min(vms, data_centers * len(self._members.serving(now_ms)))
+            data_centers = 1 + len(self._members.remote_members(now_ms))
+            vms = min(vms, data_centers * len(self._members.serving_vms(now_ms)))
         bearable_per_s = self._bearable_per_s(now_ms)
         for service in {server.service for server in self._registry.servers()}:
             endpoints = len(self._registry.of_service(service))
@@ -167,10 +169,10 @@
         if not endpoints:
             return VM_MOST_PROBES_PER_S
         members = self._members
-        measurers = len(members.informed(now_ms)) - len(members.serving(now_ms))
-        if not members.crowded() or measurers <= 0:
+        measurers = len(members.load_subscribers(now_ms)) - len(members.serving_vms(now_ms))
+        if not members.in_large_data_center() or measurers <= 0:
             alive = 1 + sum(1 for item in members.alive(now_ms) if item.ready)
-            measurers = max(1, alive // (1 + len(members.far(now_ms))))
+            measurers = max(1, alive // (1 + len(members.remote_members(now_ms))))
         return VM_MOST_PROBES_PER_S * measurers / max(endpoints.values())
 
     def _order(self, now_ms: float) -> None:
@@ -183,7 +185,7 @@
             if places[0] is None:
                 continue
             for server in servers:
-                rank = places[rank_weight("group", server.incarnation) % len(places)]
+                rank = places[rendezvous_weight("group", server.incarnation) % len(places)]
                 if rank is not None:
                     self._ranked.append((server, rank))
 
@@ -208,14 +210,14 @@
 
         def order(server: BackendServer) -> tuple[bool, int]:
             is_far = server.data_center != self._members.data_center
-            return is_far, rank_weight(self._own_vm, server.incarnation)
+            return is_far, rendezvous_weight(self._own_vm, server.incarnation)
 
         return [(server, 0) for server in sorted(servers, key=order)[:count]]
 
     def _places(self, data_center: str, groups: int, now_ms: float) -> list[int | None]:
         """Return this VM's place in the order of each group, or None where it has none."""
         vms = self._members.data_center_vms(data_center, now_ms)
-        if self._members.crowded():
+        if self._members.in_large_data_center():
             return self._crowd_places(data_center, vms, groups, now_ms)
         if not vms:
             alive = self._members.alive(now_ms)
@@ -232,11 +234,11 @@
         Those that would serve callers next go before those that do.  Where a data centre has no
         VM, one of the others measures it, and the next one once that has failed as a whole.
         """
-        informed = self._members.informed(now_ms)
+        informed = self._members.load_subscribers(now_ms)
         if vms and self._own_vm not in vms:
             return [None] * groups
         before = 0 if vms else len(informed) * self._sites_before(data_center, now_ms)
-        serving = self._members.serving(now_ms)
+        serving = self._members.serving_vms(now_ms)
         spare = [vm for vm in informed if vm not in serving]
         peers = spare if self._own_vm in spare else serving
         before += 0 if peers is spare else len(spare)
@@ -244,8 +246,8 @@
 
     def _sites_before(self, data_center: str, now_ms: float) -> int:
         """Return how many data centres go before the own one in measuring an empty one."""
-        others = self._members.far(now_ms)
-        return place_in_order(data_center, self._members.data_center, others)
+        others = self._members.remote_members(now_ms)
+        return rendezvous_rank(data_center, self._members.data_center, others)
 
     def _place(self, key: str, vms: Sequence[str]) -> int:
-        return place_in_order(key, self._own_vm, vms)
+        return rendezvous_rank(key, self._own_vm, vms)
--- a/cloverhook/gateway/members.py
+++ b/cloverhook/gateway/members.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 from cloverhook.gateway.peer_messages import Heartbeat
-from cloverhook.gateway.ranking import place_in_order, rank_weight
+from cloverhook.gateway.ranking import rendezvous_rank, rendezvous_weight
 
 __all__ = ["READERS", "KnownVersions", "Member", "Members"]
 
@@ -69,13 +69,13 @@
     data_center: str
     caller_address: str
     peer_address: str
-    heard_ms: float
+    last_heartbeat_ms: float
     ready: bool = False
     reading: bool = False
     leaving: bool = False
     config_version: int = -1
     registry_version: int = -1
-    silent_ms: float = SILENT_MS
+    heartbeat_timeout_ms: float = SILENT_MS
     requests_per_s: int = 0
     near_vms: int = 0
     evacuation_version: int = -1
@@ -83,7 +83,7 @@
 
     def is_alive(self, now_ms: float) -> bool:
         """Return whether it was heard a moment ago."""
-        return now_ms - self.heard_ms < self.silent_ms
+        return now_ms - self.last_heartbeat_ms < self.heartbeat_timeout_ms
 
 
 class KnownVersions(Protocol):
@@ -117,7 +117,7 @@
     def __len__(self) -> int:
         return len(self._members)
 
-    def near_count(self) -> int:
+    def local_count(self) -> int:
         """Return how many other VMs of the own data centre are known."""
         return len(self._near)
 
@@ -129,7 +129,7 @@
         """Return a member that has introduced itself."""
         return self._members.get(vm)
 
-    def heard(self, heartbeat: Heartbeat, now_ms: float) -> bool:
+    def record_heartbeat(self, heartbeat: Heartbeat, now_ms: float) -> bool:
         """Take a sign of life; return whether the VM or its process is new, or was silent.
 
         Incarnations are compared, never ordered: clocks may step back between two starts.
@@ -147,8 +147,8 @@
                 now_ms,
             )
             self._put(member)
-        member.heard_ms = self._any_heard_ms = now_ms
-        member.silent_ms = max(SILENT_MS, SILENT_HEARTBEATS * heartbeat.every_ms)
+        member.last_heartbeat_ms = self._any_heard_ms = now_ms
+        member.heartbeat_timeout_ms = max(SILENT_MS, SILENT_HEARTBEATS * heartbeat.every_ms)
         member.ready = heartbeat.ready
         member.reading = heartbeat.reading
         member.leaving = heartbeat.leaving
@@ -166,7 +166,7 @@
             self._readers.pop(heartbeat.vm, None)
         return back
 
-    def hears(self, now_ms: float) -> None:
+    def record_message(self, now_ms: float) -> None:
         """Note that some message of another VM has come."""
         self._any_heard_ms = now_ms
 
@@ -175,11 +175,11 @@
 
         It then places requests without the counts and figures of others.
         """
-        if not self.crowded():
+        if not self.in_large_data_center():
             return False
-        return now_ms - self._any_heard_ms > ALONE_MS or _most_silent(self.near(), now_ms)
+        return now_ms - self._any_heard_ms > ALONE_MS or _most_silent(self.local_members(), now_ms)
 
-    def names_itself(self, now_ms: float) -> bool:
+    def advertises_itself(self, now_ms: float) -> bool:
         """Return whether this VM, if it is ready, tells callers its own address.
 
         One that is cut off does not: callers still reach the others, which place requests better.
@@ -197,21 +197,21 @@
         """Return the members heard a moment ago."""
         return tuple(item for item in self._members.values() if item.is_alive(now_ms))
 
-    def count(self) -> int:
+    def estimated_fleet_size(self) -> int:
         """Return how many VMs may be serving, this one included; silent ones count for a while.
 
         Of another data centre that is crowded only a few are heard; they tell how many there are.
         """
         return 1 + len(self._members) + self._unheard
 
-    def caller_addresses(self, now_ms: float, reaches_nobody: bool = False) -> list[str]:
+    def caller_addresses(self, now_ms: float, fully_isolated: bool = False) -> list[str]:
         """Return the addresses of the other VMs that callers may use.
 
-        Those that were not heard for long are left out, unless this VM `reaches_nobody`, not even
-        the store: then it is cut off itself, and callers still reach the others.
+        Those that were not heard for long are left out, unless this VM is `fully_isolated`, not
+        even the store: then it is cut off itself, and callers still reach the others.
         """
-        if self.crowded() and len(self.serving(now_ms)) >= NAMED_NEAR_VMS:
-            found = (self._near.get(vm) for vm in self.serving(now_ms))
+        if self.in_large_data_center() and len(self.serving_vms(now_ms)) >= NAMED_NEAR_VMS:
+            found = (self._near.get(vm) for vm in self.serving_vms(now_ms))
             named = [item for item in found if item is not None]
         else:
             ready = [item for item in self._members.values() if item.ready and not item.leaving]
@@ -219,15 +219,15 @@
             near = [item for item in named if item.data_center == self.data_center]
             if len(near) >= NAMED_NEAR_VMS:
                 named = near
-        if not reaches_nobody:
-            named = [item for item in named if now_ms - item.heard_ms < NAMED_MS]
+        if not fully_isolated:
+            named = [item for item in named if now_ms - item.last_heartbeat_ms < NAMED_MS]
         return [item.caller_address for item in named]
 
     def serves_callers(self, now_ms: float) -> bool:
         """Return whether this VM, if it is ready, is one of those that callers are sent to."""
-        return not self.crowded() or self._serves(self._own_vm, now_ms)
+        return not self.in_large_data_center() or self._serves(self._own_vm, now_ms)
 
-    def serving(self, now_ms: float) -> tuple[str, ...]:
+    def serving_vms(self, now_ms: float) -> tuple[str, ...]:
         """Return the VMs of the own data centre that callers are sent to.
 
         Every VM works them out for itself, from whom it hears: the first ones of an order.
@@ -235,7 +235,7 @@
         self._set_serving(now_ms)
         return self._serving
 
-    def informed(self, now_ms: float) -> tuple[str, ...]:
+    def load_subscribers(self, now_ms: float) -> tuple[str, ...]:
         """Return the VMs of the own data centre that need load figures, in the same order.
 
         They are those that callers are sent to, and the next ones that would be.
@@ -243,9 +243,9 @@
         self._set_serving(now_ms)
         return self._informed
 
-    def is_informed(self, now_ms: float) -> bool:
+    def is_load_subscriber(self, now_ms: float) -> bool:
         """Return whether this VM is among those that need load figures."""
-        return not self.crowded() or self._own_vm in self.informed(now_ms)
+        return not self.in_large_data_center() or self._own_vm in self.load_subscribers(now_ms)
 
     def _set_serving(self, now_ms: float) -> None:
         if now_ms < self._serving_due_ms:
@@ -254,48 +254,48 @@
         near = [item for item in self._near.values() if item.ready and not item.leaving]
         found = [item.vm for item in _heard_or_all(near, now_ms)]
         found.append(self._own_vm)
-        found.sort(key=lambda vm: rank_weight("callers", vm), reverse=True)
+        found.sort(key=lambda vm: rendezvous_weight("callers", vm), reverse=True)
         requests_per_s = sum(item.requests_per_s for item in near if item.is_alive(now_ms))
         wanted = max(SERVING_VMS, ceil(requests_per_s / REQUESTS_PER_SERVING_VM))
         self._serving = tuple(found[:wanted])
         self._informed = tuple(found[: wanted + UNDERSTUDY_VMS])
 
-    def placing(self, data_center: str, now_ms: float) -> tuple[str, ...]:
+    def dispatching_vms(self, data_center: str, now_ms: float) -> tuple[str, ...]:
         """Return the VMs that place requests at the endpoints of a data centre by good knowledge.
 
         Where the own data centre is crowded, these are its serving VMs, and for another one none
         here; else all that serve.
         """
-        if self.crowded():
-            return self.serving(now_ms) if data_center == self.data_center else ()
+        if self.in_large_data_center():
+            return self.serving_vms(now_ms) if data_center == self.data_center else ()
         ready = [item for item in self._members.values() if item.ready and not item.leaving]
         return (*(item.vm for item in _heard_or_all(ready, now_ms)), self._own_vm)
 
-    def sent_counts(self, vm: str, now_ms: float) -> None:
+    def record_count_sender(self, vm: str, now_ms: float) -> None:
         """Note that a VM has requests in flight: it places them, whether callers are sent to it."""
         self._counts_ms[vm] = now_ms
 
-    def senders(self, now_ms: float) -> int:
+    def count_senders(self, now_ms: float) -> int:
         """Return how many other VMs, of whichever data centre, have told counts lately."""
         return sum(1 for at_ms in self._counts_ms.values() if at_ms > now_ms - SENDER_MS)
 
-    def count_audience(self, now_ms: float) -> list[Member]:
+    def live_count_subscribers(self, now_ms: float) -> list[Member]:
         """Return the live neighbours that place requests, and so are told the counts in flight.
 
         They are those that callers are sent to, and those that callers with old addresses use.
         """
-        return self._neighbours(self.serving(now_ms), now_ms)
+        return self._neighbours(self.serving_vms(now_ms), now_ms)
 
-    def audience(self, now_ms: float) -> list[Member]:
+    def live_load_subscribers(self, now_ms: float) -> list[Member]:
         """Return the live neighbours that are told load figures: who places requests, or may soon.
 
         In a data centre that is not crowded, all are.
         """
-        return self._neighbours(self.informed(now_ms), now_ms)
+        return self._neighbours(self.load_subscribers(now_ms), now_ms)
 
     def _neighbours(self, named: tuple[str, ...], now_ms: float) -> list[Member]:
         """Return the live neighbours of these names, and those that have told counts lately."""
-        if not self.crowded():
+        if not self.in_large_data_center():
             return [item for item in self._near.values() if item.is_alive(now_ms)]
         since_ms = now_ms - SENDER_MS
         self._counts_ms = {vm: at_ms for vm, at_ms in self._counts_ms.items() if at_ms > since_ms}
@@ -303,7 +303,7 @@
         return [item for item in found if item is not None and item.is_alive(now_ms)]
 
     def _serves(self, vm: str, now_ms: float) -> bool:
-        return vm in self.serving(now_ms)
+        return vm in self.serving_vms(now_ms)
 
     def data_center_vms(self, data_center: str, now_ms: float) -> list[str]:
         """Return the VMs of a data centre that are alive, this one included if it lies there."""
@@ -314,23 +314,25 @@
         ]
         return [*found, self._own_vm] if data_center == self.data_center else found
 
-    def holders(self, knows: Callable[[Member], bool], now_ms: float) -> list[Member]:
+    def members_with_state(
+        self, has_state: Callable[[Member], bool], now_ms: float
+    ) -> list[Member]:
         """Return the neighbours that know something, by what they said; best those heard lately.
 
         Some send heartbeats so seldom that a dead one counts as alive for long.
         """
-        found = [item for item in self.near() if item.is_alive(now_ms) and knows(item)]
-        return [item for item in found if now_ms - item.heard_ms < RECENT_MS] or found
+        found = [item for item in self.local_members() if item.is_alive(now_ms) and has_state(item)]
+        return [item for item in found if now_ms - item.last_heartbeat_ms < RECENT_MS] or found
 
-    def crowded(self) -> bool:
+    def in_large_data_center(self) -> bool:
         """Return whether the own data centre has many VMs."""
         return len(self._near) > CROWD_VMS
 
-    def near(self) -> list[Member]:
+    def local_members(self) -> list[Member]:
         """Return the other VMs of the own data centre, also silent ones."""
         return list(self._near.values())
 
-    def far(self, now_ms: float) -> dict[str, list[Member]]:
+    def remote_members(self, now_ms: float) -> dict[str, list[Member]]:
         """Return the VMs of each other data centre that are alive, or all where none is."""
         groups: dict[str, list[Member]] = {}
         for item in self._members.values():
@@ -341,7 +343,7 @@
             for name, group in groups.items()
         }
 
-    def relays(self, now_ms: float) -> dict[str, list[Member]]:
+    def relay_candidates(self, now_ms: float) -> dict[str, list[Member]]:
         """Return the VMs of each other data centre that are likely to relay messages.
 
         They were heard a moment ago: some send heartbeats so seldom that a dead one counts as
@@ -350,28 +352,31 @@
         if now_ms >= self._relays_due_ms:
             self._relays_due_ms = now_ms + SERVING_MS
             self._relays = {
-                name: [item for item in group if now_ms - item.heard_ms < RECENT_MS] or group
-                for name, group in self.far(now_ms).items()
+                name: [item for item in group if now_ms - item.last_heartbeat_ms < RECENT_MS]
+                or group
+                for name, group in self.remote_members(now_ms).items()
             }
         return self._relays
 
-    def reads_store(self, reading: bool, now_ms: float) -> bool:
+    def should_read_store(self, reading: bool, now_ms: float) -> bool:
         """Return whether this VM should follow the store; `reading` is whether it does so well."""
         others = [
             item
             for item in self._readers.values()
-            if not item.leaving and now_ms - item.heard_ms < READER_SILENT_MS
+            if not item.leaving and now_ms - item.last_heartbeat_ms < READER_SILENT_MS
         ]
         if reading:
-            place = place_in_order("reader", self._own_vm, (item.vm for item in others))
+            place = rendezvous_rank("reader", self._own_vm, (item.vm for item in others))
             return place < READERS
         if len(others) >= READERS:
             self._enough_readers_ms = now_ms
             self._was_read = True
             return False
-        recent = (item for item in self.alive(now_ms) if now_ms - item.heard_ms < RANKED_MS)
+        recent = (
+            item for item in self.alive(now_ms) if now_ms - item.last_heartbeat_ms < RANKED_MS
+        )
         idle = [item.vm for item in recent if item not in others]
-        wait_ms = TAKEOVER_STEP_MS * place_in_order("reader", self._own_vm, idle)
+        wait_ms = TAKEOVER_STEP_MS * rendezvous_rank("reader", self._own_vm, idle)
         if others or not self._was_read:
             wait_ms += READER_SILENT_MS
         return now_ms - self._enough_readers_ms >= wait_ms
@@ -379,14 +384,14 @@
     def forget(self, now_ms: float) -> None:
         """Drop members that have been silent for long; to be called now and then."""
         for vm, item in tuple(self._members.items()):
-            if now_ms - item.heard_ms > FORGET_MS:
+            if now_ms - item.last_heartbeat_ms > FORGET_MS:
                 del self._members[vm]
                 self._near.pop(vm, None)
                 self._readers.pop(vm, None)
         known = Counter(item.data_center for item in self._members.values())
         self._unheard = sum(
             max(0, max(item.near_vms for item in group) - known[name])
-            for name, group in self.far(now_ms).items()
+            for name, group in self.remote_members(now_ms).items()
         )
 
 
@@ -405,7 +410,7 @@
 
 def _most_silent(members: list[Member], now_ms: float) -> bool:
     """Return whether most members are silent, or most of those with frequent heartbeats."""
-    often = [item for item in members if item.silent_ms <= SILENT_MS]
+    often = [item for item in members if item.heartbeat_timeout_ms <= SILENT_MS]
     for group in (often, members):
         if sum(1 for item in group if item.is_alive(now_ms)) < MAJORITY * len(group):
             return True
--- a/cloverhook/gateway/peer_link.py
+++ b/cloverhook/gateway/peer_link.py
@@ -22,7 +22,7 @@
 from cloverhook.gateway.datagram_port import DatagramPort, SocketAddress
 from cloverhook.gateway.peer_messages import PeerMessage, decode
 
-__all__ = ["Answer", "PeerLink"]
+__all__ = ["StateReply", "PeerLink"]
 
 LENGTH = struct.Struct(">I")
 MARK = struct.Struct(">I")
@@ -50,11 +50,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """A state for a peer; `on_end` hears whether the peer has received it."""
+class StateReply:
+    """A state for a peer; `on_transfer_end` hears whether the peer has received it."""
 
     state: dict[str, Any]
-    on_end: Callable[[bool], None] | None = None
+    on_transfer_end: Callable[[bool], None] | None = None
 
 
 class PeerLink:
@@ -63,20 +63,20 @@
     def __init__(
         self,
         on_message: Callable[[PeerMessage, str], None],
-        answer: Callable[[Asked], Awaitable[Answer]],
-        on_garbage: Callable[[str, MessageError], None],
+        answer: Callable[[Asked], Awaitable[StateReply]],
+        on_invalid_message: Callable[[str, MessageError], None],
         fleet: str = "",
-        together_ms: Callable[[], float] = lambda: 0.0,
+        receive_batch_ms: Callable[[], float] = lambda: 0.0,
     ) -> None:
         """`fleet` is what all VMs of a fleet have in common and no other fleet has.
 
-        Datagrams that come within `together_ms()` of each other are read together.
+        Datagrams that come within `receive_batch_ms()` of each other are read together.
         """
         self._mark = MARK.pack(xxhash.xxh32_intdigest(fleet.encode()))
         self._on_message = on_message
         self._answer = answer
-        self._on_garbage = on_garbage
-        self._port = DatagramPort(self._on_datagram, together_ms)
+        self._on_invalid_message = on_invalid_message
+        self._port = DatagramPort(self._on_datagram, receive_batch_ms)
         self._server: asyncio.Server | None = None
 
     async def open(self, address: str) -> None:
@@ -95,14 +95,14 @@
         """Send an encoded message, which may be lost."""
         self._port.send(self._mark + data, _split(address))
 
-    async def fetch(self, address: str, asked: Asked) -> dict[str, Any]:
+    async def fetch(self, address: str, request: Asked) -> dict[str, Any]:
         """Ask a peer for its state.  Raises `MessageError` when none comes."""
         host, port = _split(address)
         try:
             async with asyncio.timeout(FETCH_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(host, port)
             try:
-                _put(writer, self._mark + cbor2.dumps(asked))
+                _put(writer, self._mark + cbor2.dumps(request))
                 data = await _get(reader)
                 writer.write(RECEIVED)
                 state = cbor2.loads(zlib.decompress(data))
@@ -127,7 +127,7 @@
         try:
             message = decode(self._own(data))
         except MessageError as error:
-            self._on_garbage(sender, error)
+            self._on_invalid_message(sender, error)
             return
         self._on_message(message, sender)
 
@@ -138,7 +138,7 @@
         return data[MARK.size :]
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        answer: Answer | None = None
+        answer: StateReply | None = None
         received = False
         try:
             asked = cbor2.loads(self._own(await _get(reader)))
@@ -147,7 +147,7 @@
             answer = await self._answer(asked)
             data = zlib.compress(cbor2.dumps(answer.state))
             _put(writer, data)
-            if answer.on_end is not None:
+            if answer.on_transfer_end is not None:
                 received = await self._was_received(reader, len(data))
         except (
             OSError,
@@ -157,13 +157,13 @@
             MessageError,
             cbor2.CBORError,
         ) as error:
-            self._on_garbage("a peer that asked for the state", MessageError(repr(error)))
+            self._on_invalid_message("a peer that asked for the state", MessageError(repr(error)))
         except asyncio.CancelledError:
             pass  # The process ends.  Streams of Python 3.11 print a trace for a cancelled task.
         finally:
             writer.close()
-            if answer is not None and answer.on_end is not None:
-                answer.on_end(received)
+            if answer is not None and answer.on_transfer_end is not None:
+                answer.on_transfer_end(received)
 
     async def _was_received(self, reader: asyncio.StreamReader, size_bytes: int) -> bool:
         """Wait until a peer says that it has all, for as long as a slow link needs."""
--- a/cloverhook/gateway/peer_messages.py
+++ b/cloverhook/gateway/peer_messages.py
@@ -4,7 +4,7 @@
 between data centres are paid for.  What is no message, whole and of the right types, raises
 `MessageError`: whatever reaches the port, nothing behind `decode` has to expect it.
 
->>> decode(encode(InFlight("vm-1", {"i-7": 2}))).counts
+>>> decode(encode(InFlightCounts("vm-1", {"i-7": 2}))).counts
 {'i-7': 2}
 """
 
@@ -16,25 +16,25 @@
 
 from cloverhook.checking import Address, Flag, Integer, Number, checker, kind_field, table_of
 from cloverhook.errors import MessageError
-from cloverhook.gateway.load import LoadFigure
+from cloverhook.gateway.load import LoadReport
 from cloverhook.gateway.registry import REGISTRY_DOCUMENT
 
 __all__ = [
     "Heartbeat",
-    "CountChanges",
+    "InFlightCountChanges",
     "Failures",
-    "IS_REGISTRY_DOCUMENT",
+    "is_registry_document",
     "Identity",
-    "InFlight",
-    "Loads",
+    "InFlightCounts",
+    "LoadReports",
     "PeerMessage",
-    "RateLimitRow",
+    "RateLimitEntry",
     "RateLimitUpdate",
     "Refusals",
     "Relay",
     "ServerChanges",
-    "Suspicion",
-    "Suspicions",
+    "CrashRecord",
+    "CrashRecords",
     "decode",
     "encode",
 ]
@@ -87,11 +87,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Loads:
+class LoadReports:
     """Load figures of backend servers: incarnation, figure, and its age when this was sent."""
 
     vm: str
-    figures: tuple[tuple[str, LoadFigure, float], ...]
+    reports: tuple[tuple[str, LoadReport, float], ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,7 +104,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InFlight:
+class InFlightCounts:
     """How many requests a VM has in flight at each backend server; those left out have none."""
 
     vm: str
@@ -112,8 +112,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CountChanges:
-    """The counts of `InFlight` that have changed; the others are as they were."""
+class InFlightCountChanges:
+    """The counts of `InFlightCounts` that have changed; the others are as they were."""
 
     vm: str
     counts: dict[str, int]
@@ -140,20 +140,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Suspicion:
+class CrashRecord:
     """How many endpoints in a row have crashed under a request, which its key stands for.
 
-    Nobody else is to send it for `held_ms`; `claimed` says that the sender sends a copy meanwhile.
+    Nobody else is to send it for `hold_ms`; `is_claim` says that the sender sends a copy meanwhile.
     Without a crash the request was answered well, and is clear.
     """
 
     key: int
     crashes: int
-    held_ms: float = 0.0
-    claimed: bool = False
+    hold_ms: float = 0.0
+    is_claim: bool = False
 
     @classmethod
-    def from_row(cls, key: int, crashes: int, held_ms: float, claimed: bool) -> "Suspicion":
+    def from_row(cls, key: int, crashes: int, held_ms: float, claimed: bool) -> "CrashRecord":
         """Build one from a row of a datagram.  Raises `TypeError` or `ValueError`."""
         has_types = type(key) is type(crashes) is int and isinstance(claimed, bool)
         if not has_types or type(held_ms) not in (int, float):
@@ -164,19 +164,19 @@
 
     def to_row(self) -> list[Any]:
         """Return the form in which it stands in a datagram."""
-        return [self.key, self.crashes, round(self.held_ms), self.claimed]
+        return [self.key, self.crashes, round(self.hold_ms), self.is_claim]
 
 
 @dataclass(frozen=True, slots=True)
-class Suspicions:
+class CrashRecords:
     """What a VM holds against some requests."""
 
     vm: str
-    rows: tuple[Suspicion, ...]
+    rows: tuple[CrashRecord, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class RateLimitRow:
+class RateLimitEntry:
     """The limit that an endpoint has named, in requests a second, and the age of its word.
 
     Without a limit, it has ceased to name one.
@@ -187,7 +187,7 @@
     age_ms: float
 
     @classmethod
-    def from_row(cls, incarnation: str, per_s: float | None, age_ms: float) -> "RateLimitRow":
+    def from_row(cls, incarnation: str, per_s: float | None, age_ms: float) -> "RateLimitEntry":
         """Build one from a row of a datagram.  Raises `TypeError` or `ValueError`."""
         numbers = [age_ms] if per_s is None else [age_ms, per_s]
         if not isinstance(incarnation, str) or any(type(x) not in (int, float) for x in numbers):
@@ -206,7 +206,7 @@
     """What a VM has heard of the limits of endpoints."""
 
     vm: str
-    rows: tuple[RateLimitRow, ...]
+    rows: tuple[RateLimitEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -219,26 +219,26 @@
 
 PeerMessage = (
     Heartbeat
-    | Loads
+    | LoadReports
     | ServerChanges
-    | InFlight
+    | InFlightCounts
     | Relay
     | Failures
     | Refusals
-    | CountChanges
-    | Suspicions
+    | InFlightCountChanges
+    | CrashRecords
     | RateLimitUpdate
 )
-KINDS: tuple[type, ...] = (
+MESSAGE_TYPES: tuple[type, ...] = (
     Heartbeat,
-    Loads,
+    LoadReports,
     ServerChanges,
-    InFlight,
+    InFlightCounts,
     Relay,
     Failures,
     Refusals,
-    CountChanges,
-    Suspicions,
+    InFlightCountChanges,
+    CrashRecords,
     RateLimitUpdate,
 )
 PLAIN_FIELDS = {
@@ -247,18 +247,18 @@
 }
 """The kinds whose fields follow each other in a datagram as they are."""
 HEARTBEAT_CHECKS = tuple((name, checker(kind)) for name, kind in table_of(Heartbeat).fields.items())
-IS_REGISTRY_DOCUMENT = checker(REGISTRY_DOCUMENT)
+is_registry_document = checker(REGISTRY_DOCUMENT)
 
 
 def encode(message: PeerMessage) -> bytes:
     """Return a message as a datagram."""
-    kind = KINDS.index(type(message))
-    if isinstance(message, Loads):
-        rows = [_row(*item) for item in message.figures]
+    kind = MESSAGE_TYPES.index(type(message))
+    if isinstance(message, LoadReports):
+        rows = [_row(*item) for item in message.reports]
         return cbor2.dumps([kind, message.vm, rows])
-    if isinstance(message, Suspicions | RateLimitUpdate):
+    if isinstance(message, CrashRecords | RateLimitUpdate):
         return cbor2.dumps([kind, message.vm, [row.to_row() for row in message.rows]])
-    if isinstance(message, InFlight | CountChanges):
+    if isinstance(message, InFlightCounts | InFlightCountChanges):
         return cbor2.dumps([kind, message.vm, message.counts])
     if isinstance(message, ServerChanges):
         return cbor2.dumps([kind, message.vm, message.base_version, message.document])
@@ -269,17 +269,17 @@
     """Return the message of a datagram.  Raises `MessageError` for anything else."""
     try:
         kind, *values = cbor2.loads(data)
-        if KINDS[kind] is Loads:
+        if MESSAGE_TYPES[kind] is LoadReports:
             vm, rows = values
-            message = Loads(vm, tuple(_figure(*row) for row in rows))
-        elif KINDS[kind] is Suspicions:
+            message = LoadReports(vm, tuple(_figure(*row) for row in rows))
+        elif MESSAGE_TYPES[kind] is CrashRecords:
             vm, rows = values
-            message = Suspicions(vm, tuple(Suspicion.from_row(*row) for row in rows))
-        elif KINDS[kind] is RateLimitUpdate:
+            message = CrashRecords(vm, tuple(CrashRecord.from_row(*row) for row in rows))
+        elif MESSAGE_TYPES[kind] is RateLimitUpdate:
             vm, rows = values
-            message = RateLimitUpdate(vm, tuple(RateLimitRow.from_row(*row) for row in rows))
+            message = RateLimitUpdate(vm, tuple(RateLimitEntry.from_row(*row) for row in rows))
         else:
-            message = KINDS[kind](*values)
+            message = MESSAGE_TYPES[kind](*values)
     except (cbor2.CBORError, TypeError, ValueError, IndexError, RecursionError) as error:
         raise MessageError(f"a datagram that is no message: {error!r}") from error
     if not isinstance(message.vm, str) or not _is_sound(message):
@@ -294,8 +294,8 @@
             return all(accepts(getattr(message, name)) for name, accepts in HEARTBEAT_CHECKS)
         case ServerChanges():
             base_is_sound = type(message.base_version) is int
-            return base_is_sound and IS_REGISTRY_DOCUMENT(message.document)
-        case InFlight() | CountChanges():
+            return base_is_sound and is_registry_document(message.document)
+        case InFlightCounts() | InFlightCountChanges():
             counts = message.counts
             return isinstance(counts, dict) and all(map(_is_count, counts, counts.values()))
         case Relay():
@@ -320,15 +320,15 @@
     return isinstance(incarnation, str) and has_age and isinstance(answered, bool)
 
 
-def _row(incarnation: str, figure: LoadFigure, age_ms: float) -> list[Any]:
-    pace = round(figure.pace * 100) if figure.reachable else -1
+def _row(incarnation: str, figure: LoadReport, age_ms: float) -> list[Any]:
+    pace = round(figure.slowdown * 100) if figure.reachable else -1
     row = [incarnation, figure.running, figure.waiting, pace, round(age_ms)]
-    return [*row, round(figure.cold_ms)] if figure.cold_ms else row
+    return [*row, round(figure.cold_for_ms)] if figure.cold_for_ms else row
 
 
 def _figure(
     incarnation: str, running: int, waiting: int, pace: int, age_ms: float, cold_ms: float = 0
-) -> tuple[str, LoadFigure, float]:
+) -> tuple[str, LoadReport, float]:
     if not (type(running) is type(waiting) is type(pace) is int and isinstance(incarnation, str)):
         raise TypeError("a load figure of other types")
     if running < 0 or waiting < 0 or not 0 <= age_ms < inf or not 0 <= cold_ms < inf:
@@ -336,6 +336,6 @@
     reachable = pace >= 0
     return (
         incarnation,
-        LoadFigure(running, waiting, pace / 100 if reachable else 1.0, reachable, float(cold_ms)),
+        LoadReport(running, waiting, pace / 100 if reachable else 1.0, reachable, float(cold_ms)),
         age_ms,
     )
--- a/cloverhook/gateway/prober.py
+++ b/cloverhook/gateway/prober.py
@@ -13,8 +13,8 @@
 from cloverhook.gateway.backend_pool import BackendPool
 from cloverhook.gateway.backend_server import BackendServer
 from cloverhook.gateway.call_headers import CallHeaders
-from cloverhook.gateway.load import LoadFigure
-from cloverhook.gateway.load_probe import NOBODY, ask_load
+from cloverhook.gateway.load import LoadReport
+from cloverhook.gateway.load_probe import UNREACHABLE_REPORT, probe_load
 
 __all__ = ["Prober"]
 
@@ -30,20 +30,20 @@
     def __init__(
         self,
         headers: CallHeaders,
-        on_figure: Callable[[BackendServer, LoadFigure, float], None],
+        on_load_report: Callable[[BackendServer, LoadReport, float], None],
     ) -> None:
         self._headers = headers
-        self._on_figure = on_figure
+        self._on_load_report = on_load_report
         self._pool = BackendPool()
         self._running: dict[str, asyncio.Task[None]] = {}
         self._silences: dict[str, int] = {}
-        self.probes = 0
+        self.probe_count = 0
 
     def probe(self, servers: Iterable[tuple[BackendServer, str]]) -> None:
         """Ask each backend server on its health path, unless an earlier probe still runs."""
         for server, path in servers:
             if server.incarnation not in self._running:
-                self.probes += 1
+                self.probe_count += 1
                 task = asyncio.get_running_loop().create_task(self._probe(server, path))
                 self._running[server.incarnation] = task
                 task.add_done_callback(lambda _, name=server.incarnation: self._running.pop(name))
@@ -70,19 +70,19 @@
         except TimeoutError:
             silences = self._silences.get(server.incarnation, 0) + 1
             self._silences[server.incarnation] = silences
-            figure = NOBODY if silences >= SILENCES else None
+            figure = UNREACHABLE_REPORT if silences >= SILENCES else None
         except UpstreamError as error:
-            figure = None if error.sent else NOBODY
+            figure = None if error.sent else UNREACHABLE_REPORT
         else:
             self._silences[server.incarnation] = 0
         if figure is not None:
-            self._on_figure(server, figure, asked_ms)
+            self._on_load_report(server, figure, asked_ms)
 
-    async def _ask(self, server: BackendServer, path: str) -> LoadFigure | None:
+    async def _ask(self, server: BackendServer, path: str) -> LoadReport | None:
         connection = await self._pool.acquire(server, CONNECTION_LIMIT, True, TIMEOUT_MS)
         head = None
         try:
-            head, figure = await ask_load(connection, server, path, self._headers)
+            head, figure = await probe_load(connection, server, path, self._headers)
         finally:
             if head is None or connection.usable is False:
                 connection.close()
--- a/cloverhook/gateway/quarantine.py
+++ b/cloverhook/gateway/quarantine.py
@@ -13,12 +13,12 @@
 
 >>> vm = Quarantine("vm-1")
 >>> keys = RequestKeys(11, 12)
->>> _ = vm.crashed(keys, vm.crashes(keys), 0.0)
->>> vm.standing(keys, 1.0), vm.begin(keys, 1.0)
-(<Standing.OURS: 1>, True)
->>> _ = vm.crashed(keys, vm.crashes(keys), 50.0)
->>> vm.standing(keys, 51.0), vm.standing(keys, 30_000.0)
-(<Standing.BARRED: 4>, <Standing.FREE: 2>)
+>>> _ = vm.record_crash(keys, vm.crash_counts(keys), 0.0)
+>>> vm.send_permission(keys, 1.0), vm.try_begin_send(keys, 1.0)
+(<SendPermission.OWN_LEASE: 1>, True)
+>>> _ = vm.record_crash(keys, vm.crash_counts(keys), 50.0)
+>>> vm.send_permission(keys, 51.0), vm.send_permission(keys, 30_000.0)
+(<SendPermission.QUARANTINED: 4>, <SendPermission.LEASE_FREE: 2>)
 """
 
 from collections.abc import Iterable
@@ -26,12 +26,12 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from cloverhook.gateway.peer_messages import Suspicion
-from cloverhook.gateway.ranking import rank_weight
+from cloverhook.gateway.peer_messages import CrashRecord
+from cloverhook.gateway.ranking import rendezvous_weight
 from cloverhook.gateway.request_key import RequestKeys
 from cloverhook.gateway.served_requests import ServedRequests
 
-__all__ = ["TOLD_LIMIT", "Quarantine", "Reaction", "Standing"]
+__all__ = ["CRASH_RECORDS_PER_DATAGRAM", "Quarantine", "UpdateResponse", "SendPermission"]
 
 TURN_MS = 1_000.0
 """The VM whose turn it is has so long to send its copy and to learn what became of it."""
@@ -42,18 +42,18 @@
 FORGET_MS = 600_000.0
 """A request that has crashed nothing for so long, and is not in quarantine, starts anew."""
 SUSPECTS_LIMIT = 1_024
-TOLD_LIMIT = 40
+CRASH_RECORDS_PER_DATAGRAM = 40
 """So many suspicions fit into a datagram."""
 
 
-class Standing(IntEnum):
+class SendPermission(IntEnum):
     """Whether this VM may send a request now; of several keys the greatest one counts."""
 
     CLEAR = 0
-    OURS = 1
-    FREE = 2
-    HELD = 3
-    BARRED = 4
+    OWN_LEASE = 1
+    LEASE_FREE = 2
+    LEASE_TAKEN = 3
+    QUARANTINED = 4
 
 
 @dataclass(slots=True)
@@ -68,11 +68,11 @@
     used: bool = False
 
 
-class Reaction(NamedTuple):
+class UpdateResponse(NamedTuple):
     """What another VM's word calls for: an answer to that VM, and what all should hear."""
 
-    answer: Suspicion | None = None
-    pass_on: Suspicion | None = None
+    reply: CrashRecord | None = None
+    relay: CrashRecord | None = None
 
 
 class Quarantine:
@@ -87,47 +87,49 @@
         """Return how many requests are suspected, in quarantine or not."""
         return len(self._suspects)
 
-    def barred(self, now_ms: float) -> list[Suspicion]:
+    def quarantined(self, now_ms: float) -> list[CrashRecord]:
         """Return the requests that are in quarantine, the gravest first."""
-        return [item for item in self._ranked(now_ms) if item.crashes > 1 and item.held_ms > 0.0]
+        return [item for item in self._ranked(now_ms) if item.crashes > 1 and item.hold_ms > 0.0]
 
-    def crashes(self, keys: RequestKeys) -> tuple[int, ...]:
+    def crash_counts(self, keys: RequestKeys) -> tuple[int, ...]:
         """Return how many crashes in a row are known, for each key."""
         found = (self._suspects.get(key) for key in keys)
         return tuple(0 if item is None else item.crashes for item in found)
 
-    def standing(self, keys: RequestKeys, now_ms: float) -> Standing:
+    def send_permission(self, keys: RequestKeys, now_ms: float) -> SendPermission:
         """Return whether this VM may send a request."""
         if not self._suspects:
-            return Standing.CLEAR
+            return SendPermission.CLEAR
         return max(self._standing(key, now_ms) for key in keys)
 
-    def left_ms(self, keys: RequestKeys, now_ms: float) -> float:
+    def remaining_ms(self, keys: RequestKeys, now_ms: float) -> float:
         """Return for how long a request is held or in quarantine."""
         found = (self._suspects.get(key) for key in keys)
         return max((item.until_ms - now_ms for item in found if item is not None), default=0.0)
 
-    def settled_ms(self, keys: RequestKeys) -> float:
+    def claim_settled_ms(self, keys: RequestKeys) -> float:
         """Return when a claim of this VM is known to those that may have one as well."""
         found = (self._suspects.get(key) for key in keys)
         return max((item.claimed_ms + SETTLE_MS for item in found if item is not None), default=0.0)
 
-    def claim(self, keys: RequestKeys, now_ms: float) -> list[Suspicion]:
+    def claim(self, keys: RequestKeys, now_ms: float) -> list[CrashRecord]:
         """Take the turn where it is free; return what to tell the others."""
-        claimed = [key for key in keys if self._standing(key, now_ms) is Standing.FREE]
+        claimed = [key for key in keys if self._standing(key, now_ms) is SendPermission.LEASE_FREE]
         return [self._claim(key, now_ms) for key in claimed]
 
-    def begin(self, keys: RequestKeys, now_ms: float) -> bool:
+    def try_begin_send(self, keys: RequestKeys, now_ms: float) -> bool:
         """Return whether a copy may be sent at this moment, and use up the turn for it."""
         if not self._suspects:
             return True
-        if self.standing(keys, now_ms) > Standing.OURS:
+        if self.send_permission(keys, now_ms) > SendPermission.OWN_LEASE:
             return False
         for item in filter(None, map(self._suspects.get, keys)):
             item.used = True
         return True
 
-    def crashed(self, keys: RequestKeys, known: tuple[int, ...], now_ms: float) -> list[Suspicion]:
+    def record_crash(
+        self, keys: RequestKeys, known: tuple[int, ...], now_ms: float
+    ) -> list[CrashRecord]:
         """Take it that an endpoint has crashed under a request of this VM.
 
         `known` are the crashes that were known when it was sent.  Returns what to tell the others.
@@ -143,16 +145,16 @@
                 update.append(self._claim(key, now_ms))
         return update
 
-    def served(self, keys: RequestKeys, now_ms: float) -> list[Suspicion]:
+    def record_success(self, keys: RequestKeys, now_ms: float) -> list[CrashRecord]:
         """Take it that a request was answered well; return what to tell if that clears it."""
         for key in keys:
             self._served.add(key, now_ms)
         if not self._suspects:
             return []
         cleared = [key for key in keys if self._suspects.pop(key, None) is not None]
-        return [Suspicion(key, 0) for key in cleared]
+        return [CrashRecord(key, 0) for key in cleared]
 
-    def received(self, vm: str, update: Suspicion, now_ms: float) -> Reaction:
+    def apply_update(self, vm: str, update: CrashRecord, now_ms: float) -> UpdateResponse:
         """Take what another VM says of a request; return what to answer and to pass on."""
         key, mine = update.key, self._suspects.get(update.key)
         if not update.crashes:
@@ -160,19 +162,19 @@
             self._suspects.pop(key, None)
             # The others hold it because this VM has told them to.
             known_by_us = mine is not None and mine.holder == self._own_vm
-            return Reaction(pass_on=update if known_by_us else None)
+            return UpdateResponse(relay=update if known_by_us else None)
         if self._served.has(key, now_ms):
-            return Reaction(answer=Suspicion(key, 0))
+            return UpdateResponse(reply=CrashRecord(key, 0))
         if mine is not None and update.crashes < mine.crashes:
-            return Reaction(answer=self._suspicion(key, mine, now_ms))
+            return UpdateResponse(reply=self._suspicion(key, mine, now_ms))
         self._believe(vm, update, now_ms)
-        return Reaction()
+        return UpdateResponse()
 
-    def suspicions(self, now_ms: float) -> list[Suspicion]:
+    def suspicions(self, now_ms: float) -> list[CrashRecord]:
         """Return what a VM that has just come should know, the gravest first."""
-        return self._ranked(now_ms)[:TOLD_LIMIT]
+        return self._ranked(now_ms)[:CRASH_RECORDS_PER_DATAGRAM]
 
-    def forget(self, now_ms: float) -> list[int]:
+    def remove_expired(self, now_ms: float) -> list[int]:
         """Drop what is too old to count, and return the keys."""
         old = [
             key
@@ -183,13 +185,13 @@
             del self._suspects[key]
         return old
 
-    def _believe(self, vm: str, update: Suspicion, now_ms: float) -> None:
+    def _believe(self, vm: str, update: CrashRecord, now_ms: float) -> None:
         key, mine = update.key, self._suspects.get(update.key)
-        until_ms = now_ms + min(update.held_ms, _held_ms(update.crashes))
+        until_ms = now_ms + min(update.hold_ms, _held_ms(update.crashes))
         if mine is None or update.crashes > mine.crashes:
             mine = self._put(key, _Suspect(update.crashes, until_ms, now_ms, claimed_ms=now_ms))
-            mine.holder = vm if update.claimed else ""
-        elif update.claimed:
+            mine.holder = vm if update.is_claim else ""
+        elif update.is_claim:
             mine.touched_ms = now_ms
             if not mine.holder or self._may_take(key, mine, vm, now_ms):
                 mine.until_ms, mine.holder, mine.used = until_ms, vm, False
@@ -197,33 +199,33 @@
         elif until_ms > mine.until_ms and update.crashes > 1:
             mine.until_ms, mine.holder = until_ms, ""
 
-    def _ranked(self, now_ms: float) -> list[Suspicion]:
+    def _ranked(self, now_ms: float) -> list[CrashRecord]:
         found = sorted(self._suspects.items(), key=lambda pair: -pair[1].crashes)
         return [self._suspicion(key, item, now_ms) for key, item in found]
 
-    def _standing(self, key: int, now_ms: float) -> Standing:
+    def _standing(self, key: int, now_ms: float) -> SendPermission:
         item = self._suspects.get(key)
         if item is None:
-            return Standing.CLEAR
+            return SendPermission.CLEAR
         if now_ms >= item.until_ms:
-            return Standing.FREE
+            return SendPermission.LEASE_FREE
         if _is_barred(item, now_ms):
-            return Standing.BARRED
+            return SendPermission.QUARANTINED
         ours = item.holder == self._own_vm and not item.used
-        return Standing.OURS if ours else Standing.HELD
+        return SendPermission.OWN_LEASE if ours else SendPermission.LEASE_TAKEN
 
-    def _raise(self, key: int, crashes: int, now_ms: float) -> Suspicion:
+    def _raise(self, key: int, crashes: int, now_ms: float) -> CrashRecord:
         item = self._put(key, _Suspect(crashes, now_ms + _held_ms(crashes), now_ms))
         if crashes == 1:
             return self._claim(key, now_ms)
         return self._suspicion(key, item, now_ms)
 
-    def _claim(self, key: int, now_ms: float) -> Suspicion:
+    def _claim(self, key: int, now_ms: float) -> CrashRecord:
         item = self._suspects[key]
         item.holder, item.used = self._own_vm, False
         item.claimed_ms = item.touched_ms = now_ms
         item.until_ms = now_ms + TURN_MS
-        return Suspicion(key, item.crashes, TURN_MS, claimed=True)
+        return CrashRecord(key, item.crashes, TURN_MS, is_claim=True)
 
     @staticmethod
     def _may_take(key: int, item: _Suspect, vm: str, now_ms: float) -> bool:
@@ -242,8 +244,8 @@
         self._suspects[key] = item
         return item
 
-    def _suspicion(self, key: int, item: _Suspect, now_ms: float) -> Suspicion:
-        return Suspicion(key, item.crashes, max(0.0, item.until_ms - now_ms))
+    def _suspicion(self, key: int, item: _Suspect, now_ms: float) -> CrashRecord:
+        return CrashRecord(key, item.crashes, max(0.0, item.until_ms - now_ms))
 
 
 def _is_barred(item: _Suspect, now_ms: float) -> bool:
@@ -258,7 +260,7 @@
 
 def _ranks(key: int, vm: str, other: str) -> bool:
     """Return whether a VM goes before another one; all VMs come to the same result."""
-    return rank_weight(str(key), vm) > rank_weight(str(key), other)
+    return rendezvous_weight(str(key), vm) > rendezvous_weight(str(key), other)
 
 
 def _least(items: Iterable[tuple[int, _Suspect]]) -> int:
--- a/cloverhook/gateway/rate_limits.py
+++ b/cloverhook/gateway/rate_limits.py
@@ -8,9 +8,9 @@
 
 >>> limits = RateLimits("vm-1", lambda data_center, now_ms: ("vm-1",))
 >>> server = BackendServer("i-1", "orders", "10.0.0.1:9000", "papine")
->>> limits.named("i-1", 2.0, 0.0), limits.may_send(server, 0.0)
+>>> limits.record_limit("i-1", 2.0, 0.0), limits.may_send(server, 0.0)
 (True, True)
->>> limits.sent(server, 0.0)
+>>> limits.record_sent(server, 0.0)
 >>> limits.may_send(server, 499.0), limits.may_send(server, 500.0)
 (False, True)
 """
@@ -19,9 +19,9 @@
 from dataclasses import dataclass
 
 from cloverhook.gateway.backend_server import BackendServer
-from cloverhook.gateway.ranking import place_in_order
+from cloverhook.gateway.ranking import rendezvous_rank
 
-__all__ = ["NamedLimit", "RateLimits"]
+__all__ = ["AdvertisedLimit", "RateLimits"]
 
 LEAST_USERS = 3
 """With one, its loss would leave the endpoint unused until that shows."""
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NamedLimit:
+class AdvertisedLimit:
     """What an endpoint has named, and when it did so first and last."""
 
     per_s: float
@@ -46,11 +46,11 @@
 class RateLimits:
     """The limits that are in force, and this VM's part of them; times are monotonic."""
 
-    def __init__(self, own_vm: str, users_from: Callable[[str, float], tuple[str, ...]]) -> None:
-        """`users_from` names the VMs that place requests at a data centre's endpoints."""
+    def __init__(self, own_vm: str, senders_for: Callable[[str, float], tuple[str, ...]]) -> None:
+        """`senders_for` names the VMs that place requests at a data centre's endpoints."""
         self._own_vm = own_vm
-        self._users_from = users_from
-        self._limits: dict[str, NamedLimit] = {}
+        self._senders_for = senders_for
+        self._limits: dict[str, AdvertisedLimit] = {}
         self._next_ms: dict[str, float] = {}
         self._places: dict[str, tuple[tuple[str, ...], int]] = {}
 
@@ -63,22 +63,22 @@
     def __iter__(self) -> Iterator[str]:
         return iter(self._limits)
 
-    def get(self, incarnation: str) -> NamedLimit | None:
+    def get(self, incarnation: str) -> AdvertisedLimit | None:
         """Return the limit of an endpoint that has named one."""
         return self._limits.get(incarnation)
 
-    def named(self, incarnation: str, per_s: float, at_ms: float) -> bool:
+    def record_limit(self, incarnation: str, per_s: float, at_ms: float) -> bool:
         """Take a limit that an endpoint named at a time; return whether that is another one."""
         known = self._limits.get(incarnation)
         if known is None:
-            self._limits[incarnation] = NamedLimit(per_s, at_ms, at_ms)
+            self._limits[incarnation] = AdvertisedLimit(per_s, at_ms, at_ms)
             return True
         if at_ms < known.last_ms:
             return False
-        self._limits[incarnation] = NamedLimit(per_s, known.first_ms, at_ms)
+        self._limits[incarnation] = AdvertisedLimit(per_s, known.first_ms, at_ms)
         return per_s != known.per_s
 
-    def not_named(self, incarnation: str, at_ms: float) -> bool:
+    def record_no_limit(self, incarnation: str, at_ms: float) -> bool:
         """Take an answer of a time that named no limit; return whether one has ended by that."""
         known = self._limits.get(incarnation)
         if known is None or at_ms <= known.last_ms:
@@ -103,9 +103,9 @@
 
     def may_send(self, server: BackendServer, now_ms: float) -> bool:
         """Return whether this VM may send an endpoint a request now."""
-        return self.places_within(server, now_ms, 0.0) >= 1
+        return self.available_within(server, now_ms, 0.0) >= 1
 
-    def places_within(self, server: BackendServer, now_ms: float, time_ms: float) -> float:
+    def available_within(self, server: BackendServer, now_ms: float, time_ms: float) -> float:
         """Return how many requests this VM may send an endpoint with a limit in a time from now."""
         limit = self._limits[server.incarnation]
         spacing_ms = self._spacing_ms(server, limit, now_ms)
@@ -114,7 +114,7 @@
         first_ms = max(now_ms, self._next_ms.get(server.incarnation, 0.0))
         return max(0, 1 + (now_ms + time_ms - first_ms) // spacing_ms)
 
-    def sent(self, server: BackendServer, now_ms: float) -> None:
+    def record_sent(self, server: BackendServer, now_ms: float) -> None:
         """Count a request that is placed at an endpoint: the next one may follow later."""
         limit = self._limits.get(server.incarnation)
         spacing_ms = None if limit is None else self._spacing_ms(server, limit, now_ms)
@@ -124,9 +124,11 @@
         due_ms = max(self._next_ms.get(server.incarnation, now_ms), now_ms - saved_ms)
         self._next_ms[server.incarnation] = due_ms + spacing_ms
 
-    def _spacing_ms(self, server: BackendServer, limit: NamedLimit, now_ms: float) -> float | None:
+    def _spacing_ms(
+        self, server: BackendServer, limit: AdvertisedLimit, now_ms: float
+    ) -> float | None:
         """Return the time between two requests of this VM, or None where it is to send none."""
-        vms = self._users_from(server.data_center, now_ms)
+        vms = self._senders_for(server.data_center, now_ms)
         if limit.per_s <= 0.0 or self._own_vm not in vms:
             return None
         users = min(len(vms), max(LEAST_USERS, int(limit.per_s)))
@@ -138,6 +140,6 @@
         """Return how many VMs come before this one in the order for an endpoint."""
         known = self._places.get(incarnation)
         if known is None or known[0] != vms:
-            place = place_in_order(incarnation, self._own_vm, vms)
+            place = rendezvous_rank(incarnation, self._own_vm, vms)
             known = self._places[incarnation] = vms, place
         return known[1]
--- a/cloverhook/gateway/refusals.py
+++ b/cloverhook/gateway/refusals.py
@@ -7,9 +7,9 @@
 
 >>> share = RefusalShare()
 >>> for at_ms in range(0, 400, 100):
-...     share.refused(at_ms)
-...     share.ended(2, at_ms)
->>> 0.3 < share.at(400.0) < 0.5, share.at(20_000.0) < 0.01
+...     share.record_refusal(at_ms)
+...     share.record_ended(2, at_ms)
+>>> 0.3 < share.share_at(400.0) < 0.5, share.share_at(20_000.0) < 0.01
 (True, True)
 """
 
@@ -29,12 +29,12 @@
     def __init__(self) -> None:
         self._refused = self._ended = self._at_ms = 0.0
 
-    def refused(self, now_ms: float) -> None:
+    def record_refusal(self, now_ms: float) -> None:
         """Count a request that was turned away."""
         self._fade(now_ms)
         self._refused += 1.0
 
-    def ended(self, count: int, now_ms: float) -> None:
+    def record_ended(self, count: int, now_ms: float) -> None:
         """Count requests that have ended, in whatever way.
 
         Only what follows a refusal matters: before one, nothing is kept.
@@ -43,7 +43,7 @@
             self._fade(now_ms)
             self._ended += count
 
-    def at(self, now_ms: float) -> float:
+    def share_at(self, now_ms: float) -> float:
         """Return the share that is turned away, from 0 to 1."""
         if not self._refused:
             return 0.0
--- a/cloverhook/gateway/registry.py
+++ b/cloverhook/gateway/registry.py
@@ -22,8 +22,8 @@
 import xxhash
 
 from cloverhook.checking import Flag, Integer, Items, MapOf, Number, Table
-from cloverhook.gateway.backend_server import SERVER, BackendServer, ServerRecord
-from cloverhook.gateway.holds import Holds
+from cloverhook.gateway.backend_server import SERVER_SCHEMA, BackendServer, ServerRecord
+from cloverhook.gateway.holds import GracePeriods
 from cloverhook.gateway.log_position import LogPosition
 from cloverhook.gateway.versions import era_of
 
@@ -34,7 +34,7 @@
 
 
 ROW = Table(
-    {"offset": Integer(-1), "server": SERVER, "left_ms": Number()},
+    {"offset": Integer(-1), "server": SERVER_SCHEMA, "left_ms": Number()},
     frozenset({"offset", "server"}),
 )
 DOCUMENT_FIELDS = {
@@ -60,7 +60,7 @@
 
     def __init__(self, drain_ms: float = DRAIN_MS) -> None:
         self.position = LogPosition()
-        self._holds = Holds(drain_ms)
+        self._holds = GracePeriods(drain_ms)
         self._servers: dict[str, BackendServer] = {}
         self._offsets: dict[str, int] = {}
         self._gone: dict[str, int] = {}
@@ -110,7 +110,7 @@
                     self._digest ^= xxhash.xxh32_intdigest(server.incarnation.encode())
         return self._digest
 
-    def held(self, server: BackendServer) -> bool:
+    def in_grace_period(self, server: BackendServer) -> bool:
         """Return whether an entry has vanished and is only kept for its hold time."""
         return server.name in self._holds
 
@@ -118,25 +118,26 @@
         self,
         record: ServerRecord,
         now_ms: float,
-        store_was_away: bool,
-        listed: bool = False,
-        was_waited_for: bool = True,
+        store_was_unavailable: bool,
+        from_snapshot: bool = False,
+        from_long_poll: bool = True,
     ) -> bool:
         """Take a record; return whether anything but its offset has changed.
 
-        `listed` says that it stands in a whole list: nobody knows when it was written.  One that
-        was not `was_waited_for` may have been written at any time since the store was last read.
+        `from_snapshot` says that it stands in a whole list: nobody knows when it was written.  One
+        that was not `from_long_poll` may have been written at any time since the store was last
+        read.
         """
         name, after = record.name, record.server
         known = max(self._offsets.get(name, -1), self._gone.get(name, -1))
         if record.offset <= known and not self._is_later_start(after):
             return False
         if after is None or self._lacks_its_start(after):
-            certain = was_waited_for or store_was_away
-            since_ms = now_ms if certain else self.position.vanished_since_ms(now_ms)
-            return self._remove(name, record.offset, since_ms, store_was_away)
+            certain = from_long_poll or store_was_unavailable
+            since_ms = now_ms if certain else self.position.earliest_removal_ms(now_ms)
+            return self._remove(name, record.offset, since_ms, store_was_unavailable)
         before = self._servers.get(name)
-        if self._had_left(record, after, listed):
+        if self._had_left(record, after, from_snapshot):
             return False
         self._enter_era(name, record.offset)
         if self._is_outdated(after, before):
@@ -149,7 +150,7 @@
         returned = self._holds.end(name)
         if before is not None and before.incarnation != after.incarnation:
             self._ended.append(before.incarnation)
-        elif before is not None and after.is_like(before, now_ms) and not returned:
+        elif before is not None and after.same_routing_as(before, now_ms) and not returned:
             self._servers[name] = replace(before, sequence=after.sequence)
             return False
         self._servers[name] = after
@@ -157,11 +158,15 @@
         return True
 
     def apply_all(
-        self, records: Iterable[ServerRecord], now_ms: float, store_was_away: bool
+        self, records: Iterable[ServerRecord], now_ms: float, store_was_unavailable: bool
     ) -> list[str]:
         """Take many records; return the names of those that changed anything."""
         with self._index_once():
-            return [item.name for item in records if self.apply(item, now_ms, store_was_away, True)]
+            return [
+                item.name
+                for item in records
+                if self.apply(item, now_ms, store_was_unavailable, True)
+            ]
 
     def _is_later_start(self, after: BackendServer | None) -> bool:
         """Return whether a record is of a later start than the registered one.
@@ -209,8 +214,8 @@
             self._offsets[name] = offset
             self._changed(name, offset)
 
-    def keep_only(
-        self, names: set[str], offset: int, now_ms: float, store_was_away: bool
+    def remove_missing(
+        self, names: set[str], offset: int, now_ms: float, store_was_unavailable: bool
     ) -> tuple[str, ...]:
         """Take a whole list as of `offset`: what is not in it is gone.  Returns what vanished."""
         missing = [
@@ -221,17 +226,17 @@
             and name in self._servers
             and not self._left_before(name, offset)
         ]
-        since_ms = now_ms if store_was_away else self.position.vanished_since_ms(now_ms)
+        since_ms = now_ms if store_was_unavailable else self.position.earliest_removal_ms(now_ms)
         return tuple(
-            name for name in missing if self._remove(name, offset, since_ms, store_was_away)
+            name for name in missing if self._remove(name, offset, since_ms, store_was_unavailable)
         )
 
-    def take_list(
+    def apply_snapshot(
         self,
         records: Iterable[ServerRecord],
         offset: int,
         now_ms: float,
-        store_was_away: bool,
+        store_was_unavailable: bool,
     ) -> tuple[str, ...]:
         """Take the store's whole list as of `offset`; return the names that changed or vanished.
 
@@ -239,19 +244,19 @@
         """
         known = self.version, self.as_of
         kept = tuple(records)
-        changed = self.apply_all(kept, now_ms, store_was_away)
+        changed = self.apply_all(kept, now_ms, store_was_unavailable)
         names = {record.name for record in kept if record.server is not None}
-        missing = self.keep_only(names, offset, now_ms, store_was_away)
-        self.position.listed(known, offset, bool(changed or missing))
-        self.position.confirm(offset, now_ms)
+        missing = self.remove_missing(names, offset, now_ms, store_was_unavailable)
+        self.position.record_snapshot(known, offset, bool(changed or missing))
+        self.position.confirm_current(offset, now_ms)
         return (*changed, *missing)
 
-    def expire(self, now_ms: float) -> tuple[str, ...]:
+    def expire_grace_periods(self, now_ms: float) -> tuple[str, ...]:
         """Drop the entries whose hold time has passed.
 
         Returns the incarnations that have ended since the last call, in whatever way.
         """
-        for name in self._holds.due(now_ms):
+        for name in self._holds.expired(now_ms):
             self._drop(name)
         ended, self._ended = tuple(self._ended), []
         return ended
@@ -279,11 +284,11 @@
                 "server": self._servers[name].to_row(now_ms),
             }
             if name in self._holds:
-                row["left_ms"] = self._holds.left_ms(name, now_ms)
+                row["left_ms"] = self._holds.remaining_ms(name, now_ms)
             rows.append(row)
         gone = {name: offset for name, offset in self._gone.items() if only is None or name in only}
         return {
-            "version": self.position.claimed_version,
+            "version": self.position.advertised_version,
             "as_of": self.as_of,
             "whole": only is None,
             "history_floor": self.position.history_floor,
@@ -305,7 +310,7 @@
         """
         as_of = document.get("as_of", document["version"])
         if document["version"] <= self.as_of:
-            self.position.heard(document["version"], as_of)
+            self.position.advance_from_peer(document["version"], as_of)
             return False
         names = {row["server"]["name"] for row in document["servers"]}
         last_sequences = document.get("last_sequences", {})
@@ -330,17 +335,17 @@
                     self._changed_at[name] = document["version"]
                     self._holds.adopt(name, left_ms, now_ms)
         if document["whole"]:
-            self.keep_only(names, as_of, now_ms, False)
-            self.position.learned_whole(known_as_of, document.get("history_floor", as_of))
-        self.position.adopted(document["version"], max(as_of, known_as_of))
+            self.remove_missing(names, as_of, now_ms, False)
+            self.position.record_full_state(known_as_of, document.get("history_floor", as_of))
+        self.position.record_peer_state(document["version"], max(as_of, known_as_of))
         self._index()
         return True
 
-    def _remove(self, name: str, offset: int, since_ms: float, store_was_away: bool) -> bool:
+    def _remove(self, name: str, offset: int, since_ms: float, store_was_unavailable: bool) -> bool:
         self._gone[name] = max(offset, self._gone.get(name, -1))
         while len(self._gone) > TOMBSTONES_LIMIT:
             oldest = next(iter(self._gone))
-            self.position.forgot_up_to(self._gone.pop(oldest))
+            self.position.truncate_history(self._gone.pop(oldest))
             self._changed_at.pop(oldest, None)
             self._born_ms.pop(oldest, None)
             self._last_sequences.pop(oldest, None)
@@ -354,9 +359,9 @@
             self._drop(name)
             return True
         together = self._by_service.get(server.service, ())
-        if self._holds.begin(name, server.service, len(together), since_ms, store_was_away):
+        if self._holds.start(name, server.service, len(together), since_ms, store_was_unavailable):
             before = (other.name for other in together)
-            self._holds.prolong((x for x in before if not self._left_before(x, offset)), since_ms)
+            self._holds.extend((x for x in before if not self._left_before(x, offset)), since_ms)
         return True
 
     def _left_before(self, name: str, version: int) -> bool:
@@ -375,7 +380,7 @@
             self._index()
 
     def _changed(self, name: str, offset: int) -> None:
-        self.position.changed(offset)
+        self.position.record_change(offset)
         self._changed_at[name] = offset
         self._index()
 
--- a/cloverhook/gateway/request_run.py
+++ b/cloverhook/gateway/request_run.py
@@ -12,11 +12,11 @@
 from cloverhook.gateway.request_key import RequestKeys
 from cloverhook.gateway.routes import Route
 
-__all__ = ["RequestRun"]
+__all__ = ["RequestState"]
 
 
 @dataclass(slots=True, eq=False)
-class RequestRun:
+class RequestState:
     """A request on its way, with what has been tried."""
 
     request: CallerRequest
@@ -28,11 +28,11 @@
     attempts: list[Attempt] = field(default_factory=list)
     results: list[AttemptResult] = field(default_factory=list)
     tasks: dict[asyncio.Task[AttemptResult], Attempt] = field(default_factory=dict)
-    crashes_known: dict[str, tuple[int, ...]] = field(default_factory=dict)
+    crash_counts_at_send: dict[str, tuple[int, ...]] = field(default_factory=dict)
     """For each incarnation that got it, how many crashes were known when it was sent there."""
-    quarantined_ms: float = 0.0
+    quarantine_left_ms: float = 0.0
     """For how long the request is not to be sent, if that is why it ends."""
-    nudge: asyncio.Future[None] | None = None
+    recheck: asyncio.Future[None] | None = None
 
     @classmethod
     def of(
@@ -42,7 +42,7 @@
         route: Route,
         service: str,
         names: CallHeaders,
-    ) -> "RequestRun":
+    ) -> "RequestState":
         """Begin with a request on its route; it has as long as its caller and the route allow."""
         told = find(request.headers, names.timeout_ms)
         left_ms = route.timeout_ms
@@ -52,11 +52,11 @@
         return cls(request, request_id, route, service, deadline_ms, RequestKeys.of(request))
 
     @property
-    def tried(self) -> set[str]:
+    def tried_incarnations(self) -> set[str]:
         """The incarnations that have been tried."""
         return {attempt.choice.server.incarnation for attempt in self.attempts}
 
     @property
-    def maybe_runs(self) -> int:
+    def possible_executions(self) -> int:
         """How many backend servers may have run the request, or may be running it."""
         return sum(1 for attempt in self.attempts if attempt.sent)
--- a/cloverhook/gateway/retry_allowance.py
+++ b/cloverhook/gateway/retry_allowance.py
@@ -4,14 +4,14 @@
 requests once more, and `extra` besides.  Each VM counts only its own requests and takes an equal
 part of the extra, so no message is needed, and a VM that comes or goes leaves the sum in bounds.
 
->>> allowance = RetryAllowance(ratio=0.5, extra=4, window_ms=1_000)
->>> [allowance.take("s", 0.0, vms=2) for _ in range(2)]
+>>> allowance = RetryBudget(ratio=0.5, extra=4, window_ms=1_000)
+>>> [allowance.try_take("s", 0.0, vms=2) for _ in range(2)]
 [True, False]
 """
 
 from collections import deque
 
-__all__ = ["RetryAllowance"]
+__all__ = ["RetryBudget"]
 
 SAFETY = 0.7
 """The part of the allowance that is used: VMs may disagree for a moment on how many they are."""
@@ -25,7 +25,7 @@
         self.repeats: deque[float] = deque()
 
 
-class RetryAllowance:
+class RetryBudget:
     """Counts requests and repeats of each service over a sliding window."""
 
     def __init__(self, ratio: float, extra: float, window_ms: float) -> None:
@@ -34,11 +34,11 @@
         self._window_ms = window_ms
         self._windows: dict[str, _ServiceWindow] = {}
 
-    def count(self, service: str, now_ms: float) -> None:
+    def count_request(self, service: str, now_ms: float) -> None:
         """Count a request of a caller."""
         self._window(service, now_ms).requests.append(now_ms)
 
-    def take(self, service: str, now_ms: float, vms: int) -> bool:
+    def try_take(self, service: str, now_ms: float, vms: int) -> bool:
         """Count a repeat and return True, or return False when none is left."""
         window = self._window(service, now_ms)
         earned = self._ratio * len(window.requests) + self._extra / max(1, vms)
@@ -54,7 +54,7 @@
             return 0.0
         return 1000 * len(requests) / max(now_ms - requests[0], RATE_FLOOR_MS)
 
-    def all_requests_per_s(self, now_ms: float) -> float:
+    def total_requests_per_s(self, now_ms: float) -> float:
         """Return the same for all services together."""
         return sum(self.requests_per_s(service, now_ms) for service in tuple(self._windows))
 
--- a/cloverhook/gateway/state_fetch.py
+++ b/cloverhook/gateway/state_fetch.py
@@ -19,14 +19,14 @@
 from cloverhook.gateway.config_codec import EncodedConfig
 from cloverhook.gateway.counters import Counters
 from cloverhook.gateway.evacuation import Evacuations
-from cloverhook.gateway.event_log import EventLog, Kind
-from cloverhook.gateway.knowledge import Knowledge
+from cloverhook.gateway.event_log import EventKind, EventLog
+from cloverhook.gateway.knowledge import GatewayState
 from cloverhook.gateway.members import KnownVersions, Member, Members
-from cloverhook.gateway.peer_messages import IS_REGISTRY_DOCUMENT
+from cloverhook.gateway.peer_messages import is_registry_document
 from cloverhook.gateway.registry import Registry
 from cloverhook.gateway.routes import GatewayConfig
 
-__all__ = ["Part", "StateFetch", "state_for"]
+__all__ = ["StatePart", "StateFetcher", "build_state_reply"]
 
 NEIGHBOUR_FIRST_MS = 300.0
 """How long a neighbour may take to fetch a state from another data centre and to tell of it."""
@@ -43,26 +43,26 @@
 State = dict[str, Any]
 
 
-class Part(Enum):
+class StatePart(Enum):
     """What is fetched by itself: the configuration, or backend servers and evacuations."""
 
     CONFIG = "config"
     SERVERS = "servers"
 
 
-class StateFetch:
+class StateFetcher:
     """The fetches that are under way, at most one of each part."""
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        knowledge: GatewayState,
         members: Members,
         log: EventLog,
         counters: Counters,
         own_address: str,
         fetch: Callable[[str, State], Awaitable[State]],
         on_fetched: Callable[[str], None],
-        on_garbage: Callable[[str, MessageError], None],
+        on_invalid_message: Callable[[str, MessageError], None],
     ) -> None:
         """`fetch` asks an address for a state; `on_fetched` hears from which one it has come.
 
@@ -75,18 +75,18 @@
         self._own_address = own_address
         self._fetch = fetch
         self._on_fetched = on_fetched
-        self._on_garbage = on_garbage
-        self._tasks: dict[Part, asyncio.Task[None]] = {}
-        self._behind_since_ms: dict[Part, float] = {}
+        self._on_invalid_message = on_invalid_message
+        self._tasks: dict[StatePart, asyncio.Task[None]] = {}
+        self._behind_since_ms: dict[StatePart, float] = {}
 
     def is_behind(self, other: KnownVersions) -> bool:
         """Return whether there is more to know than is known here."""
-        return any(self._lacks(part, other) for part in Part)
+        return any(self._lacks(part, other) for part in StatePart)
 
-    def _lacks(self, part: Part, other: KnownVersions) -> bool:
+    def _lacks(self, part: StatePart, other: KnownVersions) -> bool:
         """Return whether another VM knows more of a part."""
         knowledge = self._knowledge
-        if part is Part.CONFIG:
+        if part is StatePart.CONFIG:
             lacks = other.config_version > knowledge.config_version
         else:
             lacks = (
@@ -97,10 +97,10 @@
             self._behind_since_ms.setdefault(part, monotonic_ms())
         return lacks
 
-    def catch_up(self, vm: str, at_once: bool) -> None:
-        """Fetch a peer's state soon; `at_once` where no neighbour can be expected to do it."""
-        wait_ms = 0.0 if at_once else NEIGHBOUR_FIRST_MS
-        if at_once and self._members.crowded():
+    def schedule_fetch(self, vm: str, immediately: bool) -> None:
+        """Fetch a peer's state soon; `immediately` where no neighbour can be expected to do it."""
+        wait_ms = 0.0 if immediately else NEIGHBOUR_FIRST_MS
+        if immediately and self._members.in_large_data_center():
             wait_ms = random.uniform(0.0, FETCH_SPREAD_MS)
         if not wait_ms:
             self._fetch_if_behind(vm)
@@ -113,12 +113,12 @@
         member = self._members.get(vm)
         if member is None:
             return
-        for part in Part:
+        for part in StatePart:
             task = self._tasks.get(part)
             if (task is None or task.done()) and self._lacks(part, member):
                 self._tasks[part] = asyncio.create_task(self._fetch_part(part, member))
 
-    async def _fetch_part(self, part: Part, member: Member) -> None:
+    async def _fetch_part(self, part: StatePart, member: Member) -> None:
         """Fetch a part, and go on while there is somebody who knows more by then."""
         ahead: Member | None = member
         while ahead is not None and await self._fetch_what_is_known(part, ahead):
@@ -126,7 +126,7 @@
             alive = self._members.alive(monotonic_ms())
             ahead = next((item for item in alive if self._lacks(part, item)), None)
 
-    async def _fetch_what_is_known(self, part: Part, member: Member) -> bool:
+    async def _fetch_what_is_known(self, part: StatePart, member: Member) -> bool:
         """Ask a few holders in turn: one whose link is slow or which is gone answers none.
 
         Returns whether that has succeeded.
@@ -152,24 +152,24 @@
             address = None
         return False
 
-    def _holder_of(self, part: Part, wanted: Member) -> str:
+    def _holder_of(self, part: StatePart, wanted: Member) -> str:
         """Return the address of a VM that has what is wanted, if possible a neighbour."""
-        if part is Part.CONFIG:
-            holders = self._members.holders(
+        if part is StatePart.CONFIG:
+            holders = self._members.members_with_state(
                 lambda item: item.config_version >= wanted.config_version, monotonic_ms()
             )
         else:
-            holders = self._members.holders(
+            holders = self._members.members_with_state(
                 lambda item: item.registry_as_of >= wanted.registry_version
                 and item.evacuation_version >= wanted.evacuation_version,
                 monotonic_ms(),
             )
         return (random.choice(holders) if holders else wanted).peer_address
 
-    async def _ask(self, part: Part, address: str) -> State | None:
+    async def _ask(self, part: StatePart, address: str) -> State | None:
         """Ask for a part; return None where no answer comes."""
         knowledge = self._knowledge
-        if part is Part.CONFIG:
+        if part is StatePart.CONFIG:
             asked: State = {
                 "config": knowledge.config_version,
                 "peer_address": self._own_address,
@@ -184,12 +184,12 @@
         try:
             state = await self._fetch(address, asked)
         except MessageError as error:
-            self._log.note(Kind.MEMBER, member=address, state="no-answer", error=str(error))
+            self._log.note(EventKind.MEMBER, member=address, state="no-answer", error=str(error))
             return None
         now_ms = monotonic_ms()
         self._counters.observe("fetch", now_ms - started_ms, part=part.value)
         self._log.note(
-            Kind.FETCH,
+            EventKind.FETCH,
             state="referred" if "refer" in state else "received",
             source=address,
             asked=asked,
@@ -199,14 +199,14 @@
         )
         return state
 
-    async def _take(self, part: Part, state: State, address: str) -> None:
+    async def _take(self, part: StatePart, state: State, address: str) -> None:
         try:
-            if part is Part.CONFIG:
+            if part is StatePart.CONFIG:
                 await self._take_config(state, address)
             else:
                 self._take_servers(state, address)
         except MessageError as error:
-            self._on_garbage(address, error)
+            self._on_invalid_message(address, error)
 
     async def _take_config(self, state: State, address: str) -> None:
         """Take a configuration, and hand it on to others before it is decoded here."""
@@ -219,17 +219,17 @@
         if version <= knowledge.config_version:
             return
         encoded = EncodedConfig(version, data)
-        knowledge.offer_config(encoded)
+        knowledge.relay_config(encoded)
         config: GatewayConfig | None = None
         try:
             for step in encoded.decode():
                 config = step
                 await asyncio.sleep(0)
         except MessageError:
-            knowledge.withdraw_config(encoded)
+            knowledge.stop_relaying_config(encoded)
             raise
-        if config is not None and knowledge.take_config(config, monotonic_ms()):
-            self._log.note(Kind.CONFIG, version=version, source=address)
+        if config is not None and knowledge.apply_config(config, monotonic_ms()):
+            self._log.note(EventKind.CONFIG, version=version, source=address)
             self._on_fetched(address)
 
     def _take_servers(self, state: State, address: str) -> None:
@@ -237,13 +237,13 @@
         knowledge, now_ms = self._knowledge, monotonic_ms()
         registry, evacuations = state.get("registry"), state.get("evacuations")
         left = Evacuations.from_document(evacuations) if evacuations else None
-        if registry and not IS_REGISTRY_DOCUMENT(registry):
+        if registry and not is_registry_document(registry):
             raise MessageError("no registry")
-        if left is not None and knowledge.take_evacuations(left, now_ms):
-            self._log.note(Kind.EVACUATION, **left.to_document(), source=address)
+        if left is not None and knowledge.apply_evacuations(left, now_ms):
+            self._log.note(EventKind.EVACUATION, **left.to_document(), source=address)
         if registry and knowledge.registry.adopt(registry, now_ms):
             self._log.note(
-                Kind.SERVER,
+                EventKind.SERVER,
                 source=address,
                 version=knowledge.registry.version,
                 whole=registry["whole"],
@@ -253,16 +253,18 @@
             self._on_fetched(address)
 
 
-def state_for(asked: State, knowledge: Knowledge, members: Members, now_ms: float) -> State:
-    """Return what a peer that knows the versions `asked` lacks, or the addresses that it wants."""
-    if "addresses" in asked:
+def build_state_reply(
+    request: State, knowledge: GatewayState, members: Members, now_ms: float
+) -> State:
+    """Return what a peer that knows the versions of `request` lacks, or the addresses it wants."""
+    if "addresses" in request:
         alive = members.alive(now_ms)
-        found = [item for item in alive if item.data_center == asked["addresses"]]
+        found = [item for item in alive if item.data_center == request["addresses"]]
         return {"addresses": [item.peer_address for item in found]}
     state: State = {}
-    if knowledge.registry.position.claimed_version > asked.get("registry", -1):
-        state["registry"] = _lacking(knowledge.registry, asked.get("registry", -1), now_ms)
-    if knowledge.evacuations.version > asked.get("evacuations", -1):
+    if knowledge.registry.position.advertised_version > request.get("registry", -1):
+        state["registry"] = _lacking(knowledge.registry, request.get("registry", -1), now_ms)
+    if knowledge.evacuations.version > request.get("evacuations", -1):
         state["evacuations"] = knowledge.evacuations.to_document()
     return state
 
--- a/cloverhook/gateway/store.py
+++ b/cloverhook/gateway/store.py
@@ -115,10 +115,10 @@
     async def members(self) -> MemberList:
         """Return all VMs that have announced themselves, also those long gone."""
 
-    async def keep_quarantine(self, records: tuple[QuarantineRecord, ...]) -> None:
+    async def save_quarantine(self, records: tuple[QuarantineRecord, ...]) -> None:
         """Write down the requests in quarantine, in place of those written before."""
 
-    async def quarantine(self) -> QuarantineList:
+    async def load_quarantine(self) -> QuarantineList:
         """Return the requests in quarantine that were written down last."""
 
     def close(self) -> None:
@@ -158,7 +158,7 @@
         offset = self._end(Feed.SERVERS)
         self._append(Feed.SERVERS, ServerRecord(name, offset, None))
 
-    def restore(self, lost: dict[Feed, int]) -> None:
+    def restore_older_copy(self, lost: dict[Feed, int]) -> None:
         """Come back from an older copy, which lacks the last records of each feed."""
         for feed, count in lost.items():
             kept = max(0, len(self.log[feed]) - count)
@@ -167,7 +167,7 @@
         self.era = (self.era or 0) + 1
         self._changed.set()
 
-    def forget_history(self) -> None:
+    def compact(self) -> None:
         """Drop all records that newer ones have replaced."""
         for feed in Feed:
             self.first_offset[feed] = self._end(feed)
@@ -178,7 +178,7 @@
         if feed is Feed.CONFIG:
             configs, evacuations = _split(self.log[feed])
             newest_of = {item.data_center: item for item in evacuations}
-            wanted = tuple(item for item in newest_of.values() if item.wanted)
+            wanted = tuple(item for item in newest_of.values() if item.is_evacuated)
             return FeedSlice(configs[-1:], (), self._end(feed), evacuations=wanted, era=self.era)
         newest = {record.name: record for record in self.log[feed]}
         kept = tuple(record for record in newest.values() if record.server is not None)
@@ -213,12 +213,12 @@
         self._call()
         return MemberList(tuple(self.announced.values()))
 
-    async def keep_quarantine(self, records: tuple[QuarantineRecord, ...]) -> None:
+    async def save_quarantine(self, records: tuple[QuarantineRecord, ...]) -> None:
         """Keep the requests in quarantine."""
         self._call()
         self.quarantined = records
 
-    async def quarantine(self) -> QuarantineList:
+    async def load_quarantine(self) -> QuarantineList:
         """Return the requests in quarantine."""
         self._call()
         return QuarantineList(self.quarantined)
