--- a/cloverhook/gateway/store_follower.py
+++ b/cloverhook/gateway/store_follower.py
@@ -13,20 +13,20 @@
 from cloverhook.errors import PlatformError
 from cloverhook.gateway.counters import Counters
 from cloverhook.gateway.evacuation import Evacuations
-from cloverhook.gateway.event_log import EventLog, Kind
-from cloverhook.gateway.knowledge import Knowledge
+from cloverhook.gateway.event_log import EventKind, EventLog
+from cloverhook.gateway.knowledge import GatewayState
 from cloverhook.gateway.store import Feed, FeedSlice, HistoryLostError, Store
-from cloverhook.gateway.supervision import keep_running
+from cloverhook.gateway.supervision import run_with_restarts
 from cloverhook.gateway.versions import era_of, offset_of, version_of
 
-__all__ = ["GAP_MS", "GAP_SHARE", "StoreFollower", "with_versions"]
+__all__ = ["POLL_GAP_MS", "POLL_GAP_DRAIN_RATIO", "StoreFollower", "offsets_to_versions"]
 
 WAIT_MS = {Feed.CONFIG: 1_200, Feed.SERVERS: 1_000}
 """Each call is paid for.  A silent store shows after the shorter wait and the client's timeout, and
 a slow one may leave a waiting call without a record that is there until the wait ends."""
-GAP_MS = 200.0
+POLL_GAP_MS = 200.0
 """Changes that come within this time are taken in one call: calls are paid for."""
-GAP_SHARE = 0.1
+POLL_GAP_DRAIN_RATIO = 0.1
 """The feed of backend servers is read more seldom where one that leaves serves for longer.  A
 vanished entry is used for most of that time, so that little is left for a pause."""
 RETRY_MS = (100.0, 200.0, 400.0, 600.0)
@@ -37,7 +37,7 @@
 
 
 class StoreFollower:
-    """Reads the store and puts what it finds into `Knowledge`.
+    """Reads the store and puts what it finds into `GatewayState`.
 
     `on_change` is called after each change with the names that it touched, and with the registry's
     version before it.  There are no names for a change of the configuration or of evacuations, nor
@@ -47,7 +47,7 @@
     def __init__(
         self,
         store: Store,
-        knowledge: Knowledge,
+        knowledge: GatewayState,
         on_change: Callable[[tuple[str, ...], int], None],
         log: EventLog,
         counters: Counters,
@@ -75,7 +75,7 @@
         """Whether every feed has answered the latest call of a VM that follows the store."""
         return self.active and all(self._answers.get(feed, False) for feed in Feed)
 
-    def read_first(self) -> None:
+    def read_initial_state(self) -> None:
         """Read until there is enough to serve by, and stop: this VM is not one that follows.
 
         After a loss of power all VMs do so at once: if each followed the store until it had heard
@@ -96,12 +96,12 @@
         self._answers.clear()
         self._offsets.clear()
         if not self._only_first:
-            self._knowledge.registry.position.assume_changed()
+            self._knowledge.registry.position.assume_last_change()
             self._go_on_from(Feed.SERVERS, self._knowledge.registry.as_of)
             self._go_on_from(Feed.CONFIG, self._knowledge.config_as_of)
         for feed in Feed:
             self._ask(feed)
-        self._log.note(Kind.READER, action=action, registry=self._knowledge.registry.version)
+        self._log.note(EventKind.READER, action=action, registry=self._knowledge.registry.version)
 
     def _go_on_from(self, feed: Feed, as_of: int) -> None:
         """Read a feed from where this VM knows it, by its own reading or by another's word."""
@@ -117,20 +117,20 @@
         self._tasks.clear()
         self._answers.clear()
         self._failing_since_ms.clear()
-        self._log.note(Kind.READER, action="stop", reason=reason)
+        self._log.note(EventKind.READER, action="stop", reason=reason)
 
     def _ask(self, feed: Feed) -> None:
         """Follow a feed from what has been read of it; a call that waits is given up."""
         waiting = self._tasks.get(feed)
         if waiting is not None:
             waiting.cancel()
-        work = keep_running(lambda: self._follow(feed), f"following {feed.value}", self._log)
+        work = run_with_restarts(lambda: self._follow(feed), f"following {feed.value}", self._log)
         self._tasks[feed] = asyncio.create_task(work)
 
     async def _follow(self, feed: Feed) -> None:
         failures = 0
         while True:
-            if self._only_first and self._knowledge.complete:
+            if self._only_first and self._knowledge.can_serve:
                 self.stop("enough to serve by")
                 return
             offset = self._offsets.get(feed)
@@ -143,7 +143,9 @@
                     wait_ms = WAIT_MS[feed] if self._answers.get(feed) else 0
                     found = await self._store.changes(feed, offset, wait_ms)
             except HistoryLostError:
-                self._log.note(Kind.STORE, feed=feed.value, state="history-lost", offset=offset)
+                self._log.note(
+                    EventKind.STORE, feed=feed.value, state="history-lost", offset=offset
+                )
                 del self._offsets[feed]
                 continue
             except PlatformError as error:
@@ -159,7 +161,7 @@
                 continue
             if era >= self._knowledge.store_era:
                 waited = monotonic_ms() - asked_ms > PROMPT_MS
-                self._take(feed, with_versions(found, era), offset is None, waited)
+                self._take(feed, offsets_to_versions(found, era), offset is None, waited)
                 self._offsets[feed], self._eras[feed] = found.end_offset, era
             await asyncio.sleep(self._gap_ms(feed) / 1000)
 
@@ -172,18 +174,18 @@
         known = self._knowledge.store_era
         if found.era is None:
             if known:
-                self._log.note(Kind.STORE, feed=feed.value, state="no-era", era=known)
+                self._log.note(EventKind.STORE, feed=feed.value, state="no-era", era=known)
             return known
         if found.era < known:
             self._log.note(
-                Kind.STORE, feed=feed.value, state="older-era", era=found.era, known=known
+                EventKind.STORE, feed=feed.value, state="older-era", era=found.era, known=known
             )
         elif found.era > self._read_era:
             first = not self._read_era
             self._read_era = found.era
             if not first or known:
-                self._knowledge.enter_era(found.era, monotonic_ms())
-                self._log.note(Kind.STORE, feed=feed.value, state="new-era", era=found.era)
+                self._knowledge.begin_store_era(found.era, monotonic_ms())
+                self._log.note(EventKind.STORE, feed=feed.value, state="new-era", era=found.era)
                 self._begin_again(feed)
         return found.era
 
@@ -197,15 +199,15 @@
     def _gap_ms(self, feed: Feed) -> float:
         """Return the pause before the next call for a feed."""
         if feed is Feed.CONFIG:
-            return GAP_MS
-        return max(GAP_MS, GAP_SHARE * self._knowledge.drain_ms)
+            return POLL_GAP_MS
+        return max(POLL_GAP_MS, POLL_GAP_DRAIN_RATIO * self._knowledge.drain_ms)
 
     def _take(self, feed: Feed, found: FeedSlice, whole: bool, waited: bool) -> None:
         now_ms = monotonic_ms()
         knowledge = self._knowledge
         base_version = knowledge.registry.version
         for record in found.unreadable:
-            self._log.note(Kind.STORE, feed=feed.value, state="unreadable", record=record)
+            self._log.note(EventKind.STORE, feed=feed.value, state="unreadable", record=record)
         if feed is Feed.CONFIG:
             changed = self._take_config(found, now_ms) | self._take_evacuations(found, whole)
             knowledge.config_as_of = max(knowledge.config_as_of, found.end_offset - 1)
@@ -213,12 +215,12 @@
                 self._on_change((), base_version)
             return
         if whole:
-            touched = knowledge.take_server_list(
-                found.servers, found.end_offset, now_ms, follows=not self._only_first
+            touched = knowledge.apply_server_list(
+                found.servers, found.end_offset, now_ms, follows_store=not self._only_first
             )
             if touched:
                 self._log.note(
-                    Kind.SERVER,
+                    EventKind.SERVER,
                     version=knowledge.registry.as_of,
                     source="store",
                     whole=True,
@@ -230,32 +232,32 @@
         touched = [
             record.name
             for record in found.servers
-            if knowledge.take_server(record, now_ms, was_waited_for=waited)
+            if knowledge.apply_server_record(record, now_ms, from_long_poll=waited)
         ]
-        knowledge.registry.position.read_up_to(found.end_offset - 1)
-        knowledge.registry.position.confirm(found.end_offset - 1, now_ms)
+        knowledge.registry.position.advance_to(found.end_offset - 1)
+        knowledge.registry.position.confirm_current(found.end_offset - 1, now_ms)
         if touched:
             self._on_change(tuple(touched), base_version)
 
     def _take_config(self, found: FeedSlice, now_ms: float) -> bool:
         knowledge = self._knowledge
-        taken = [config for config in found.configs if knowledge.take_config(config, now_ms)]
+        taken = [config for config in found.configs if knowledge.apply_config(config, now_ms)]
         if taken:
-            self._log.note(Kind.CONFIG, version=knowledge.config_version, source="store")
+            self._log.note(EventKind.CONFIG, version=knowledge.config_version, source="store")
         return bool(taken)
 
     def _take_evacuations(self, found: FeedSlice, whole: bool) -> bool:
         """Take the evacuations; return whether peers should hear of them."""
         knowledge = self._knowledge
         if whole:
-            after = Evacuations.as_of(found.end_offset - 1, found.evacuations)
+            after = Evacuations.from_records(found.end_offset - 1, found.evacuations)
         else:
-            after = knowledge.evacuations.after(found.evacuations)
-        taken_back = frozenset(item.data_center for item in found.evacuations if not item.wanted)
-        if not knowledge.take_evacuations(after, monotonic_ms(), taken_back):
+            after = knowledge.evacuations.with_records(found.evacuations)
+        revoked = frozenset(item.data_center for item in found.evacuations if not item.is_evacuated)
+        if not knowledge.apply_evacuations(after, monotonic_ms(), revoked):
             return False
         held = sorted(knowledge.evacuated() - after.data_centers)
-        self._log.note(Kind.EVACUATION, **after.to_document(), held=held, source="store")
+        self._log.note(EventKind.EVACUATION, **after.to_document(), held=held, source="store")
         return True
 
     def _answered(self, feed: Feed) -> None:
@@ -263,23 +265,23 @@
         if since_ms is not None:
             now_ms = monotonic_ms()
             if now_ms - since_ms > AWAY_MS:
-                self._knowledge.store_returned(now_ms)
+                self._knowledge.record_store_recovery(now_ms)
             away_ms = round(now_ms - since_ms)
-            self._log.note(Kind.STORE, feed=feed.value, state="regained", away_ms=away_ms)
+            self._log.note(EventKind.STORE, feed=feed.value, state="regained", away_ms=away_ms)
         self._answers[feed] = True
         self._counters.add("store_calls", feed=feed.value, answered="yes")
 
     def _failed(self, feed: Feed, error: PlatformError) -> None:
         if feed not in self._failing_since_ms:
             self._failing_since_ms[feed] = monotonic_ms()
-            self._log.note(Kind.STORE, feed=feed.value, state="lost", error=str(error))
+            self._log.note(EventKind.STORE, feed=feed.value, state="lost", error=str(error))
             if feed is Feed.CONFIG:
                 self._ask(Feed.SERVERS)
         self._answers[feed] = False
         self._counters.add("store_calls", feed=feed.value, answered="no")
 
 
-def with_versions(found: FeedSlice, era: int) -> FeedSlice:
+def offsets_to_versions(found: FeedSlice, era: int) -> FeedSlice:
     """Return an answer of the store with versions in place of offsets."""
     return replace(
         found,
--- a/cloverhook/gateway/transfer_queue.py
+++ b/cloverhook/gateway/transfer_queue.py
@@ -6,16 +6,16 @@
 each round.  To another data centre few copies go; its VMs pass them on.
 
 >>> queue = TransferQueue("papine")
->>> askers = [Asker(f"10.1.0.{number}:1", "papine") for number in range(7)]
->>> [[type(action).__name__ for action in queue.ask(asker)] for asker in askers]
+>>> askers = [Requester(f"10.1.0.{number}:1", "papine") for number in range(7)]
+>>> [[type(action).__name__ for action in queue.request_transfer(asker)] for asker in askers]
 [['Send'], ['Send'], ['Send'], [], [], [], []]
->>> [type(action).__name__ for action in queue.ended(askers[0], received=True)]
+>>> [type(action).__name__ for action in queue.transfer_ended(askers[0], received=True)]
 ['Refer', 'Refer', 'Send']
 """
 
 from dataclasses import dataclass
 
-__all__ = ["Asker", "Refer", "Send", "TransferQueue"]
+__all__ = ["Requester", "Refer", "Send", "TransferQueue"]
 
 SENDS_AT_ONCE = 3
 """One that is slow or has gone must not hold up the rest."""
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asker:
+class Requester:
     """A VM that wants the state: where it serves it to others, and its data centre."""
 
     peer_address: str
@@ -34,16 +34,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send the state to a VM, and report the end to `TransferQueue.ended`."""
+    """Send the state to a VM, and report the end to `TransferQueue.transfer_ended`."""
 
-    to: Asker
+    requester: Requester
 
 
 @dataclass(frozen=True, slots=True)
 class Refer:
     """Tell a VM to ask at another one; with no address, to ask again anywhere."""
 
-    to: Asker
+    requester: Requester
     peer_address: str | None
 
 
@@ -52,12 +52,12 @@
 
     def __init__(self, data_center: str) -> None:
         self._data_center = data_center
-        self._waiting: list[Asker] = []
-        self._sending: set[Asker] = set()
-        self._received: dict[str, list[Asker]] = {}
-        self._referred: set[Asker] = set()
+        self._waiting: list[Requester] = []
+        self._sending: set[Requester] = set()
+        self._received: dict[str, list[Requester]] = {}
+        self._referred: set[Requester] = set()
 
-    def ask(self, asker: Asker) -> list[Send | Refer]:
+    def request_transfer(self, asker: Requester) -> list[Send | Refer]:
         """Take a question; the answer may come with a later call.
 
         One that comes back after it was referred has found nobody there: it is served here.
@@ -69,12 +69,12 @@
         self._waiting.append(asker)
         return self._send_next()
 
-    def withdraw(self, asker: Asker) -> Refer:
+    def withdraw(self, asker: Requester) -> Refer:
         """Let one that has waited for long ask elsewhere."""
         self._waiting.remove(asker)
         return self._refer(asker)
 
-    def ended(self, asker: Asker, received: bool) -> list[Send | Refer]:
+    def transfer_ended(self, asker: Requester, received: bool) -> list[Send | Refer]:
         """Note the end of a transfer, and whether the VM has the whole state now."""
         self._sending.discard(asker)
         actions: list[Send | Refer] = []
@@ -83,7 +83,7 @@
             actions += self._hand_over(asker)
         return actions + self._send_next()
 
-    def _hand_over(self, receiver: Asker) -> list[Send | Refer]:
+    def _hand_over(self, receiver: Requester) -> list[Send | Refer]:
         """Refer every second VM that waits in the receiver's data centre to it, or all."""
         neighbours = [item for item in self._waiting if item.data_center == receiver.data_center]
         step = 1 if self._is_served_elsewhere(receiver.data_center) else 2
@@ -97,7 +97,7 @@
         copies = len(self._received.get(data_center, ()))
         return data_center != self._data_center and copies >= FAR_COPIES
 
-    def _refer(self, asker: Asker) -> Refer:
+    def _refer(self, asker: Requester) -> Refer:
         """Refer a VM to the one of its data centre that has received the state last."""
         self._referred.add(asker)
         received = self._received.get(asker.data_center, ())
--- a/cloverhook/gateway/trust.py
+++ b/cloverhook/gateway/trust.py
@@ -7,22 +7,22 @@
 of them.  After its time it is on trial: one request at a time that can be repeated, until one is
 answered well; a failure then suspends it for twice as long.
 
->>> trust = Trust()
->>> trust.failed(0.0, began_ms=-5.0), trust.failed(10.0, began_ms=5.0)
+>>> trust = CircuitBreaker()
+>>> trust.record_failure(0.0, began_ms=-5.0), trust.record_failure(10.0, began_ms=5.0)
 (False, True)
->>> trust.is_suspended(500.0), trust.is_suspended(1_500.0), trust.is_on_trial(1_500.0)
+>>> trust.is_suspended(500.0), trust.is_suspended(1_500.0), trust.is_half_open(1_500.0)
 (True, False, True)
 """
 
 from collections import deque
 
-__all__ = ["ANSWERED_MS", "Accusations", "Trust"]
+__all__ = ["RECENT_ANSWER_MS", "FailureReportFilter", "CircuitBreaker"]
 
 FAILURES = 2
 """A single failure may be a connection's fault."""
 FAILURES_MS = 1_500.0
 """Two failures further apart are no row."""
-ANSWERED_MS = 3_000.0
+RECENT_ANSWER_MS = 3_000.0
 """A failure that is told counts as no more than one where its sender or this VM has had an answer
 within this time: answers are not told, and an endpoint that loses a few answers would look dead."""
 SUSPEND_MS = 1_000.0
@@ -38,7 +38,7 @@
 is taken to be in trouble itself."""
 
 
-class Trust:
+class CircuitBreaker:
     """What requests have shown of one incarnation; times are on the monotonic clock."""
 
     __slots__ = (
@@ -58,11 +58,11 @@
         self._on_trial = False
 
     @property
-    def in_question(self) -> bool:
+    def needs_check(self) -> bool:
         """Whether there is anything to ask further: most endpoints have failed nobody lately."""
         return self._failures > 0 or self._on_trial
 
-    def failed(self, now_ms: float, began_ms: float) -> bool:
+    def record_failure(self, now_ms: float, began_ms: float) -> bool:
         """Take a failure that was met here; return whether it suspends.
 
         Requests that were under way when another one failed, as in a crash, count with that one.
@@ -78,13 +78,13 @@
             return True
         return False
 
-    def peer_failed(self, now_ms: float, began_ms: float, peer_answered: bool) -> bool:
+    def record_peer_failure(self, now_ms: float, began_ms: float, peer_answered: bool) -> bool:
         """Take a failure that another VM met; return whether it suspends.
 
         `peer_answered` says that the endpoint had answered that VM lately.
         """
-        if not peer_answered and not self.answered_since(now_ms - ANSWERED_MS):
-            return self.failed(now_ms, began_ms)
+        if not peer_answered and not self.answered_since(now_ms - RECENT_ANSWER_MS):
+            return self.record_failure(now_ms, began_ms)
         if not self._failures and began_ms >= self._failed_ms:
             self._failures, self._failed_ms = 1, now_ms
         return False
@@ -93,7 +93,7 @@
         """Return whether a request was answered well there since a time."""
         return self._answered_ms >= since_ms
 
-    def answered(self, now_ms: float) -> None:
+    def record_answer(self, now_ms: float) -> None:
         """Take an answer; one that comes during a suspension was asked for before it."""
         self._answered_ms = now_ms
         if not self.is_suspended(now_ms):
@@ -104,11 +104,11 @@
         """Return whether no request should go there now."""
         return now_ms < self._until_ms
 
-    def is_on_trial(self, now_ms: float) -> bool:
+    def is_half_open(self, now_ms: float) -> bool:
         """Return whether it was suspended, may be tried again and has answered nothing since."""
         return self._on_trial and now_ms >= self._until_ms
 
-    def is_doubted(self, now_ms: float) -> bool:
+    def has_unresolved_failure(self, now_ms: float) -> bool:
         """Return whether a failure has not been followed by an answer here."""
         return self._failures > 0 and now_ms - self._failed_ms <= PARDON_MS
 
@@ -122,18 +122,18 @@
         self._until_ms = now_ms + length_ms
 
 
-class Accusations:
+class FailureReportFilter:
     """The failures that each VM has told of, to tell an endpoint's trouble from a VM's own.
 
-    >>> heard = Accusations()
-    >>> [heard.believed("vm-1", f"i-{n}", 10, 0.0) for n in range(6)]
+    >>> heard = FailureReportFilter()
+    >>> [heard.accept("vm-1", f"i-{n}", 10, 0.0) for n in range(6)]
     [True, True, True, True, False, False]
     """
 
     def __init__(self) -> None:
         self._told: dict[str, deque[tuple[float, str]]] = {}
 
-    def believed(self, vm: str, incarnation: str, endpoints: int, now_ms: float) -> bool:
+    def accept(self, vm: str, incarnation: str, endpoints: int, now_ms: float) -> bool:
         """Take a VM's word that an endpoint has failed; return whether that counts."""
         told = self._told.setdefault(vm, deque())
         told.append((now_ms, incarnation))
--- a/cloverhook/gateway/waiting_line.py
+++ b/cloverhook/gateway/waiting_line.py
@@ -17,9 +17,9 @@
 from math import log2
 
 from cloverhook.gateway.balancer import Balancer
-from cloverhook.gateway.choice import Choice, Room
+from cloverhook.gateway.choice import CapacityRequirement, Choice
 
-__all__ = ["Decision", "Waiter", "WaitingLine"]
+__all__ = ["Decision", "QueuedRequest", "RequestQueue"]
 
 AIM_SHARE = 0.85
 """The part of the objective that a gateway may use; the rest is the way to the caller and back."""
@@ -43,25 +43,25 @@
 
 
 @dataclass(slots=True, eq=False)
-class Waiter:
+class QueuedRequest:
     """A request that wants a backend server; times are on the monotonic clock."""
 
     service: str
     priority: int
     work_ms: float
     arrived_ms: float
-    aim_ms: float
+    objective_ms: float
     deadline_ms: float
-    tried: Collection[str] = ()
-    urgent: bool = True
-    repeatable: bool = True
+    tried_incarnations: Collection[str] = ()
+    is_top_priority: bool = True
+    retryable: bool = True
     regions: tuple[str, ...] = ()
     number: int = field(default=0)
 
     @property
     def in_aim_until_ms(self) -> float:
         """When an answer would be too late for the objective."""
-        return self.arrived_ms + AIM_SHARE * self.aim_ms
+        return self.arrived_ms + AIM_SHARE * self.objective_ms
 
     def can_be_in_time(self, now_ms: float) -> bool:
         """Return whether a slot that came free now would still serve it."""
@@ -71,39 +71,42 @@
     def start_until_ms(self) -> float:
         """When a slot would come too late for this request, as others would get it."""
         latest_ms = self.in_aim_until_ms - WORK_MARGIN * self.work_ms
-        put_off_ms = self.arrived_ms + PUT_OFF_SHARE * self.aim_ms
-        return latest_ms if self.urgent else min(latest_ms, put_off_ms)
+        put_off_ms = self.arrived_ms + PUT_OFF_SHARE * self.objective_ms
+        return latest_ms if self.is_top_priority else min(latest_ms, put_off_ms)
 
     def may_be_late(self, now_ms: float) -> bool:
         """Return whether an important request that is late already should wait on for a slot."""
-        if not self.urgent:
+        if not self.is_top_priority:
             return False
         wait_until_ms = self.arrived_ms + LATE_WAIT_SHARE * (self.deadline_ms - self.arrived_ms)
         return now_ms < min(wait_until_ms, self.deadline_ms - WORK_MARGIN * self.work_ms)
 
     def is_put_off(self, now_ms: float) -> bool:
         """Return whether a request that finds no free slot should come back later instead."""
-        return not self.urgent and now_ms >= self.arrived_ms + PUT_OFF_SHARE * self.aim_ms
+        return (
+            not self.is_top_priority
+            and now_ms >= self.arrived_ms + PUT_OFF_SHARE * self.objective_ms
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
     """A waiter leaves the line: it starts at `choice`, or is refused where that is None."""
 
-    waiter: Waiter
+    waiter: QueuedRequest
     choice: Choice | None
 
 
-Found = dict[tuple[Room, int, bool, tuple[str, ...], tuple[str, ...]], Choice | None]
+Found = dict[tuple[CapacityRequirement, int, bool, tuple[str, ...], tuple[str, ...]], Choice | None]
 """The choices of one look, by room, work, whether it can be repeated, endpoints tried, regions."""
 
 
-class WaitingLine:
+class RequestQueue:
     """The waiting requests of all services."""
 
     def __init__(self, balancer: Balancer) -> None:
         self._balancer = balancer
-        self._lines: dict[str, list[Waiter]] = {}
+        self._lines: dict[str, list[QueuedRequest]] = {}
         self._count = 0
 
     def __len__(self) -> int:
@@ -113,14 +116,14 @@
         """Return the services that requests wait for."""
         return tuple(self._lines)
 
-    def add(self, waiter: Waiter) -> None:
+    def add(self, waiter: QueuedRequest) -> None:
         """Put a request into its place: by priority, then by time."""
         self._count += 1
         waiter.number = self._count
         line = self._lines.setdefault(waiter.service, [])
         insort(line, waiter, key=lambda item: (item.priority, item.number))
 
-    def remove(self, waiter: Waiter) -> None:
+    def remove(self, waiter: QueuedRequest) -> None:
         """Take out a request whose caller has gone."""
         line = self._lines.get(waiter.service)
         if line is not None and waiter in line:
@@ -142,22 +145,24 @@
                 return decision
         return None
 
-    def _best(self, waiter: Waiter, now_ms: float, room: Room, found: Found) -> Choice | None:
+    def _best(
+        self, waiter: QueuedRequest, now_ms: float, room: CapacityRequirement, found: Found
+    ) -> Choice | None:
         """Return the best endpoint for a waiter; `found` keeps those of one look."""
         work_step = int(WORK_STEPS * log2(max(1.0, waiter.work_ms)))
-        key = room, work_step, waiter.repeatable, tuple(waiter.tried), waiter.regions
+        key = room, work_step, waiter.retryable, tuple(waiter.tried_incarnations), waiter.regions
         if key not in found:
-            request = waiter.service, waiter.work_ms, now_ms, waiter.tried
-            found[key] = self._balancer.choose(*request, room, waiter.repeatable, waiter.regions)
+            request = waiter.service, waiter.work_ms, now_ms, waiter.tried_incarnations
+            found[key] = self._balancer.choose(*request, room, waiter.retryable, waiter.regions)
         return found[key]
 
-    def _decide(self, waiter: Waiter, now_ms: float, found: Found) -> Decision | None:
+    def _decide(self, waiter: QueuedRequest, now_ms: float, found: Found) -> Decision | None:
         """Return what becomes of a request now, or None while it waits."""
         left_ms = waiter.in_aim_until_ms - now_ms
-        unharmed = self._best(waiter, now_ms, Room.UNHARMED, found)
+        unharmed = self._best(waiter, now_ms, CapacityRequirement.NO_SLOWDOWN, found)
         if unharmed is not None and unharmed.expected_ms <= left_ms:
             return Decision(waiter, unharmed)
-        last = self._best(waiter, now_ms, Room.SLOT, found)
+        last = self._best(waiter, now_ms, CapacityRequirement.FREE_SLOT, found)
         if last is not None and last.expected_ms <= left_ms:
             slack_ms = left_ms - last.expected_ms
             return Decision(waiter, last) if slack_ms <= LAST_SLACK * waiter.work_ms else None
@@ -172,15 +177,15 @@
             return Decision(waiter, last)
         return None if waiter.may_be_late(now_ms) else Decision(waiter, None)
 
-    def _is_rate_limited(self, waiter: Waiter, now_ms: float) -> bool:
+    def _is_rate_limited(self, waiter: QueuedRequest, now_ms: float) -> bool:
         """Return whether limits of endpoints leave no place that a request could wait for."""
-        if not self._balancer.knows_rate_limits():
+        if not self._balancer.has_rate_limits():
             return False
         before = self._lines[waiter.service].index(waiter)
         left_ms = max(0.0, waiter.start_until_ms - now_ms)
         return self._balancer.is_rate_limited(waiter.service, now_ms, left_ms, before)
 
-    def _keeps_nobody(self, waiter: Waiter, now_ms: float) -> bool:
+    def _keeps_nobody(self, waiter: QueuedRequest, now_ms: float) -> bool:
         """Return whether nobody who can still be in time waits for the slot."""
         others = (item for item in self._lines[waiter.service] if item is not waiter)
         return not any(item.can_be_in_time(now_ms) for item in others)
--- a/cloverhook/upstream.py
+++ b/cloverhook/upstream.py
@@ -95,7 +95,7 @@
         else:
             connection.close()
 
-    def went_silent(self, address: str, since_ms: float) -> None:
+    def close_idle_since(self, address: str, since_ms: float) -> None:
         """Close what has been idle since before a request that got no byte of an answer.
 
         `since_ms` is the time at which that request was sent, on the loop's clock.
--- a/features/era_replay.py
+++ b/features/era_replay.py
@@ -5,11 +5,11 @@
 from dataclasses import replace
 
 from cloverhook.gateway.backend_server import BackendServer
-from cloverhook.gateway.knowledge import Knowledge
+from cloverhook.gateway.knowledge import GatewayState
 from cloverhook.gateway.registry import Registry
-from cloverhook.gateway.state_fetch import state_for
+from cloverhook.gateway.state_fetch import build_state_reply
 from cloverhook.gateway.store import Feed, FeedSlice, MemoryStore
-from cloverhook.gateway.store_follower import with_versions
+from cloverhook.gateway.store_follower import offsets_to_versions
 from features import gateway_fleet as fleet
 
 HOLD_MS = 2_400.0
@@ -32,7 +32,7 @@
     def __init__(self, vms, seed):
         self.random = random.Random(seed)
         self.store = MemoryStore()
-        self.vms = [Knowledge() for _ in range(vms)]
+        self.vms = [GatewayState() for _ in range(vms)]
         self.positions = [None] * vms
         self.eras = [0] * vms
         self.sequence = {}
@@ -64,7 +64,7 @@
                 self._write(name, draining=True)
             self.store.remove_server(name)
         elif choice < 0.17:
-            self.store.restore({Feed.SERVERS: self.random.randrange(30)})
+            self.store.restore_older_copy({Feed.SERVERS: self.random.randrange(30)})
 
     def live(self):
         """Return the names of the endpoints that have not left."""
@@ -95,7 +95,7 @@
                 else:
                     other = self.vms[self.random.randrange(len(self.vms))]
                     asked = {"registry": knowledge.registry.version}
-                    state = state_for(asked, other, None, self.now_ms)
+                    state = build_state_reply(asked, other, None, self.now_ms)
                     if "registry" in state:
                         knowledge.registry.adopt(state["registry"], self.now_ms)
             knowledge.expire(self.now_ms)
@@ -104,19 +104,19 @@
         knowledge, store = self.vms[index], self.store
         if self.eras[index] != store.era:
             self.eras[index], self.positions[index] = store.era, None
-            knowledge.enter_era(store.era, self.now_ms)
+            knowledge.begin_store_era(store.era, self.now_ms)
         log, start = store.log[Feed.SERVERS], self.positions[index]
         if start is None:
             newest = {record.name: record for record in log}
             records = tuple(item for item in newest.values() if item.server is not None)
         else:
             records = tuple(log[start:])
-        found = with_versions(FeedSlice((), records, len(log), era=store.era), store.era)
+        found = offsets_to_versions(FeedSlice((), records, len(log), era=store.era), store.era)
         if start is None:
-            knowledge.take_server_list(found.servers, found.end_offset, self.now_ms)
+            knowledge.apply_server_list(found.servers, found.end_offset, self.now_ms)
         else:
             for record in found.servers:
-                knowledge.take_server(record, self.now_ms)
+                knowledge.apply_server_record(record, self.now_ms)
         self.positions[index] = len(log)
 
     def _check(self):
@@ -131,6 +131,8 @@
                         self.wrong.append((index, name, since_ms, self.now_ms))
 
     @staticmethod
-    def _held(knowledge: Knowledge, name):
+    def _held(knowledge: GatewayState, name):
         registry: Registry = knowledge.registry
-        return any(item.name == name and registry.held(item) for item in registry.servers())
+        return any(
+            item.name == name and registry.in_grace_period(item) for item in registry.servers()
+        )
--- a/features/gateway_crowd.py
+++ b/features/gateway_crowd.py
@@ -3,7 +3,7 @@
 from cloverhook.clock import monotonic_ms
 from cloverhook.gateway.counters import Counters
 from cloverhook.gateway.event_log import EventLog
-from cloverhook.gateway.knowledge import Knowledge
+from cloverhook.gateway.knowledge import GatewayState
 from cloverhook.gateway.members import Members
 from cloverhook.gateway.peer_messages import Heartbeat, Identity, Relay, decode
 from cloverhook.gateway.peering import Peering
@@ -25,7 +25,7 @@
     members = Members(own, NEAR, now_ms)
     for name in names:
         if name != own:
-            members.heard(heartbeat(name, data_center), now_ms)
+            members.record_heartbeat(heartbeat(name, data_center), now_ms)
     return members
 
 
@@ -46,9 +46,9 @@
     members = Members(name, data_center, 0.0)
     for other in names:
         if other != name:
-            members.heard(heartbeat(other), monotonic_ms())
+            members.record_heartbeat(heartbeat(other), monotonic_ms())
     peering = Peering(
-        own, Knowledge(), members, EventLog(name, len), None, lambda: None, Counters()
+        own, GatewayState(), members, EventLog(name, len), None, lambda: None, Counters()
     )
     peering.link = peering.broadcast._link = Wire()
     return peering
@@ -64,9 +64,9 @@
         members = Members(name, place, 0.0)
         for other, where in names.items():
             if other != name:
-                members.heard(heartbeat(other, where), 0.0)
+                members.record_heartbeat(heartbeat(other, where), 0.0)
         peering = Peering(
-            own, Knowledge(), members, EventLog(name, len), None, lambda: None, Counters()
+            own, GatewayState(), members, EventLog(name, len), None, lambda: None, Counters()
         )
         peering.ready = True
         peering.link = peering.broadcast._link = Wire()
@@ -105,7 +105,7 @@
     """Return what each VM of a crowd tells callers, by its name and data centre."""
     found = {}
     for peering in context.crowd.values():
-        members, own = peering._members, peering._own
+        members, own = peering._members, peering._identity
         reaches_nobody = getattr(context, "reaches_nobody", False)
         named = set(members.caller_addresses(context.now_ms, reaches_nobody))
         if members.serves_callers(context.now_ms) or not named:
--- a/features/gateway_fleet.py
+++ b/features/gateway_fleet.py
@@ -12,7 +12,13 @@
 from cloverhook.gateway.call_headers import CallHeaders
 from cloverhook.gateway.calls import CallerAnswer
 from cloverhook.gateway.daemon import Gateway
-from cloverhook.gateway.routes import GatewayConfig, IngressLimits, Part, Route, ServiceSpec
+from cloverhook.gateway.routes import (
+    GatewayConfig,
+    IngressLimits,
+    Route,
+    ServiceSpec,
+    WeightedService,
+)
 from cloverhook.gateway.settings import GatewaySettings
 from cloverhook.gateway.store import MemoryStore
 
@@ -77,7 +83,7 @@
 
 def route(name, prefix, idempotent, **fields):
     """Return a route to the usual service."""
-    parts = fields.pop("parts", (Part(SERVICE, 1),))
+    parts = fields.pop("parts", (WeightedService(SERVICE, 1),))
     host = fields.pop("host", HOST)
     fields = {"timeout_ms": 2_000.0, "aim_ms": 1_000.0, "attempts": 2, **fields}
     return Route(name, host, prefix, parts, idempotent, **fields)
@@ -280,9 +286,9 @@
 async def stop_gateway(gateway):
     """End a gateway at once."""
     gateway._stopped.set()
-    gateway._callers.close_listener()
-    gateway._ready.close_listener()
-    gateway._directory.close_listener()
+    gateway._caller_ingress.close_listener()
+    gateway._readiness_ingress.close_listener()
+    gateway._directory_ingress.close_listener()
     await gateway.run_until_stopped()
 
 
--- a/features/quarantine_fleet.py
+++ b/features/quarantine_fleet.py
@@ -5,8 +5,8 @@
 import random
 from dataclasses import dataclass, field
 
-from cloverhook.gateway.peer_messages import Suspicion
-from cloverhook.gateway.quarantine import Quarantine, Standing
+from cloverhook.gateway.peer_messages import CrashRecord
+from cloverhook.gateway.quarantine import Quarantine, SendPermission
 from cloverhook.gateway.request_key import RequestKeys
 
 POLL_MS = 5.0
@@ -68,25 +68,27 @@
 
     def _ask(self, vm, keys, give_up_ms, attempt):
         quarantine = self.vms[vm]
-        standing = quarantine.standing(keys, self.now_ms)
+        standing = quarantine.send_permission(keys, self.now_ms)
         wait_ms = POLL_MS
-        if standing is Standing.FREE:
+        if standing is SendPermission.LEASE_FREE:
             self._tell(vm, quarantine.claim(keys, self.now_ms))
-            wait_ms = quarantine.settled_ms(keys) - self.now_ms
-        elif standing is Standing.OURS:
-            wait_ms = quarantine.settled_ms(keys) - self.now_ms
-        elif standing is Standing.BARRED or (standing and self.now_ms >= give_up_ms):
+            wait_ms = quarantine.claim_settled_ms(keys) - self.now_ms
+        elif standing is SendPermission.OWN_LEASE:
+            wait_ms = quarantine.claim_settled_ms(keys) - self.now_ms
+        elif standing is SendPermission.QUARANTINED or (standing and self.now_ms >= give_up_ms):
             self.outcomes.refused += 1
             return
-        if (standing <= Standing.OURS and wait_ms <= 0.0) or standing is Standing.CLEAR:
-            if quarantine.begin(keys, self.now_ms):
+        if (
+            standing <= SendPermission.OWN_LEASE and wait_ms <= 0.0
+        ) or standing is SendPermission.CLEAR:
+            if quarantine.try_begin_send(keys, self.now_ms):
                 self._run(vm, keys, give_up_ms, attempt)
                 return
             wait_ms = POLL_MS
         self.at(self.now_ms + max(wait_ms, 0.1), self._ask, vm, keys, give_up_ms, attempt)
 
     def _run(self, vm, keys, give_up_ms, attempt):
-        known = self.vms[vm].crashes(keys)
+        known = self.vms[vm].crash_counts(keys)
         end_ms = self.now_ms + self.random.uniform(*WORK_MS)
         self.at(end_ms, self._ended, vm, keys, known, give_up_ms, attempt)
 
@@ -94,10 +96,10 @@
         quarantine = self.vms[vm]
         if not self.fatal(keys, self.now_ms):
             self.outcomes.served += 1
-            self._tell(vm, quarantine.served(keys, self.now_ms))
+            self._tell(vm, quarantine.record_success(keys, self.now_ms))
             return
         self.outcomes.crashed_ms.append(self.now_ms)
-        self._tell(vm, quarantine.crashed(keys, known, self.now_ms))
+        self._tell(vm, quarantine.record_crash(keys, known, self.now_ms))
         if attempt < ATTEMPTS:
             self._ask(vm, keys, max(give_up_ms, self.now_ms + PATIENCE_MS), attempt + 1)
         else:
@@ -116,10 +118,10 @@
         delay_ms = self.random.uniform(*DELAY_MS)
         self.at(self.now_ms + delay_ms, self._receive, vm, other, news)
 
-    def _receive(self, vm, other, news: Suspicion):
+    def _receive(self, vm, other, news: CrashRecord):
         if other not in self.reached:
             return
-        answer, pass_on = self.vms[other].received(vm, news, self.now_ms)
+        answer, pass_on = self.vms[other].apply_update(vm, news, self.now_ms)
         if answer is not None:
             self._send(other, vm, answer)
         if pass_on is not None:
--- a/features/rate_limit_replay.py
+++ b/features/rate_limit_replay.py
@@ -42,7 +42,7 @@
 
     def _learn(self, limits):
         for server in self.servers:
-            limits.named(server.incarnation, self.per_s, self.now_ms)
+            limits.record_limit(server.incarnation, self.per_s, self.now_ms)
 
     def _listed(self, name):
         """Return the VMs that one takes for alive: those that went are noticed at their time."""
@@ -87,7 +87,7 @@
         limits = self.limits[name]
         for server in self.servers:
             if limits.may_send(server, self.now_ms):
-                limits.sent(server, self.now_ms)
+                limits.record_sent(server, self.now_ms)
                 self.arrivals[server.name].append(self.now_ms)
 
     def most_in_window(self):
--- a/features/registry_replay.py
+++ b/features/registry_replay.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
-from cloverhook.gateway.knowledge import Knowledge
-from cloverhook.gateway.state_fetch import state_for
+from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.state_fetch import build_state_reply
 
 DRAIN_MS = 2_500.0
 CONTACT_MS = 3_000.0
@@ -27,7 +27,7 @@
 class ReplayedVm:
     """A gateway of the replay."""
 
-    knowledge: Knowledge
+    knowledge: GatewayState
     up_from_ms: float
     reader: bool = False
     read_due_ms: float = 0.0
@@ -45,7 +45,7 @@
         self.now_ms = 0.0
         self.log = []
         self.left_at_ms = {}
-        self.vms = [ReplayedVm(Knowledge(DRAIN_MS), -CONTACT_MS) for _ in range(vms)]
+        self.vms = [ReplayedVm(GatewayState(DRAIN_MS), -CONTACT_MS) for _ in range(vms)]
         self.reader_gone_ms = None
         self.late = []
         self.differing = []
@@ -95,7 +95,7 @@
 
     def _restart(self, vms):
         for vm in vms:
-            vm.knowledge = Knowledge(DRAIN_MS)
+            vm.knowledge = GatewayState(DRAIN_MS)
             vm.up_from_ms = self.now_ms + DOWN_MS
             vm.reader, vm.fetch_at_ms = False, None
             vm.inbox.clear()
@@ -133,15 +133,15 @@
         registry = vm.knowledge.registry
         if registry.as_of < 0:
             self._read_whole(vm)
-        registry.position.assume_changed()
+        registry.position.assume_last_change()
         before = registry.version
         touched = [
             item.name
             for item in self.log[registry.as_of + 1 :]
-            if vm.knowledge.take_server(item, self.now_ms, was_waited_for=False)
+            if vm.knowledge.apply_server_record(item, self.now_ms, from_long_poll=False)
         ]
-        registry.position.read_up_to(len(self.log) - 1)
-        registry.position.confirm(registry.as_of, self.now_ms)
+        registry.position.advance_to(len(self.log) - 1)
+        registry.position.confirm_current(registry.as_of, self.now_ms)
         if touched:
             document = registry.to_document(self.now_ms, tuple(touched))
             for other in self.vms:
@@ -151,7 +151,7 @@
     def _read_whole(self, vm):
         newest = {record.name: record for record in self.log}
         records = tuple(item for item in newest.values() if item.server is not None)
-        vm.knowledge.take_server_list(records, len(self.log), self.now_ms)
+        vm.knowledge.apply_server_list(records, len(self.log), self.now_ms)
 
     def _heartbeat(self):
         up = [vm for vm in self.vms if self._is_up(vm)]
@@ -163,16 +163,16 @@
 
     def _hear(self, vm, other):
         registry, told = vm.knowledge.registry, other.knowledge.registry
-        if registry.as_of < told.position.claimed_version and vm.fetch_at_ms is None:
+        if registry.as_of < told.position.advertised_version and vm.fetch_at_ms is None:
             vm.fetch_at_ms = self.now_ms + self.random.uniform(*FETCH_MS)
-        if told.position.claimed_version >= 0:
-            registry.position.heard(told.position.claimed_version, told.as_of)
+        if told.position.advertised_version >= 0:
+            registry.position.advance_from_peer(told.position.advertised_version, told.as_of)
         if other.reader:
-            registry.position.confirm(told.position.claimed_version, self.now_ms)
+            registry.position.confirm_current(told.position.advertised_version, self.now_ms)
 
     def _fetch(self, vm):
         registry = vm.knowledge.registry
-        newest = max(other.knowledge.registry.position.claimed_version for other in self.vms)
+        newest = max(other.knowledge.registry.position.advertised_version for other in self.vms)
         holders = [
             other
             for other in self.vms
@@ -180,7 +180,9 @@
         ]
         if holders and registry.as_of < newest:
             asked = {"registry": registry.as_of}
-            state = state_for(asked, self.random.choice(holders).knowledge, None, self.now_ms)
+            state = build_state_reply(
+                asked, self.random.choice(holders).knowledge, None, self.now_ms
+            )
             if "registry" in state:
                 registry.adopt(state["registry"], self.now_ms)
                 self.fetched[state["registry"]["whole"]] += 1
@@ -197,6 +199,6 @@
         digests = {}
         for vm in self.vms:
             registry = vm.knowledge.registry
-            if self._is_up(vm) and registry.position.claimed_version >= 0:
+            if self._is_up(vm) and registry.position.advertised_version >= 0:
                 digests.setdefault(registry.version, set()).add(registry.digest())
         self.differing += [self.now_ms for found in digests.values() if len(found) > 1]
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -16,17 +16,17 @@
 from cloverhook.clock import monotonic_ms
 from cloverhook.errors import MessageError, PlatformError
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
-from cloverhook.gateway.event_log import Kind
-from cloverhook.gateway.knowledge import Knowledge
-from cloverhook.gateway.load import LoadFigure
+from cloverhook.gateway.event_log import EventKind
+from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.load import LoadReport
 from cloverhook.gateway.peer_messages import (
+    CrashRecord,
+    CrashRecords,
     Heartbeat,
-    InFlight,
-    Loads,
+    InFlightCounts,
+    LoadReports,
     Relay,
     ServerChanges,
-    Suspicion,
-    Suspicions,
     decode,
     encode,
 )
@@ -42,12 +42,12 @@
 
 from cloverhook_platform import store_client
 from cloverhook_platform.decoding import (
-    UnsoundRecordError,
-    config_of,
-    member_of,
-    quarantine_of,
-    quarantine_value,
-    server_of,
+    InvalidRecordError,
+    decode_config,
+    decode_member,
+    decode_quarantine,
+    decode_server,
+    encode_quarantine,
 )
 
 BORN_MS = 1_760_000_000_000
@@ -103,7 +103,7 @@
 def step_registry(context):
     context.registry = Registry()
     for number in range(4):
-        server = server_of(f"i-{number}", entry(), 0.0)
+        server = decode_server(f"i-{number}", entry(), 0.0)
         context.registry.apply(ServerRecord(server.name, number, server), 0.0, False)
 
 
@@ -118,8 +118,10 @@
 @then("i-1 is held, the others stay, and i-1 is gone within the time to drain")
 def step_held_then_gone(context):
     registry = context.registry
-    assert registry.held(registry.get("i-1")) and not registry.held(registry.get("i-2"))
-    assert registry.expire(2_000.0) == ("i-1",)
+    assert registry.in_grace_period(registry.get("i-1")) and not registry.in_grace_period(
+        registry.get("i-2")
+    )
+    assert registry.expire_grace_periods(2_000.0) == ("i-1",)
     assert registry.get("i-1") is None and len(registry) == 3
 
 
@@ -237,8 +239,8 @@
     def check_entry(data):
         text = damaged(data, json.dumps(altered(data, sound)).encode())
         try:
-            server = server_of(data.draw(strategies.text(max_size=4)), text, 0.0)
-        except UnsoundRecordError:
+            server = decode_server(data.draw(strategies.text(max_size=4)), text, 0.0)
+        except InvalidRecordError:
             return
         encode(ServerChanges("vm", 0, document_of(server)))
         server.name.encode("latin-1")
@@ -246,8 +248,8 @@
     def check_config(data):
         text = damaged(data, json.dumps(altered(data, DOCUMENT)).encode())
         try:
-            config = config_of(text)
-        except UnsoundRecordError:
+            config = decode_config(text)
+        except InvalidRecordError:
             return
         found = cbor2.loads(cbor2.dumps(config.to_document()))
         assert GatewayConfig.from_document(found) == config
@@ -255,8 +257,8 @@
     def check_member(data):
         text = damaged(data, json.dumps(altered(data, ["z", "10.0.0.1:1", "10.0.0.1:2"])).encode())
         try:
-            member_of("vm", text)
-        except UnsoundRecordError:
+            decode_member("vm", text)
+        except InvalidRecordError:
             return
 
     def check_answer(data):
@@ -270,10 +272,10 @@
     def check_quarantine(data):
         text = damaged(data, json.dumps(altered(data, [[7, 2, 1_700_000_000_000]])).encode())
         try:
-            found = quarantine_of(text)
-        except UnsoundRecordError:
+            found = decode_quarantine(text)
+        except InvalidRecordError:
             return
-        assert quarantine_of(quarantine_value(found)) == found
+        assert decode_quarantine(encode_quarantine(found)) == found
 
     for check in (check_entry, check_config, check_member, check_answer):
         fuzz(count // 4, check)
@@ -289,18 +291,18 @@
 
 @then("{count:d} altered messages and states are taken or told to be none")
 def step_fuzz_peers(context, count):
-    document = document_of(server_of("i-1", entry(), 0.0))
+    document = document_of(decode_server("i-1", entry(), 0.0))
     messages = [
         Heartbeat(
             "vm", 1, "z", "10.0.0.1:1", "10.0.0.2:2", True, False, False, 1, 1, 3_000.0, True
         ),
         Relay("vm", b"inner"),
-        Loads("vm", (("i", LoadFigure(1, 2, 7.0), 3.0),)),
-        InFlight("vm", {"i": 2}),
+        LoadReports("vm", (("i", LoadReport(1, 2, 7.0), 3.0),)),
+        InFlightCounts("vm", {"i": 2}),
         ServerChanges("vm", 1, document),
-        Suspicions("vm", (Suspicion(2**64 - 1, 2, 500.0), Suspicion(7, 0))),
+        CrashRecords("vm", (CrashRecord(2**64 - 1, 2, 500.0), CrashRecord(7, 0))),
     ]
-    config = config_of(json.dumps(DOCUMENT).encode()).to_document()
+    config = decode_config(json.dumps(DOCUMENT).encode()).to_document()
     config = cbor2.loads(cbor2.dumps(config))
 
     def check_message(data):
@@ -313,19 +315,23 @@
             message = decode(altered_data)
         except MessageError:
             return
-        knowledge = Knowledge()
+        knowledge = GatewayState()
         match message:
             case ServerChanges():
                 knowledge.registry.adopt(message.document, 0.0)
-            case Loads():
-                for incarnation, figure, age_ms in message.figures:
-                    knowledge.board.of(incarnation).measured(figure, -age_ms)
-            case Suspicions():
+            case LoadReports():
+                for incarnation, figure, age_ms in message.reports:
+                    knowledge.load_table.get_or_create(incarnation).update_from_probe(
+                        figure, -age_ms
+                    )
+            case CrashRecords():
                 for row in message.rows:
-                    Quarantine("vm-own").received(message.vm, row, 0.0)
-            case InFlight():
+                    Quarantine("vm-own").apply_update(message.vm, row, 0.0)
+            case InFlightCounts():
                 for incarnation, number in message.counts.items():
-                    knowledge.board.of(incarnation).peer_has(message.vm, number, 0.0)
+                    knowledge.load_table.get_or_create(incarnation).set_peer_in_flight(
+                        message.vm, number, 0.0
+                    )
 
     def check_state(data):
         try:
@@ -388,7 +394,7 @@
 @then("the gateway has logged the fault and reads the store")
 def step_reads(context):
     run(context, fleet.until(lambda: context.gateway._follower.reading))
-    assert Kind.FAULT.value.encode() in b"".join(context.lines)
+    assert EventKind.FAULT.value.encode() in b"".join(context.lines)
 
 
 def life(born_ms, sequence, **fields):
@@ -400,20 +406,20 @@
 
 def tell(knowledge, offset, server, now_ms=1_000.0):
     """Tell a gateway what the store says under the endpoint's name."""
-    return knowledge.take_server(ServerRecord(NAME, offset, server), now_ms)
+    return knowledge.apply_server_record(ServerRecord(NAME, offset, server), now_ms)
 
 
 @given("a gateway's knowledge of an endpoint that is loaded, slow, failing and warm")
 def step_known(context):
-    context.knowledge = knowledge = Knowledge()
+    context.knowledge = knowledge = GatewayState()
     context.first, context.second = life(BORN_MS, 7), life(BORN_MS + 9, 1, warm_at_ms=4_000.0)
     tell(knowledge, 3, context.first)
-    load = knowledge.board.of(context.first.incarnation)
-    load.report(LoadFigure(2, 1, 4.0), 900.0)
+    load = knowledge.load_table.get_or_create(context.first.incarnation)
+    load.update(LoadReport(2, 1, 4.0), 900.0)
     load.in_flight = 2
-    load.peer_has("vm-2", 3, 900.0)
+    load.set_peer_in_flight("vm-2", 3, 900.0)
     for _ in range(5):
-        load.failed(900.0)
+        load.record_failure(900.0)
 
 
 @when("the endpoint starts again under its name")
@@ -434,21 +440,21 @@
     knowledge = context.knowledge
     (server,) = knowledge.registry.of_service("orders")
     assert server == context.second and server.warm_at_ms == 4_000.0 and not server.draining
-    load = knowledge.board.of(server.incarnation)
-    assert load.load(1_000.0) == 0 and load.pace(1_000.0) == 1.0
-    assert load.failure_share(1_000.0) == 0.0 and load.figure is None
+    load = knowledge.load_table.get_or_create(server.incarnation)
+    assert load.load(1_000.0) == 0 and load.slowdown(1_000.0) == 1.0
+    assert load.failure_share(1_000.0) == 0.0 and load.latest_report is None
     assert context.first.incarnation in knowledge.expire(1_000.0)
     assert server.name == NAME
 
 
 @then("what was told of the earlier one changes nothing")
 def step_no_change(context):
-    board = context.knowledge.board
-    board.of(context.first.incarnation).measured(LoadFigure(2, 4, 9.0), 1_100.0)
-    board.of(context.first.incarnation).peer_has("vm-2", 3, 1_100.0)
-    assert board.of(context.second.incarnation).load(1_100.0) == 0
-    board.of(context.first.incarnation).in_flight = 0
-    board.sweep(context.knowledge.registry.get)
+    board = context.knowledge.load_table
+    board.get_or_create(context.first.incarnation).update_from_probe(LoadReport(2, 4, 9.0), 1_100.0)
+    board.get_or_create(context.first.incarnation).set_peer_in_flight("vm-2", 3, 1_100.0)
+    assert board.get_or_create(context.second.incarnation).load(1_100.0) == 0
+    board.get_or_create(context.first.incarnation).in_flight = 0
+    board.remove_unknown(context.knowledge.registry.get)
     assert context.second.incarnation not in board.in_flight()
 
 
@@ -469,7 +475,7 @@
 @then("a peer that was told the same in another order has the same")
 def step_peer(context):
     known = context.knowledge.registry.to_document(1_000.0)
-    peer = Knowledge()
+    peer = GatewayState()
     tell(peer, 8, life(BORN_MS, 8))
     peer.registry.adopt({**known, "version": 9}, 1_000.0)
     (server,) = peer.registry.of_service("orders")
@@ -520,7 +526,7 @@
         await fleet.until(lambda: registry.of_service(fleet.SERVICE)[0].born_ms == BORN_MS + 5)
         (server,) = registry.of_service(fleet.SERVICE)
         assert server.warm_at_ms > monotonic_ms()
-        load = gateway._knowledge.board.of(server.incarnation)
+        load = gateway._knowledge.load_table.get_or_create(server.incarnation)
         assert load.in_flight == 0 and load.failure_share(monotonic_ms()) == 0.0
         answer = await fleet.call(context.address)
         assert answer.status == 200 and len(context.reborn.ran) == 1
--- a/features/steps/gateway_broadcast_steps.py
+++ b/features/steps/gateway_broadcast_steps.py
@@ -11,19 +11,19 @@
 from cloverhook.gateway import state_fetch
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
 from cloverhook.gateway.broadcast import Broadcast
-from cloverhook.gateway.knowledge import Knowledge
-from cloverhook.gateway.load import LoadFigure
+from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.load import LoadReport
 from cloverhook.gateway.load_updates import LoadUpdates
 from cloverhook.gateway.members import Members
 from cloverhook.gateway.peer_messages import (
-    CountChanges,
     Heartbeat,
+    InFlightCountChanges,
     Relay,
     ServerChanges,
     decode,
 )
 from cloverhook.gateway.registry import Registry
-from cloverhook.gateway.state_fetch import state_for
+from cloverhook.gateway.state_fetch import build_state_reply
 from features import gateway_fleet as fleet
 from features.gateway_crowd import FAR, NEAR, Wire, heartbeat, members_of, peering_of
 from features.shared import run
@@ -101,8 +101,11 @@
 @then("all gateways know that pace")
 def step_all_know_pace(context):
     def paces():
-        figures = [gateway._knowledge.board.of("i-0").figure for gateway, _ in context.gateways]
-        return {figure.pace if figure else 0 for figure in figures}
+        figures = [
+            gateway._knowledge.load_table.get_or_create("i-0").latest_report
+            for gateway, _ in context.gateways
+        ]
+        return {figure.slowdown if figure else 0 for figure in figures}
 
     run(context, fleet.until(lambda: paces() == {7.0}))
 
@@ -122,7 +125,7 @@
         context.peer_version = registry.version + 1
         peer.apply(ServerRecord("i-peer", context.peer_version, entry), 0.0, False)
         registry.adopt(peer.to_document(0.0), 0.0)
-        gateway._peering.broadcast_changes = lambda base, touched: context.told.append(
+        gateway._peering.broadcast_registry_changes = lambda base, touched: context.told.append(
             (base, touched)
         )
         context.store.put_server(entry)
@@ -155,7 +158,7 @@
 @when("it sends 6 messages there")
 def step_send_far(context):
     for number in range(6):
-        context.broadcast.far(b"%d" % number, 0.0)
+        context.broadcast.send_remote(b"%d" % number, 0.0)
 
 
 @then("each of the three relays 2 of them")
@@ -183,7 +186,7 @@
 @when("the VM has stood still and finds another one in its socket")
 def step_relay_stale(context):
     context.now_ms += 2_000.0
-    context.broadcast.paused(context.now_ms)
+    context.broadcast.record_process_pause(context.now_ms)
     context.now_ms += 1.0
     step_relay(context)
 
@@ -211,11 +214,11 @@
     async def tell():
         for name in context.names:
             peering = peering_of(name, context.names)
-            peering._knowledge.board.of("i-0").in_flight = 1
-            peering.count_updates.changed("i-0")
+            peering._knowledge.load_table.get_or_create("i-0").in_flight = 1
+            peering.count_updates.count_changed("i-0")
             await asyncio.sleep(0.005)
             sent = peering.link.sent
-            assert all(decode(data) == CountChanges(name, {"i-0": 1}) for _, data in sent)
+            assert all(decode(data) == InFlightCountChanges(name, {"i-0": 1}) for _, data in sent)
             told[name] = {address.partition(":")[0] for address, _ in sent}
 
     run(context, tell())
@@ -224,7 +227,7 @@
 
 @then("each tells its counts in flight to the same {count:d} that callers are sent to")
 def step_few_counts(context, count):
-    serving = {name: members_of(name, context.names).serving(0.0) for name in context.names}
+    serving = {name: members_of(name, context.names).serving_vms(0.0) for name in context.names}
     assert len(set(serving.values())) == 1 and len(serving[context.names[0]]) == count
     for name, told in told_counts(context).items():
         assert told == set(serving[name]) - {name}, told
@@ -258,7 +261,7 @@
         peering.link.fetch = fetch
         for name in (holder, other):
             peering._members.get(name).config_version = 7
-        peering._states.catch_up(holder, at_once=True)
+        peering._state_fetch.schedule_fetch(holder, immediately=True)
         await fleet.until(lambda: len(asked) == state_fetch.FETCH_TRIES)
 
     run(context, catch_up())
@@ -271,9 +274,9 @@
     context.wire = Wire()
     heard_ms = monotonic_ms() + 600_000.0  # They stay alive, however long this process stalls.
     members = members_of("vm-0", ("vm-1", "vm-2"), heard_ms)
-    members.heard(heartbeat("vm-far", FAR), heard_ms)
+    members.record_heartbeat(heartbeat("vm-far", FAR), heard_ms)
     context.updates = LoadUpdates("vm-0", Broadcast("vm-0", context.wire, members))
-    context.figures = {f"i-{number}": LoadFigure(0, 0, 1.0) for number in range(count)}
+    context.figures = {f"i-{number}": LoadReport(0, 0, 1.0) for number in range(count)}
 
 
 def measure(context, at_ms):
@@ -300,7 +303,7 @@
 
 @when("it measures all of them {at_ms:d} ms later and one is 7 times as slow")
 def step_measure_slow(context, at_ms):
-    context.figures["i-3"] = LoadFigure(0, 0, 7.0)
+    context.figures["i-3"] = LoadReport(0, 0, 7.0)
     measure(context, at_ms)
 
 
@@ -311,7 +314,7 @@
         by_address.setdefault(address, []).append(data)
     assert len(by_address["vm-1:2"]) == len(by_address["vm-2:2"]) == near, by_address
     assert len(by_address.get("vm-far:2", ())) == far, by_address
-    assert len(decode(by_address["vm-1:2"][0]).figures) == len(context.figures)
+    assert len(decode(by_address["vm-1:2"][0]).reports) == len(context.figures)
 
 
 def count_crossings(gateway, settings, crossed):
@@ -361,7 +364,7 @@
     peering = peering_of("vm-0", names, data_center=FAR)
     entry = BackendServer("i-1", fleet.SERVICE, "127.0.0.1:1", NEAR, draining=True)
     peering._knowledge.registry.apply(ServerRecord("i-1", 4, entry), 0.0, False)
-    peering.broadcast_changes(3, ("i-1",))
+    peering.broadcast_registry_changes(3, ("i-1",))
     context.sent = peering.link.sent
     context.dead = context.sent[0][0]
 
@@ -377,12 +380,12 @@
     names = [f"vm-{number}" for number in range(count)]
     context.members = Members(names[0], NEAR, 0.0)
     for name in names[1:]:
-        context.members.heard(replace(heartbeat(name), requests_per_s=rate), 0.0)
+        context.members.record_heartbeat(replace(heartbeat(name), requests_per_s=rate), 0.0)
 
 
 @then("{count:d} of them serve callers")
 def step_serving_count(context, count):
-    assert len(context.members.serving(0.0)) == count
+    assert len(context.members.serving_vms(0.0)) == count
 
 
 @then("a change that builds on more than one knows makes it fetch the state")
@@ -396,7 +399,7 @@
         peering.link.fetch = fetch
         document = Registry().to_document(0.0)
         changes = ServerChanges(teller, 40, {**document, "version": 41, "whole": False})
-        peering._on_changes(changes, monotonic_ms(), relayed=False)
+        peering._on_server_changes(changes, monotonic_ms(), relayed=False)
         await fleet.until(lambda: asked)
 
     run(context, miss())
@@ -427,10 +430,10 @@
 
 def ask(context):
     """Let the second registry ask the first; return how many rows it was told."""
-    knowledge = Knowledge()
+    knowledge = GatewayState()
     knowledge.registry = context.first
     asked = {"registry": context.second.version}
-    state = state_for(asked, knowledge, Members("vm-0", NEAR, 0.0), 0.0)
+    state = build_state_reply(asked, knowledge, Members("vm-0", NEAR, 0.0), 0.0)
     if "registry" not in state:
         return 0
     context.second.adopt(state["registry"], 0.0)
@@ -440,7 +443,8 @@
 def known_of(registry):
     """Return what decides where requests go."""
     return {
-        (item.name, item.slots, item.draining, registry.held(item)) for item in registry.servers()
+        (item.name, item.slots, item.draining, registry.in_grace_period(item))
+        for item in registry.servers()
     }
 
 
@@ -460,8 +464,8 @@
                 )
             )()
         if number % 5 == 4:
-            context.first.expire(1e9)
-            context.second.expire(1e9)
+            context.first.expire_grace_periods(1e9)
+            context.second.expire_grace_periods(1e9)
         context.rows.append(ask(context))
         assert known_of(context.first) == known_of(context.second), number
         assert context.first.version == context.second.version, number
--- a/features/steps/gateway_changes_steps.py
+++ b/features/steps/gateway_changes_steps.py
@@ -7,9 +7,9 @@
 
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
 from cloverhook.gateway.config_codec import EncodedConfig
-from cloverhook.gateway.knowledge import Knowledge
-from cloverhook.gateway.state_fetch import state_for
-from cloverhook.gateway.transfer_queue import Asker, Refer, Send, TransferQueue
+from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.state_fetch import build_state_reply
+from cloverhook.gateway.transfer_queue import Refer, Requester, Send, TransferQueue
 from features import gateway_fleet as fleet
 from features.gateway_crowd import FAR, NEAR, peering_of
 from features.registry_replay import RegistryReplay
@@ -31,15 +31,15 @@
 
 @given("a gateway that knows {count:d} backend servers")
 def step_knows(context, count):
-    context.behind = Knowledge()
+    context.behind = GatewayState()
     listed = records_of({number: number for number in range(count)})
-    context.behind.take_server_list(listed, count, 0.0)
+    context.behind.apply_server_list(listed, count, 0.0)
 
 
 @when("one of them leaves and a gateway that starts then reads the whole list")
 def step_newcomer(context):
-    context.newcomer = Knowledge()
-    context.newcomer.take_server_list(records_of({0: 0, 2: 2, 3: 6}), 7, 0.0)
+    context.newcomer = GatewayState()
+    context.newcomer.apply_server_list(records_of({0: 0, 2: 2, 3: 6}), 7, 0.0)
 
 
 @then("the first one has dropped that server once it has the other's state")
@@ -47,7 +47,7 @@
     behind = context.behind
     context.known_as_of = behind.registry.as_of
     asked = {"registry": behind.registry.as_of}
-    state = state_for(asked, context.newcomer, None, 100.0)
+    state = build_state_reply(asked, context.newcomer, None, 100.0)
     assert behind.registry.adopt(state["registry"], 100.0)
     behind.expire(100.0 + behind.drain_ms)
     assert behind.registry.get("i-1") is None
@@ -117,23 +117,23 @@
 @given("a VM that has sent a configuration to {count:d} VMs of another data centre")
 def step_sent_far(context, count):
     context.queue = TransferQueue(NEAR)
-    context.receivers = [Asker(f"vm-{number}:2", FAR) for number in range(count)]
+    context.receivers = [Requester(f"vm-{number}:2", FAR) for number in range(count)]
     for receiver in context.receivers:
-        assert context.queue.ask(receiver) == [Send(receiver)]
-        context.queue.ended(receiver, received=True)
-    context.asker = Asker("vm-late:2", FAR)
+        assert context.queue.request_transfer(receiver) == [Send(receiver)]
+        context.queue.transfer_ended(receiver, received=True)
+    context.asker = Requester("vm-late:2", FAR)
 
 
 @then("another one of there is referred to one of the {count:d}")
 def step_referred(context, count):
-    (action,) = context.queue.ask(context.asker)
+    (action,) = context.queue.request_transfer(context.asker)
     assert isinstance(action, Refer), action
     assert action.peer_address in {item.peer_address for item in context.receivers[:count]}
 
 
 @then("is sent the configuration when it asks once more")
 def step_sent_again(context):
-    assert context.queue.ask(context.asker) == [Send(context.asker)]
+    assert context.queue.request_transfer(context.asker) == [Send(context.asker)]
 
 
 @given("{gateways:d} gateways and a configuration of {routes:d} routes")
@@ -196,7 +196,7 @@
     async def begin():
         context.peering.link.fetch = fetch
         context.peering._members.get("vm-1").config_version = 7
-        context.peering._states.catch_up("vm-1", at_once=True)
+        context.peering._state_fetch.schedule_fetch("vm-1", immediately=True)
         await fleet.until(lambda: any("config" in question for question in context.asked))
 
     run(context, begin())
@@ -207,7 +207,7 @@
     async def hear():
         context.asked.clear()
         context.peering._members.get("vm-1").registry_version = 40
-        context.peering._states.catch_up("vm-1", at_once=True)
+        context.peering._state_fetch.schedule_fetch("vm-1", immediately=True)
         await fleet.until(lambda: context.asked)
 
     run(context, hear())
@@ -215,7 +215,7 @@
 
 @then("it has asked for that before the configuration has come")
 def step_asked_for_servers(context):
-    for task in context.peering._states._tasks.values():
+    for task in context.peering._state_fetch._tasks.values():
         task.cancel()
     run(context, asyncio.sleep(0))
     assert all("registry" in question for question in context.asked), context.asked
--- a/features/steps/gateway_choice_steps.py
+++ b/features/steps/gateway_choice_steps.py
@@ -7,10 +7,10 @@
 
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
 from cloverhook.gateway.balancer import Balancer
-from cloverhook.gateway.choice import Room, WorkEstimates
-from cloverhook.gateway.load import LoadBoard, LoadFigure, ServerLoad
+from cloverhook.gateway.choice import CapacityRequirement, WorkEstimates
+from cloverhook.gateway.load import LoadReport, LoadTable, ServerLoad
 from cloverhook.gateway.registry import Registry
-from cloverhook.gateway.waiting_line import Waiter, WaitingLine
+from cloverhook.gateway.waiting_line import QueuedRequest, RequestQueue
 
 SERVICE = "booking"
 SLOTS = 4
@@ -21,12 +21,12 @@
 def step_service(context, count):
     context.now_ms = 0.0
     context.names = [f"i-{number}" for number in range(count)]
-    registry, context.board = Registry(), LoadBoard()
+    registry, context.board = Registry(), LoadTable()
     for number, name in enumerate(context.names):
         entry = BackendServer(name, SERVICE, "10.0.0.1:80", f"dc-{number % 5}", SLOTS)
         registry.apply(ServerRecord(name, number, entry), 0.0, False)
         pace = 5.0 if number % 4 == 0 else 1.0
-        context.board.of(name).report(LoadFigure(0, 0, pace), 0.0)
+        context.board.get_or_create(name).update(LoadReport(0, 0, pace), 0.0)
     context.balancer = Balancer(registry, context.board, WorkEstimates(), "dc-0", random.Random(7))
 
 
@@ -53,26 +53,26 @@
 
 @then("a choice weighs at most {limit:d} of them and finds one at its usual pace")
 def step_bounded(context, limit):
-    for room in (Room.UNHARMED, Room.SLOT):
+    for room in (CapacityRequirement.NO_SLOWDOWN, CapacityRequirement.FREE_SLOT):
         with Looks() as looks:
             choice = context.balancer.choose(SERVICE, WORK_MS, context.now_ms, (), room)
         assert looks.count <= limit + 1, looks.count
-        assert choice.pace == 1.0
+        assert choice.slowdown == 1.0
 
 
 @when("all of them are full")
 def step_fill(context):
     for name in context.names:
-        context.board.of(name).report(LoadFigure(SLOTS, 0, 1.0), context.now_ms)
+        context.board.get_or_create(name).update(LoadReport(SLOTS, 0, 1.0), context.now_ms)
 
 
 @then(
     "a line of {count:d} requests that wait weighs none of them once it has seen that they are full"
 )
 def step_quiet_line(context, count):
-    context.line = WaitingLine(context.balancer)
+    context.line = RequestQueue(context.balancer)
     for _ in range(count):
-        context.line.add(Waiter(SERVICE, 1, WORK_MS, context.now_ms, 10_000.0, 20_000.0))
+        context.line.add(QueuedRequest(SERVICE, 1, WORK_MS, context.now_ms, 10_000.0, 20_000.0))
     assert context.line.next(SERVICE, context.now_ms) is None
     with Looks() as looks:
         for _ in range(10):
@@ -84,7 +84,7 @@
 def step_room(context):
     context.now_ms += 1.0
     context.freed = context.names[-1]
-    context.board.of(context.freed).report(LoadFigure(1, 0, 1.0), context.now_ms)
+    context.board.get_or_create(context.freed).update(LoadReport(1, 0, 1.0), context.now_ms)
 
 
 @then("a request that waits starts there")
@@ -98,11 +98,17 @@
 @when("all of them are full by what a peer said that is silent since")
 def step_fill_by_peer(context):
     for name in context.names:
-        context.board.of(name).peer_has("vm-9", SLOTS, context.now_ms)
-    assert context.balancer.choose(SERVICE, WORK_MS, context.now_ms, (), Room.SLOT) is None
+        context.board.get_or_create(name).set_peer_in_flight("vm-9", SLOTS, context.now_ms)
+    assert (
+        context.balancer.choose(SERVICE, WORK_MS, context.now_ms, (), CapacityRequirement.FREE_SLOT)
+        is None
+    )
 
 
 @then("a second later a choice finds one again")
 def step_found_again(context):
     context.now_ms += 1_000.0
-    assert context.balancer.choose(SERVICE, WORK_MS, context.now_ms, (), Room.SLOT) is not None
+    assert (
+        context.balancer.choose(SERVICE, WORK_MS, context.now_ms, (), CapacityRequirement.FREE_SLOT)
+        is not None
+    )
--- a/features/steps/gateway_cold_steps.py
+++ b/features/steps/gateway_cold_steps.py
@@ -12,17 +12,17 @@
 
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
 from cloverhook.gateway.balancer import Balancer
-from cloverhook.gateway.call_headers import cold_ms
-from cloverhook.gateway.choice import Room, WorkEstimates
-from cloverhook.gateway.cold_limit import ColdBound, ColdLimit
-from cloverhook.gateway.load import LoadBoard, LoadFigure
-from cloverhook.gateway.peer_messages import Loads, decode, encode
+from cloverhook.gateway.call_headers import parse_cold_ms
+from cloverhook.gateway.choice import CapacityRequirement, WorkEstimates
+from cloverhook.gateway.cold_limit import ColdLimit, ColdRateBound
+from cloverhook.gateway.load import LoadReport, LoadTable
+from cloverhook.gateway.peer_messages import LoadReports, decode, encode
 from cloverhook.gateway.registry import Registry
 
 SERVICE = "bookings"
 DATA_CENTER = "papine"
 RATE_PER_S = 3.7
-BOUND = ColdBound()
+BOUND = ColdRateBound()
 WORK_MS = 10.0
 LENGTH_MS = 4_000.0
 SECOND_MS = 1_000.0
@@ -30,7 +30,7 @@
 
 def bound_of(rate_per_s):
     """Return how many requests a second a cold endpoint may get."""
-    return BOUND.over * rate_per_s + BOUND.slack
+    return BOUND.rate_factor * rate_per_s + BOUND.burst
 
 
 def most_in_a_second(times_ms):
@@ -85,7 +85,7 @@
             source.shuffle(limits)
             for limit in limits:
                 if limit.may_send(server, now_ms):
-                    limit.sent(server, now_ms)
+                    limit.record_sent(server, now_ms)
                     sent_ms.append(now_ms)
         assert most_in_a_second(sent_ms) <= bound_of(rate_per_s), (seed, rate_per_s)
 
@@ -108,7 +108,7 @@
     balancers = []
     for name in names:
         limit = ColdLimit(name, lambda *_: names, lambda _: RATE_PER_S, BOUND)
-        board = LoadBoard()
+        board = LoadTable()
         balancer = Balancer(
             registry,
             board,
@@ -125,11 +125,11 @@
             _, _, load = heapq.heappop(ends)
             load.in_flight -= 1
         balancer, board = source.choice(balancers)
-        choice = balancer.choose(SERVICE, WORK_MS, now_ms, (), Room.SLOT)
+        choice = balancer.choose(SERVICE, WORK_MS, now_ms, (), CapacityRequirement.FREE_SLOT)
         if choice is None:
             continue
-        balancer.placed(choice.server, now_ms)
-        load = board.of(choice.server.incarnation)
+        balancer.record_placement(choice.server, now_ms)
+        load = board.get_or_create(choice.server.incarnation)
         load.in_flight += 1
         heapq.heappush(ends, (now_ms + 2 * WORK_MS, id(load) + source.random(), load))
         sent_ms[choice.server.incarnation].append(now_ms)
@@ -182,11 +182,11 @@
 
 @given("a load figure of a probe that says cold for {cold:d} ms")
 def step_figure(context, cold):
-    figure = LoadFigure(0, 0, 1.0, cold_ms=float(cold))
-    context.here, context.peer = LoadBoard().of("i-1"), LoadBoard().of("i-1")
-    context.here.measured(figure, 0.0)
-    told = decode(encode(Loads("vm-1", (("i-1", figure, 0.0),))))
-    context.peer.measured(told.figures[0][1], 0.0)
+    figure = LoadReport(0, 0, 1.0, cold_for_ms=float(cold))
+    context.here, context.peer = LoadTable().get_or_create("i-1"), LoadTable().get_or_create("i-1")
+    context.here.update_from_probe(figure, 0.0)
+    told = decode(encode(LoadReports("vm-1", (("i-1", figure, 0.0),))))
+    context.peer.update_from_probe(told.reports[0][1], 0.0)
 
 
 @then("it is cold after {cold:d} ms and warm after {warm:d} ms, also at a peer")
@@ -197,7 +197,7 @@
 
 @when("a later probe says nothing of it")
 def step_later(context):
-    context.here.measured(LoadFigure(0, 0, 1.0), 300.0)
+    context.here.update_from_probe(LoadReport(0, 0, 1.0), 300.0)
 
 
 @then("it is warm at once")
@@ -207,7 +207,7 @@
 
 @given("a header that says cold for {value}")
 def step_header(context, value):
-    context.cold_ms = cold_ms(value.encode())
+    context.cold_ms = parse_cold_ms(value.encode())
 
 
 @then("it is taken for {cold:d} ms")
--- a/features/steps/gateway_crossing_steps.py
+++ b/features/steps/gateway_crossing_steps.py
@@ -11,12 +11,12 @@
 from cloverhook.gateway.broadcast import Broadcast
 from cloverhook.gateway.count_updates import CountUpdates
 from cloverhook.gateway.evacuation import Evacuations
-from cloverhook.gateway.knowledge import Knowledge
-from cloverhook.gateway.load import LoadFigure
-from cloverhook.gateway.load_probe import NOBODY
+from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.load import LoadReport
+from cloverhook.gateway.load_probe import UNREACHABLE_REPORT
 from cloverhook.gateway.load_updates import LoadUpdates
 from cloverhook.gateway.members import Members
-from cloverhook.gateway.peer_messages import CountChanges, InFlight, Relay, decode
+from cloverhook.gateway.peer_messages import InFlightCountChanges, InFlightCounts, Relay, decode
 from features.gateway_crowd import NEAR, Wire, heartbeat
 from features.shared import run
 
@@ -27,10 +27,10 @@
 def start_vm(context):
     """Know a VM in each other data centre, and 4 endpoints in each data centre."""
     now_ms = monotonic_ms()
-    context.knowledge = knowledge = Knowledge()
+    context.knowledge = knowledge = GatewayState()
     context.members = Members("vm-0", NEAR, now_ms)
     for place in OTHERS:
-        context.members.heard(heartbeat(f"vm-{place}", place), now_ms)
+        context.members.record_heartbeat(heartbeat(f"vm-{place}", place), now_ms)
     offset = 0
     for name, place in (("here", NEAR), *zip(("lost", "else"), OTHERS, strict=True)):
         for number in range(4):
@@ -52,11 +52,11 @@
     knowledge, now_ms = context.knowledge, monotonic_ms()
     for name in [f"lost-{number}" for number in range(count)]:
         if how == "can't be reached":
-            knowledge.board.of(name).measured(NOBODY, now_ms)
+            knowledge.load_table.get_or_create(name).update_from_probe(UNREACHABLE_REPORT, now_ms)
         elif how == "have vanished":
             knowledge.registry.apply(ServerRecord(name, 50, None), now_ms, False)
     if how == "are evacuated" and count:
-        knowledge.take_evacuations(Evacuations(60, frozenset(OTHERS[:1])), 0.0)
+        knowledge.apply_evacuations(Evacuations(60, frozenset(OTHERS[:1])), 0.0)
 
 
 def told_far(context, kind):
@@ -75,8 +75,8 @@
 @when("the count at an endpoint changes")
 def step_change(context):
     async def change():
-        context.knowledge.board.of(ENDPOINT).in_flight += 1
-        context.updates.changed(ENDPOINT)
+        context.knowledge.load_table.get_or_create(ENDPOINT).in_flight += 1
+        context.updates.count_changed(ENDPOINT)
         await asyncio.sleep(0.05)
 
     run(context, change())
@@ -84,7 +84,7 @@
 
 @then("a VM of each other data centre is {told} of it")
 def step_told(context, told):
-    found = told_far(context, CountChanges)
+    found = told_far(context, InFlightCountChanges)
     assert len({at for at, _ in found}) == (2 if told == "told" else 0), found
     assert all(message.counts == {ENDPOINT: 1} for _, message in found)
 
@@ -92,8 +92,8 @@
 @then("all its counts are {told} there again within 300 ms")
 def step_told_again(context, told):
     context.wire.sent.clear()
-    context.updates.repeat(monotonic_ms() + 300.0)
-    found = told_far(context, InFlight)
+    context.updates.resend_all(monotonic_ms() + 300.0)
+    found = told_far(context, InFlightCounts)
     assert len({at for at, _ in found}) == (2 if told == "told" else 0), found
     assert all(message.counts == {ENDPOINT: 1} for _, message in found)
 
@@ -103,15 +103,15 @@
     start_vm(context)
     lose(context, 4, "are evacuated")
     for number in range(count):
-        context.updates.received(InFlight(f"vm-{number + 1}", {"here-1": 1}), monotonic_ms())
+        context.updates.received(InFlightCounts(f"vm-{number + 1}", {"here-1": 1}), monotonic_ms())
 
 
 @when("the count at an endpoint changes {count:d} times within a second")
 def step_changes(context, count):
     async def change():
         for _ in range(count):
-            context.knowledge.board.of(ENDPOINT).in_flight += 1
-            context.updates.changed(ENDPOINT)
+            context.knowledge.load_table.get_or_create(ENDPOINT).in_flight += 1
+            context.updates.count_changed(ENDPOINT)
             await asyncio.sleep(0.004)
         await asyncio.sleep(0.3)
 
@@ -121,7 +121,7 @@
 
 @then("it tells other data centres at most {most:d} times, and of the last change too")
 def step_bounded(context, most):
-    found = [message for _, message in told_far(context, CountChanges)]
+    found = [message for _, message in told_far(context, InFlightCountChanges)]
     # Each is sent to two data centres; the last one may come after the second.
     assert len(found) <= 2 * (most + 1), len(found)
     assert found[-1].counts == {ENDPOINT: context.changes}
@@ -130,23 +130,30 @@
 @given("a VM that hears of {count:d} requests in flight by a change")
 def step_hears(context, count):
     start_vm(context)
-    context.updates.received_changes(CountChanges("vm-7", {ENDPOINT: count}), monotonic_ms())
+    context.updates.received_changes(
+        InFlightCountChanges("vm-7", {ENDPOINT: count}), monotonic_ms()
+    )
 
 
 @when("it hears of none by a change")
 def step_hears_none(context):
-    context.updates.received_changes(CountChanges("vm-7", {ENDPOINT: 0}), monotonic_ms())
+    context.updates.received_changes(InFlightCountChanges("vm-7", {ENDPOINT: 0}), monotonic_ms())
 
 
 @when("it hears of {count:d} by a change, and of all counts without it")
 def step_hears_all(context, count):
-    context.updates.received_changes(CountChanges("vm-7", {ENDPOINT: count}), monotonic_ms())
-    context.updates.received(InFlight("vm-7", {"here-2": 1}), monotonic_ms())
+    context.updates.received_changes(
+        InFlightCountChanges("vm-7", {ENDPOINT: count}), monotonic_ms()
+    )
+    context.updates.received(InFlightCounts("vm-7", {"here-2": 1}), monotonic_ms())
 
 
 @then("it knows of {count:d}")
 def step_knows(context, count):
-    assert context.knowledge.board.of(ENDPOINT).shared(monotonic_ms()) == count
+    assert (
+        context.knowledge.load_table.get_or_create(ENDPOINT).known_in_flight(monotonic_ms())
+        == count
+    )
 
 
 @given("measured figures whose load changes by one")
@@ -161,10 +168,10 @@
         broadcast = Broadcast("vm-0", wire, context.members)
         news = LoadUpdates("vm-0", broadcast, lambda: True, lambda now_ms: crossing)
         begun_ms = monotonic_ms()
-        news.add(ENDPOINT, LoadFigure(1, 0, 1.0), begun_ms)
+        news.add(ENDPOINT, LoadReport(1, 0, 1.0), begun_ms)
         await asyncio.sleep(0.3)
         before = len(wire.sent)
-        news.add(ENDPOINT, LoadFigure(2, 0, 1.0), begun_ms + 300.0)
+        news.add(ENDPOINT, LoadReport(2, 0, 1.0), begun_ms + 300.0)
         await asyncio.sleep(0.1)
         far = [decode(data) for _, data in wire.sent[before:]]
         return any(isinstance(item, Relay) for item in far)
@@ -196,7 +203,7 @@
     async def hear():
         for _ in range(count):
             context.last_ms = monotonic_ms()
-            context.admission.look_soon()
+            context.admission.schedule_admission()
             await asyncio.sleep(span / count / 1_000)
         await asyncio.sleep(0.1)
 
--- a/features/steps/gateway_crowd_steps.py
+++ b/features/steps/gateway_crowd_steps.py
@@ -7,9 +7,9 @@
 
 from cloverhook.clock import monotonic_ms
 from cloverhook.gateway import load_updates
-from cloverhook.gateway.load import LoadFigure
+from cloverhook.gateway.load import LoadReport
 from cloverhook.gateway.members import Members
-from cloverhook.gateway.peer_messages import Loads, Relay, encode
+from cloverhook.gateway.peer_messages import LoadReports, Relay, encode
 from features.gateway_crowd import (
     FAR,
     FAR_HOSTS,
@@ -42,7 +42,7 @@
     pass_crowd_time(context, time_s * 1_000)
     for peering in context.crowd.values():
         alive = peering._members.alive(context.now_ms)
-        near = [item for item in alive if item.data_center == peering._own.data_center]
+        near = [item for item in alive if item.data_center == peering._identity.data_center]
         assert len(near) == len(context.crowd) // 2 - 1, len(near)
         assert len(alive) - len(near) == count, len(alive) - len(near)
 
@@ -59,7 +59,7 @@
 def step_serving_silent(context):
     pass_crowd_time(context, 3_000)
     context.before = named_to_callers(context)
-    context.silent_vm = next(iter(context.crowd.values()))._members.serving(context.now_ms)[0]
+    context.silent_vm = next(iter(context.crowd.values()))._members.serving_vms(context.now_ms)[0]
     del context.crowd[f"{context.silent_vm}:2"]
 
 
@@ -85,7 +85,7 @@
     pass_crowd_time(context, 3_000)
     context.alone = next(iter(context.crowd.values()))
     context.before = named_to_callers(context)
-    context.crowd = {context.alone._own.peer_address: context.alone}
+    context.crowd = {context.alone._identity.peer_address: context.alone}
 
 
 @then("{time_s:d} seconds later it names the same {count:d}")
@@ -99,7 +99,7 @@
 def step_names_itself(context, time_s):
     pass_crowd_time(context, time_s * 1_000)
     (named,) = named_to_callers(context).values()
-    assert named == {context.alone._own.caller_address}, named
+    assert named == {context.alone._identity.caller_address}, named
 
 
 def told_figures(context, peering, relayed):
@@ -108,11 +108,11 @@
     async def tell():
         peering.link.sent.clear()
         if relayed:
-            data = encode(Loads("vm-far", (("i-0", LoadFigure(1, 0, 2.0), 0.0),)))
+            data = encode(LoadReports("vm-far", (("i-0", LoadReport(1, 0, 2.0), 0.0),)))
             peering._on_relay(Relay("vm-far", data), "vm-far:2", context.now_ms)
         else:
             with mock.patch.object(load_updates, "monotonic_ms", lambda: context.now_ms):
-                peering.load_updates.add("i-0", LoadFigure(1, 0, 2.0), context.now_ms)
+                peering.load_updates.add("i-0", LoadReport(1, 0, 2.0), context.now_ms)
                 peering.load_updates._flush()
 
     run(context, tell())
@@ -124,10 +124,10 @@
 def step_audience(context, count, serving):
     pass_crowd_time(context, 1_000)
     for peering in list(context.crowd.values())[:5]:
-        peering._on_figure = lambda incarnation: None
-        informed = peering._members.informed(context.now_ms)
-        assert informed[:serving] == peering._members.serving(context.now_ms)
-        expected = {f"{vm}:2" for vm in informed} - {peering._own.peer_address}
+        peering._on_load_report = lambda incarnation: None
+        informed = peering._members.load_subscribers(context.now_ms)
+        assert informed[:serving] == peering._members.serving_vms(context.now_ms)
+        expected = {f"{vm}:2" for vm in informed} - {peering._identity.peer_address}
         assert len(informed) == count
         for relayed in (False, True):
             assert told_figures(context, peering, relayed) == expected
@@ -139,10 +139,12 @@
     peering = next(iter(context.crowd.values()))
     members = peering._members
     standby = next(
-        item for item in members.near() if item.vm not in members.informed(context.now_ms)
+        item
+        for item in members.local_members()
+        if item.vm not in members.load_subscribers(context.now_ms)
     )
     assert standby.peer_address not in told_figures(context, peering, False)
-    members.sent_counts(standby.vm, context.now_ms)
+    members.record_count_sender(standby.vm, context.now_ms)
     assert standby.peer_address in told_figures(context, peering, False)
 
 
@@ -151,7 +153,7 @@
     context.members = members_of("vm-own", [f"vm-{number}" for number in range(near)])
     for number in range(heard):
         told = replace(heartbeat(f"far-{number}", FAR), near_vms=total)
-        context.members.heard(told, 0.0)
+        context.members.record_heartbeat(told, 0.0)
     context.members.forget(0.0)
 
 
@@ -162,14 +164,16 @@
 
 @then("it shares with {count:d} others")
 def step_shares(context, count):
-    assert context.members.count() == count + 1, context.members.count()
+    assert (
+        context.members.estimated_fleet_size() == count + 1
+    ), context.members.estimated_fleet_size()
 
 
 def hears_within_ms(context, chosen):
     """Return within what times the VMs of a crowd hear whose `Members` are chosen."""
     now_ms = monotonic_ms()
     found = {
-        peering._hears_ms()
+        peering._receive_batch_ms()
         for peering in context.crowd.values()
         if chosen(peering._members, now_ms)
     }
@@ -185,10 +189,10 @@
 @then("one that would be next hears within 10 ms, and any other one within 100 ms")
 def step_others_hear(context):
     def is_next(members, now_ms):
-        return members.is_informed(now_ms) and not members.serves_callers(now_ms)
+        return members.is_load_subscriber(now_ms) and not members.serves_callers(now_ms)
 
     def is_other(members, now_ms):
-        return not members.is_informed(now_ms)
+        return not members.is_load_subscriber(now_ms)
 
     assert hears_within_ms(context, is_next) == {10.0}
     assert hears_within_ms(context, is_other) == {100.0}
@@ -197,14 +201,14 @@
 @then("one that has a request hears at once")
 def step_busy_hears(context):
     for peering in context.crowd.values():
-        peering._knowledge.board.of("i-0").in_flight = 1
+        peering._knowledge.load_table.get_or_create("i-0").in_flight = 1
     assert hears_within_ms(context, lambda members, now_ms: True) == {0.0}
 
 
 @then("each of these few hears at once")
 def step_few_hear(context):
     for name in context.names:
-        assert peering_of(name, context.names)._hears_ms() == 0.0
+        assert peering_of(name, context.names)._receive_batch_ms() == 0.0
 
 
 @when("a third of the other data centre dies without a sign")
@@ -221,6 +225,6 @@
     pass_crowd_time(context, time_s * 1_000)
     for address, peering in context.crowd.items():
         if address.startswith(NEAR_HOSTS):
-            relays = peering._members.relays(context.now_ms)[FAR]
+            relays = peering._members.relay_candidates(context.now_ms)[FAR]
             assert len(relays) >= 10
             assert context.dead.isdisjoint(item.peer_address for item in relays)
--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -9,16 +9,23 @@
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
 from cloverhook.gateway.balancer import Balancer
 from cloverhook.gateway.choice import WorkEstimates
-from cloverhook.gateway.event_log import BUFFER_LIMIT_BYTES, EventLog, Kind
-from cloverhook.gateway.knowledge import Knowledge
-from cloverhook.gateway.load import LoadBoard, LoadFigure
+from cloverhook.gateway.event_log import BUFFER_LIMIT_BYTES, EventKind, EventLog
+from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.load import LoadReport, LoadTable
 from cloverhook.gateway.members import Members
-from cloverhook.gateway.peer_messages import Heartbeat, InFlight, Loads, Relay, decode, encode
+from cloverhook.gateway.peer_messages import (
+    Heartbeat,
+    InFlightCounts,
+    LoadReports,
+    Relay,
+    decode,
+    encode,
+)
 from cloverhook.gateway.registry import Registry
-from cloverhook.gateway.retry_allowance import RetryAllowance
-from cloverhook.gateway.routes import Part
-from cloverhook.gateway.splits import Splits
-from cloverhook.gateway.waiting_line import Waiter, WaitingLine
+from cloverhook.gateway.retry_allowance import RetryBudget
+from cloverhook.gateway.routes import WeightedService
+from cloverhook.gateway.splits import TrafficSplitter
+from cloverhook.gateway.waiting_line import QueuedRequest, RequestQueue
 from features import gateway_fleet as fleet
 
 NEAR = "papine"
@@ -38,7 +45,7 @@
 def fill(context, *names):
     """Report that backend servers have all their slots in use."""
     for name in names:
-        context.board.of(name).report(LoadFigure(SLOTS, 0, 1.0), context.now_ms)
+        context.board.get_or_create(name).update(LoadReport(SLOTS, 0, 1.0), context.now_ms)
 
 
 def chosen(context, count=100):
@@ -73,15 +80,15 @@
 
 @given("a route with parts of weight 90 and 10")
 def step_parts(context):
-    parts = (Part("a", 90), Part("b", 10))
+    parts = (WeightedService("a", 90), WeightedService("b", 10))
     context.route = fleet.route("split", "/", True, parts=parts)
 
 
 @then("of 200 requests within 2 go to the part of weight 10 as its share says")
 def step_shares(context):
     for seed in range(20):
-        splits = Splits(random.Random(seed))
-        given_to = [splits.next(context.route) for _ in range(200)]
+        splits = TrafficSplitter(random.Random(seed))
+        given_to = [splits.next_service(context.route) for _ in range(200)]
         assert abs(given_to.count("b") - 20) <= 2
 
 
@@ -103,7 +110,7 @@
         registry = Registry()
         for record in order:
             registry.apply(record, context.now_ms, False)
-        registry.expire(context.now_ms + 10_000)
+        registry.expire_grace_periods(context.now_ms + 10_000)
         context.ends.append(registry.get("i"))
 
 
@@ -124,7 +131,7 @@
 def step_old_list(context):
     registry, now_ms = context.registry, context.now_ms
     registry.apply(ServerRecord("i-1", 9, None), now_ms, False)
-    registry.expire(now_ms + 2_000)
+    registry.expire_grace_periods(now_ms + 2_000)
     registry.apply(ServerRecord("i-1", 1, server("i-1")), now_ms + 2_000, False)
 
 
@@ -140,8 +147,8 @@
 
 @then("it is held at first and gone 1.9 seconds later")
 def step_held(context):
-    assert context.registry.held(context.registry.get("i-1"))
-    assert context.registry.expire(context.now_ms + 1_900) == ("i-1",)
+    assert context.registry.in_grace_period(context.registry.get("i-1"))
+    assert context.registry.expire_grace_periods(context.now_ms + 1_900) == ("i-1",)
 
 
 @when("all of them vanish")
@@ -154,10 +161,10 @@
 @then("all are held 2.2 seconds later and those that come back stay")
 def step_all_held(context):
     registry, now_ms = context.registry, context.now_ms + 2_200
-    assert registry.expire(now_ms) == ()
+    assert registry.expire_grace_periods(now_ms) == ()
     registry.apply(ServerRecord("i-2", 20, server("i-2")), now_ms, False)
-    assert set(registry.expire(now_ms + 1_000)) == {"i-0", "i-1", "i-3"}
-    assert registry.get("i-2") is not None and not registry.held(registry.get("i-2"))
+    assert set(registry.expire_grace_periods(now_ms + 1_000)) == {"i-0", "i-1", "i-3"}
+    assert registry.get("i-2") is not None and not registry.in_grace_period(registry.get("i-2"))
 
 
 @when("one of them drains and vanishes")
@@ -175,18 +182,18 @@
 @when("a VM reads a whole list without one of them and tells a peer what changed")
 def step_list_without(context):
     entries = tuple(ServerRecord(f"i-{x}", x, server(f"i-{x}")) for x in range(4))
-    context.both = Knowledge(), Knowledge()
+    context.both = GatewayState(), GatewayState()
     for knowledge in context.both:
-        knowledge.take_server_list(entries, 4, context.now_ms)
+        knowledge.apply_server_list(entries, 4, context.now_ms)
     context.list = (*entries[1:], ServerRecord("i-9", 5, server("i-9")))
     reader, peer = context.both
-    touched = reader.take_server_list(context.list, 6, context.now_ms)
+    touched = reader.apply_server_list(context.list, 6, context.now_ms)
     peer.registry.adopt(reader.registry.to_document(context.now_ms, touched), context.now_ms)
 
 
 @then("both drop that one, also when the peer reads the same list")
 def step_both_drop(context):
-    context.both[1].take_server_list(context.list, 6, context.now_ms)
+    context.both[1].apply_server_list(context.list, 6, context.now_ms)
     for knowledge in context.both:
         knowledge.expire(context.now_ms + 3_000)
         names = {item.incarnation for item in knowledge.registry.servers()}
@@ -197,18 +204,18 @@
 def step_later_report(context):
     context.now_ms = 10_000.0
     entries = tuple(ServerRecord(f"i-{x}", x, server(f"i-{x}")) for x in range(4))
-    context.both = Knowledge(), Knowledge()
+    context.both = GatewayState(), GatewayState()
     for knowledge in context.both:
-        knowledge.take_server_list(entries, 4, context.now_ms)
+        knowledge.apply_server_list(entries, 4, context.now_ms)
     report = ServerRecord("i-0", 5, server("i-0", sequence=1))
-    assert not context.both[1].take_server(report, context.now_ms)
+    assert not context.both[1].apply_server_record(report, context.now_ms)
 
 
 @when("the other one finds the first missing in a whole list and tells it")
 def step_missing(context):
     reader, peer = context.both
     rest = tuple(ServerRecord(f"i-{x}", x, server(f"i-{x}")) for x in range(1, 4))
-    touched = reader.take_server_list(rest, 7, context.now_ms)
+    touched = reader.apply_server_list(rest, 7, context.now_ms)
     peer.registry.adopt(reader.registry.to_document(context.now_ms, touched), context.now_ms)
 
 
@@ -251,8 +258,8 @@
     by_whole.adopt(before, now_ms)
     by_whole.adopt(registry.to_document(now_ms), now_ms)
     for other in (by_whole, by_changes):
-        other.expire(now_ms + 3_000)
-    registry.expire(now_ms + 3_000)
+        other.expire_grace_periods(now_ms + 3_000)
+    registry.expire_grace_periods(now_ms + 3_000)
     expected = {item.incarnation: item for item in registry.servers()}
     for other in (by_whole, by_changes):
         assert {item.incarnation: item for item in other.servers()} == expected
@@ -262,7 +269,7 @@
 @given("a balancer over 6 backend servers, 3 of them in another data centre")
 def step_balancer(context):
     step_registry(context)
-    context.board = LoadBoard()
+    context.board = LoadTable()
     for offset in range(6):
         name = f"{'near' if offset < 3 else 'far'}-{offset % 3}"
         entry = server(name, NEAR if offset < 3 else FAR)
@@ -274,16 +281,16 @@
 
 @when("one of the own data centre works 7 times as long and one is full")
 def step_slow(context):
-    context.board.of("near-0").report(LoadFigure(0, 0, 7.0), context.now_ms)
+    context.board.get_or_create("near-0").update(LoadReport(0, 0, 7.0), context.now_ms)
     fill(context, "near-1")
 
 
 @when("a peer tells that it can't reach two of the own data centre")
 def step_peer_unreachable(context):
-    nobody = LoadFigure(0, 0, 1.0, reachable=False)
-    told = Loads("vm-2", (("near-0", nobody, 0.0), ("near-1", nobody, 0.0)))
-    for name, figure, age_ms in decode(encode(told)).figures:
-        context.board.of(name).report(figure, context.now_ms - age_ms)
+    nobody = LoadReport(0, 0, 1.0, reachable=False)
+    told = LoadReports("vm-2", (("near-0", nobody, 0.0), ("near-1", nobody, 0.0)))
+    for name, figure, age_ms in decode(encode(told)).reports:
+        context.board.get_or_create(name).update(figure, context.now_ms - age_ms)
 
 
 @then("all requests go to the third of them")
@@ -299,7 +306,7 @@
 
 @when("a figure that says 7 times as long is 1600 ms old")
 def step_stale(context):
-    context.board.of("near-0").report(LoadFigure(0, 0, 7.0), context.now_ms)
+    context.board.get_or_create("near-0").update(LoadReport(0, 0, 7.0), context.now_ms)
     assert "near-0" not in chosen(context)
     context.now_ms += 1_600
 
@@ -308,14 +315,14 @@
 def step_believed(context):
     assert "near-0" not in chosen(context)
     for name in ("near-1", "near-2", "far-0", "far-1", "far-2"):
-        context.board.of(name).report(LoadFigure(0, 0, 7.0), context.now_ms)
+        context.board.get_or_create(name).update(LoadReport(0, 0, 7.0), context.now_ms)
     assert chosen(context) == {"near-0"}
 
 
 @when("one of them fails 5 requests")
 def step_fail(context):
     for _ in range(5):
-        context.board.of("near-0").failed(context.now_ms)
+        context.board.get_or_create("near-0").record_failure(context.now_ms)
 
 
 @then("it gets none of the next 100 requests")
@@ -332,13 +339,13 @@
 @given("a load figure of 1 request")
 def step_figure(context):
     context.now_ms = 1_000.0
-    context.load = LoadBoard().of("i")
-    context.load.report(LoadFigure(1, 0, 1.0), context.now_ms)
+    context.load = LoadTable().get_or_create("i")
+    context.load.update(LoadReport(1, 0, 1.0), context.now_ms)
 
 
 @when("a neighbour starts 2 requests and this VM 1")
 def step_started(context):
-    context.load.peer_has("vm-2", 2, context.now_ms)
+    context.load.set_peer_in_flight("vm-2", 2, context.now_ms)
     context.load.in_flight += 1
 
 
@@ -350,15 +357,15 @@
 @then("it is 1 again when the next figure says so")
 def step_next_figure(context):
     context.load.in_flight = 0
-    context.load.peer_has("vm-2", 0, context.now_ms)
-    context.load.report(LoadFigure(1, 0, 1.0), context.now_ms + 50)
+    context.load.set_peer_in_flight("vm-2", 0, context.now_ms)
+    context.load.update(LoadReport(1, 0, 1.0), context.now_ms + 50)
     assert context.load.load(context.now_ms + 50) == 1
 
 
 @given("{vms:d} VMs with an allowance of {ratio:g} of the requests and {extra:d} more in 10 s")
 def step_allowance(context, vms, ratio, extra):
     context.ratio, context.extra = ratio, extra
-    context.allowances = [RetryAllowance(ratio, extra, 10_000) for _ in range(vms)]
+    context.allowances = [RetryBudget(ratio, extra, 10_000) for _ in range(vms)]
 
 
 @when("each repeats as much as it may over {windows:d} windows of {count:d} requests")
@@ -367,9 +374,9 @@
     for step in range(windows * count):
         now_ms = step * 10_000 / count
         for allowance in context.allowances:
-            allowance.count(fleet.SERVICE, now_ms)
+            allowance.count_request(fleet.SERVICE, now_ms)
             context.requests.append(now_ms)
-            while allowance.take(fleet.SERVICE, now_ms, len(context.allowances)):
+            while allowance.try_take(fleet.SERVICE, now_ms, len(context.allowances)):
                 context.repeats.append(now_ms)
 
 
@@ -385,26 +392,26 @@
 @given("a waiting line before {count:d} backend servers that are full")
 def step_line(context, count):
     step_registry(context)
-    context.board = LoadBoard()
+    context.board = LoadTable()
     for offset in range(count):
         name = f"i-{offset}"
         context.registry.apply(ServerRecord(name, offset, server(name)), context.now_ms, False)
         fill(context, name)
     balancer = Balancer(context.registry, context.board, WorkEstimates(), NEAR, random.Random(1))
-    context.line = WaitingLine(balancer)
+    context.line = RequestQueue(balancer)
     context.left = []
 
 
 def wait(context, priority, urgent):
     """Let a request wait."""
-    waiter = Waiter(
+    waiter = QueuedRequest(
         fleet.SERVICE,
         priority,
         WORK_MS,
         context.now_ms,
         AIM_MS,
         context.now_ms + TIMEOUT_MS,
-        urgent=urgent,
+        is_top_priority=urgent,
     )
     context.line.add(waiter)
     look(context)
@@ -438,7 +445,7 @@
     context.waiters.append(wait(context, 1, True))
     assert len(context.left) == 2
     context.now_ms += 10
-    context.board.of("i-0").report(LoadFigure(SLOTS - 1, 0, 1.0), context.now_ms)
+    context.board.get_or_create("i-0").update(LoadReport(SLOTS - 1, 0, 1.0), context.now_ms)
     look(context)
     assert context.left[-1].waiter is context.waiters[2] and context.left[-1].choice is not None
 
@@ -471,7 +478,7 @@
         self.reading = dict.fromkeys(self.members, False)
         for own, members in self.members.items():
             for name in self.members.keys() - {own}:
-                members.heard(self.heartbeat(name), 0.0)
+                members.record_heartbeat(self.heartbeat(name), 0.0)
 
     def heartbeat(self, name):
         """Return a VM's sign of life."""
@@ -485,10 +492,10 @@
             self.now_ms += 100
             for name in self.members.keys() - self.silent:
                 own = self.members[name]
-                self.reading[name] = own.reads_store(self.reading[name], self.now_ms)
+                self.reading[name] = own.should_read_store(self.reading[name], self.now_ms)
                 heartbeat = self.heartbeat(name)
                 for other in self.members.keys() - self.silent - {name}:
-                    self.members[other].heard(heartbeat, self.now_ms)
+                    self.members[other].record_heartbeat(heartbeat, self.now_ms)
 
     def readers(self):
         """Return who reads."""
@@ -543,7 +550,7 @@
 @then("it still names all others to callers if the store doesn't answer it either, else nobody")
 def step_names(context):
     members, now_ms = context.vms.members["vm-0"], context.vms.now_ms
-    assert len(members.caller_addresses(now_ms, reaches_nobody=True)) == 4
+    assert len(members.caller_addresses(now_ms, fully_isolated=True)) == 4
     assert members.caller_addresses(now_ms) == []
 
 
@@ -561,8 +568,8 @@
             "vm", 1, NEAR, "10.0.0.1:1", "10.0.0.2:2", True, False, False, 1, 1, 3_000.0, True
         ),
         Relay("vm", b"inner"),
-        Loads("vm", (("i", LoadFigure(1, 2, 7.0), 3.0),)),
-        InFlight("vm", {"i": 2}),
+        LoadReports("vm", (("i", LoadReport(1, 2, 7.0), 3.0),)),
+        InFlightCounts("vm", {"i": 2}),
     )
     whole = [encode(message) for message in messages]
     assert [decode(data) for data in whole] == list(messages)
@@ -588,7 +595,7 @@
 @when("{count:d} lines are noted")
 def step_flood(context, count):
     for number in range(count):
-        context.log.note(Kind.ATTEMPT, id=f"r-{number}")
+        context.log.note(EventKind.ATTEMPT, id=f"r-{number}")
         context.log.flush()
     context.lines = count
 
@@ -605,26 +612,28 @@
 def step_together(context):
     other = EventLog("vm-2", write=len)
     names = [f"r-{number}" for number in range(1_000)]
-    assert [context.log.sampled(name) for name in names] == [other.sampled(n) for n in names]
-    assert 0 < sum(other.sampled(name) for name in names) < 100
+    assert [context.log.is_sampled(name) for name in names] == [other.is_sampled(n) for n in names]
+    assert 0 < sum(other.is_sampled(name) for name in names) < 100
 
 
 @given("a load figure of pace 1 at 0 ms, 7 at 100 ms and 2 at 800 ms")
 def step_figures(context):
-    context.load = LoadBoard().of("i-0")
+    context.load = LoadTable().get_or_create("i-0")
     for at_ms, pace in ((0.0, 1.0), (100.0, 7.0), (800.0, 2.0)):
-        context.load.report(LoadFigure(0, 0, pace), at_ms)
+        context.load.update(LoadReport(0, 0, pace), at_ms)
 
 
 @then("at {at_ms:d} ms it should have done {work_ms:d} ms of work at the usual pace")
 def step_progress(context, at_ms, work_ms):
     context.expected = at_ms, work_ms
-    assert abs(context.load.progress_ms(at_ms) - work_ms) < 0.01, context.load.progress_ms(at_ms)
+    assert (
+        abs(context.load.expected_progress_ms(at_ms) - work_ms) < 0.01
+    ), context.load.expected_progress_ms(at_ms)
 
 
 @then("a figure of 50 ms that comes late changes nothing")
 def step_late_figure(context):
-    context.load.report(LoadFigure(0, 0, 50.0), 50.0)
+    context.load.update(LoadReport(0, 0, 50.0), 50.0)
     step_progress(context, *context.expected)
 
 
@@ -645,13 +654,13 @@
 @given("an allowance that counts over 10 s")
 def step_rate_allowance(context):
     context.now_ms = 0.0
-    context.allowance = RetryAllowance(0.2, 10, 10_000)
+    context.allowance = RetryBudget(0.2, 10, 10_000)
 
 
 @when("50 requests have come in 5 s")
 def step_rate_requests(context):
     for _ in range(50):
-        context.allowance.count("s", context.now_ms)
+        context.allowance.count_request("s", context.now_ms)
         context.now_ms += 100.0
 
 
--- a/features/steps/gateway_discovery_steps.py
+++ b/features/steps/gateway_discovery_steps.py
@@ -83,13 +83,15 @@
     for name in alive:
         for other in alive:
             if other != name:
-                context.discoveries[name]._members.heard(heartbeat(other), context.now_ms)
-    return {name for name in alive if context.discoveries[name].needs_store(context.now_ms)}
+                context.discoveries[name]._members.record_heartbeat(
+                    heartbeat(other), context.now_ms
+                )
+    return {name for name in alive if context.discoveries[name].should_announce(context.now_ms)}
 
 
 @then("none of them needs the store")
 def step_none_needs(context):
-    assert not any(item.needs_store(context.now_ms) for item in context.discoveries.values())
+    assert not any(item.should_announce(context.now_ms) for item in context.discoveries.values())
 
 
 @when("a seed falls silent")
@@ -106,7 +108,7 @@
 @when("those have written themselves down and die")
 def step_writers_die(context):
     for name in context.needing:
-        context.discoveries[name].announced()
+        context.discoveries[name].announcement_stored()
     context.dead |= context.needing
 
 
--- a/features/steps/gateway_evacuation_steps.py
+++ b/features/steps/gateway_evacuation_steps.py
@@ -13,10 +13,10 @@
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
 from cloverhook.gateway.balancer import Balancer
 from cloverhook.gateway.calls import CallerRequest
-from cloverhook.gateway.choice import Choice, Room, WorkEstimates
+from cloverhook.gateway.choice import CapacityRequirement, Choice, WorkEstimates
 from cloverhook.gateway.evacuation import Evacuation, Evacuations
-from cloverhook.gateway.knowledge import Knowledge
-from cloverhook.gateway.load import LoadBoard
+from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.load import LoadTable
 from cloverhook.gateway.store import MemoryStore
 from features import gateway_fleet as fleet
 from features.shared import run
@@ -74,7 +74,7 @@
         for gateway, _ in context.gateways:
             known = gateway._knowledge
             await fleet.until(lambda item=gateway: len(item._members.all()) == 2)
-            await fleet.until(lambda item=known: len(item.registry) == 4 and item.complete)
+            await fleet.until(lambda item=known: len(item.registry) == 4 and item.can_serve)
         await serve(context, REQUESTS)
         assert any(item.ran for item in endpoints_away(context))
 
@@ -127,7 +127,7 @@
 def step_forgotten(context):
     context.store.evacuate(AWAY, wanted=False)
     context.store.put_config(fleet.config(2))
-    context.store.forget_history()
+    context.store.compact()
 
 
 @then("its endpoints get requests again")
@@ -182,7 +182,7 @@
         )
         pool = BackendPool()
         context.stack.callback(pool.close)
-        context.result = await work.run(pool, LoadBoard(), 10)
+        context.result = await work.run(pool, LoadTable(), 10)
 
     run(context, attempt())
 
@@ -195,8 +195,8 @@
 
 @given("the evacuations {known} as of offset {offset:d}")
 def step_evacuations(context, known, offset):
-    context.known = Knowledge()
-    context.known.take_evacuations(Evacuations(offset, names(known)), 0.0)
+    context.known = GatewayState()
+    context.known.apply_evacuations(Evacuations(offset, names(known)), 0.0)
 
 
 def names(text):
@@ -216,19 +216,19 @@
         Evacuation(change[1:], int(offset), change[0] == "+")
         for offset, change in zip(words[::2], words[1::2], strict=True)
     ]
-    context.known.take_evacuations(context.known.evacuations.after(records), 0.0)
+    context.known.apply_evacuations(context.known.evacuations.with_records(records), 0.0)
 
 
 @when("whole list of offset {offset:d} with {found} comes")
 def step_whole(context, offset, found):
     records = [Evacuation(name, 1, True) for name in names(found)]
-    context.known.take_evacuations(Evacuations.as_of(offset, records), 0.0)
+    context.known.apply_evacuations(Evacuations.from_records(offset, records), 0.0)
 
 
 @when("a peer's state of offset {offset:d} with {found} comes")
 def step_state(context, offset, found):
     document = Evacuations(offset, names(found)).to_document()
-    context.known.take_evacuations(Evacuations.from_document(document), 0.0)
+    context.known.apply_evacuations(Evacuations.from_document(document), 0.0)
 
 
 @then("{result} are evacuated")
@@ -239,14 +239,14 @@
 @given("endpoints in data centres of regions kingston and hobart, and a route to {region}")
 def step_regions(context, region):
     context.region = region
-    context.known = Knowledge()
+    context.known = GatewayState()
     places = {"papine": "kingston", "moonah": "hobart"}
     for offset, place in enumerate(places):
         server = BackendServer(f"i-{place}", fleet.SERVICE, "10.0.0.1:1", place, 3)
         context.known.registry.apply(ServerRecord(server.name, offset, server), 0.0, False)
     context.balancer = Balancer(
         context.known.registry,
-        context.known.board,
+        context.known.load_table,
         WorkEstimates(),
         "papine",
         random.Random(2),
@@ -258,8 +258,8 @@
 @then("of {count:d} choices all are in {region}, with all of kingston {state}")
 def step_kept_to(context, count, region, state):
     if state == "evacuated":
-        context.known.take_evacuations(Evacuations(1, frozenset({"papine"})), 0.0)
-    for room in (Room.SLOT, Room.UNHARMED):
+        context.known.apply_evacuations(Evacuations(1, frozenset({"papine"})), 0.0)
+    for room in (CapacityRequirement.FREE_SLOT, CapacityRequirement.NO_SLOWDOWN):
         for number in range(count):
             choice = context.balancer.choose(
                 fleet.SERVICE, 10.0, number, (), room, regions=(region,)
--- a/features/steps/gateway_limits_steps.py
+++ b/features/steps/gateway_limits_steps.py
@@ -10,8 +10,8 @@
 
 from cloverhook.clock import monotonic_ms
 from cloverhook.errors import MessageError
-from cloverhook.gateway.call_headers import CallHeaders, rate_limit_per_s
-from cloverhook.gateway.peer_messages import KINDS, RateLimitUpdate, decode
+from cloverhook.gateway.call_headers import CallHeaders, parse_rate_limit
+from cloverhook.gateway.peer_messages import MESSAGE_TYPES, RateLimitUpdate, decode
 from features import gateway_fleet as fleet
 from features.rate_limit_replay import RateLimitReplay
 from features.shared import run
@@ -194,17 +194,17 @@
     names = CallHeaders()
 
     def named(value):
-        return rate_limit_per_s([(names.rate_limits[0], value)], names)
+        return parse_rate_limit([(names.rate_limits[0], value)], names)
 
     assert named(b"2.9") == 2.9 and named(b"0") == 0.0
-    assert rate_limit_per_s([], names) is None
+    assert parse_rate_limit([], names) is None
     for value in (b"", b"-1", b"nan", b"inf", b"1e9", b"2,9", b"9" * 40, b"two", b" 3"):
         assert named(value) is None, value
 
 
 @then("a datagram with a limit of another type or range is no message")
 def step_no_datagram(context):
-    kind = KINDS.index(RateLimitUpdate)
+    kind = MESSAGE_TYPES.index(RateLimitUpdate)
     sound = ["i-1", 2.5, 10.0]
     assert decode(cbor2.dumps([kind, "vm-1", [sound]])).rows[0].per_s == 2.5
     unsound = (["i-1", -1, 0], ["i-1", "2", 0], [7, 2.5, 0], ["i-1", 2.5, -1], ["i-1", 2.5])
--- a/features/steps/gateway_measuring_steps.py
+++ b/features/steps/gateway_measuring_steps.py
@@ -5,8 +5,8 @@
 from behave import given, then, when
 
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
-from cloverhook.gateway.load import LoadBoard, LoadFigure
-from cloverhook.gateway.measuring import Measuring
+from cloverhook.gateway.load import LoadReport, LoadTable
+from cloverhook.gateway.measuring import ProbeSchedule
 from cloverhook.gateway.registry import Registry
 from features import gateway_fleet as fleet
 from features.gateway_crowd import FAR, NEAR, heartbeat, members_of
@@ -24,7 +24,7 @@
         self.dead = set()
         self.cut_off = set()
         self.servers = [f"i-{number}" for number in range(servers)]
-        self.boards = {name: LoadBoard() for name in self.names}
+        self.boards = {name: LoadTable() for name in self.names}
         self.members = {name: members_of(name, self.names) for name in self.names}
         self.measuring = {}
         for name in self.names:
@@ -32,7 +32,7 @@
             for offset, server in enumerate(self.servers):
                 entry = BackendServer(server, fleet.SERVICE, "10.0.0.1:1", data_center)
                 registry.apply(ServerRecord(server, offset, entry), 0.0, False)
-            self.measuring[name] = Measuring(
+            self.measuring[name] = ProbeSchedule(
                 name,
                 self.members[name],
                 registry,
@@ -52,11 +52,13 @@
         for server, by in found.items():
             for name in alive:
                 if any(self.hears(name, other) for other in by):
-                    self.boards[name].of(server).measured(LoadFigure(0, 0, 1.0), self.now_ms)
+                    self.boards[name].get_or_create(server).update_from_probe(
+                        LoadReport(0, 0, 1.0), self.now_ms
+                    )
         for name in alive:
             for other in alive:
                 if other != name and self.hears(name, other):
-                    self.members[name].heard(heartbeat(other), self.now_ms)
+                    self.members[name].record_heartbeat(heartbeat(other), self.now_ms)
         return found
 
     def hears(self, name, other):
@@ -66,7 +68,7 @@
     def ages_ms(self, name):
         """Return the ages of a VM's figures, the least one first."""
         board = self.boards[name]
-        return sorted(board.of(server).age_ms(self.now_ms) for server in self.servers)
+        return sorted(board.get_or_create(server).age_ms(self.now_ms) for server in self.servers)
 
 
 @given("{vms:d} VMs of one data centre and {count:d} backend servers in it")
@@ -110,7 +112,7 @@
 def step_measurers_spared(context):
     measuring = {by[0] for by in context.found.values()}
     for name in measuring:
-        assert name not in context.vms.members[name].serving(context.vms.now_ms), name
+        assert name not in context.vms.members[name].serving_vms(context.vms.now_ms), name
 
 
 @then("each backend server is measured by one VM alone, and {limit:d} or fewer VMs measure")
@@ -137,8 +139,8 @@
 @when("one that callers are sent to is cut off with {count:d} request in flight for {time_ms:d} ms")
 def step_serving_cut_off(context, count, time_ms):
     vms = context.vms
-    vms.alone = vms.members["vm-0"].serving(vms.now_ms)[0]
-    vms.boards[vms.alone].of("i-0").in_flight = count
+    vms.alone = vms.members["vm-0"].serving_vms(vms.now_ms)[0]
+    vms.boards[vms.alone].get_or_create("i-0").in_flight = count
     vms.requests_per_s = 0.0
     vms.cut_off = {vms.alone}
     for _ in range(time_ms // PROBE_MS):
@@ -159,19 +161,19 @@
 def step_does_not_name_itself(context, time_s):
     vms = context.vms
     members = vms.members[vms.alone]
-    assert members.serves_callers(vms.now_ms) and not members.names_itself(vms.now_ms)
+    assert members.serves_callers(vms.now_ms) and not members.advertises_itself(vms.now_ms)
     assert len(members.caller_addresses(vms.now_ms)) == 11
     for _ in range(time_s * 1_000 // PROBE_MS):
         vms.step()
     for name in vms.names:
         if name != vms.alone:
-            assert vms.alone not in vms.members[name].serving(vms.now_ms)
+            assert vms.alone not in vms.members[name].serving_vms(vms.now_ms)
 
 
 @then("without requests it measures nothing while it is cut off")
 def step_measures_nothing(context):
     vms = context.vms
-    vms.boards[vms.alone].of("i-0").in_flight = 0
+    vms.boards[vms.alone].get_or_create("i-0").in_flight = 0
     vms.step()
     for _ in range(500 // PROBE_MS):
         assert all(vms.alone not in by for by in vms.step().values())
@@ -180,11 +182,11 @@
 @then("it measures for itself no more")
 def step_measures_no_more(context):
     vms = context.vms
-    vms.boards[vms.alone].of("i-0").in_flight = 1
+    vms.boards[vms.alone].get_or_create("i-0").in_flight = 1
     vms.cut_off = set()
     for _ in range(500 // PROBE_MS):
         vms.step()
-    assert vms.members[vms.alone].names_itself(vms.now_ms)
+    assert vms.members[vms.alone].advertises_itself(vms.now_ms)
     for _ in range(500 // PROBE_MS):
         assert all(vms.alone not in by for by in vms.step().values())
 
@@ -223,8 +225,8 @@
 @when("it has been started to listen for {listen_ms:d} ms and to measure {count:d} meanwhile")
 def step_listens(context, listen_ms, count):
     (measuring,) = context.vms.measuring.values()
-    measuring._listen_until_ms = context.listen_ms = listen_ms
-    measuring._while_listening = count
+    measuring._startup_until_ms = context.listen_ms = listen_ms
+    measuring._startup_probe_limit = count
 
 
 @then("it measures {first:d} before and all {count:d} after that")
--- a/features/steps/gateway_peer_steps.py
+++ b/features/steps/gateway_peer_steps.py
@@ -6,7 +6,7 @@
 
 from cloverhook.errors import PlatformSilentError
 from cloverhook.gateway.store import Feed, MemoryStore
-from cloverhook.gateway.store_follower import GAP_MS
+from cloverhook.gateway.store_follower import POLL_GAP_MS
 from features import gateway_fleet as fleet
 from features.shared import run
 
@@ -154,7 +154,7 @@
         backend = await fleet.Backend("i-late").start(context)
         context.backends.append(backend)
         context.store.put_server(backend.entry())
-        context.store.forget_history()
+        context.store.compact()
 
     run(context, forget())
 
@@ -187,7 +187,7 @@
 @when("one is told to leave")
 def step_one_leaves(context):
     async def leave():
-        context.gateways[0][0].leave()
+        context.gateways[0][0].begin_shutdown()
 
     run(context, leave())
 
@@ -212,7 +212,11 @@
 def step_pace(context):
     def paces():
         return {
-            item.board.of("i-0").figure.pace if item.board.of("i-0").figure else 0
+            (
+                item.load_table.get_or_create("i-0").latest_report.slowdown
+                if item.load_table.get_or_create("i-0").latest_report
+                else 0
+            )
             for item in known(context)
         }
 
@@ -224,10 +228,10 @@
     # A stall of this process lets a second gateway step in; it has to stop again.
     async def quiet_second():
         before = [item.connections for item in context.backends]
-        probes = [gateway._prober.probes for gateway, _ in context.gateways]
+        probes = [gateway._prober.probe_count for gateway, _ in context.gateways]
         await asyncio.sleep(1)
         measuring = sum(
-            gateway._prober.probes > count
+            gateway._prober.probe_count > count
             for (gateway, _), count in zip(context.gateways, probes, strict=True)
         )
         unchanged = [item.connections for item in context.backends] == before
@@ -305,7 +309,7 @@
 
     async def untold(feed, from_offset, wait_ms):
         if store._end(feed) <= from_offset:
-            context.waits_ms.append(wait_ms + GAP_MS)
+            context.waits_ms.append(wait_ms + POLL_GAP_MS)
             await asyncio.sleep(wait_ms / 1000)
         return await MemoryStore.changes(store, feed, from_offset, 0)
 
--- a/features/steps/gateway_start_steps.py
+++ b/features/steps/gateway_start_steps.py
@@ -109,7 +109,7 @@
 async def _hear_on(members, heartbeats):
     while True:
         for item in heartbeats:
-            members.heard(item, monotonic_ms())
+            members.record_heartbeat(item, monotonic_ms())
         await asyncio.sleep(0.1)
 
 
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -9,9 +9,9 @@
 
 from cloverhook.clock import monotonic_ms
 from cloverhook.errors import SettingsError
-from cloverhook.gateway.attempt import ASK_AGE_MS
+from cloverhook.gateway.attempt import LOAD_MAX_AGE_MS
 from cloverhook.gateway.daemon import Gateway
-from cloverhook.gateway.load import LoadFigure
+from cloverhook.gateway.load import LoadReport
 from cloverhook.gateway.program import serve
 from cloverhook.gateway.settings import GatewaySettings
 from cloverhook.gateway.store import MemoryStore
@@ -48,12 +48,12 @@
 def step_some_full(context, count, full):
     async def start():
         await fleet.start_fleet(context, count)
-        board = context.gateways[0][0]._knowledge.board
+        board = context.gateways[0][0]._knowledge.load_table
         for backend in context.backends[:full]:
             backend.running = fleet.SLOTS
         await fleet.until(
             lambda: all(
-                board.of(item.incarnation).load(monotonic_ms()) == fleet.SLOTS
+                board.get_or_create(item.incarnation).load(monotonic_ms()) == fleet.SLOTS
                 for item in context.backends[:full]
             )
         )
@@ -271,8 +271,8 @@
             for number in range(count)
         ]
         await fleet.until(lambda: ran(context) >= min(count, 4))
-        gateway.leave()
-        gateway.leave()
+        gateway.begin_shutdown()
+        gateway.begin_shutdown()
         context.ready = await fleet.call(settings.ready_address, "/ready")
         context.late = await fleet.call(settings.caller_address, request_id="late")
         context.answers = await asyncio.gather(*calls)
@@ -319,7 +319,7 @@
     while not all(len(backend.ran) >= 3 for backend in context.backends):
         paths = [fleet.call(caller_address(context), fleet.SAFE) for _ in range(8)]
         run(context, gather(paths))
-    run(context, asyncio.sleep(2 * ASK_AGE_MS / 1000))
+    run(context, asyncio.sleep(2 * LOAD_MAX_AGE_MS / 1000))
 
 
 async def gather(calls):
@@ -398,19 +398,19 @@
 @when("the pace of its backend server falls {after_ms:d} ms after a read has begun")
 def step_pace_falls(context, after_ms):
     gateway = context.gateways[0][0]
-    board = gateway._knowledge.board
+    board = gateway._knowledge.load_table
 
     async def read():
         for backend in context.backends:
             backend.seen.clear()
-            board.of(backend.incarnation).report(LoadFigure(0, 0, 1.0), monotonic_ms())
+            board.get_or_create(backend.incarnation).update(LoadReport(0, 0, 1.0), monotonic_ms())
         answer = asyncio.ensure_future(fleet.call(caller_address(context), fleet.SAFE))
         await fleet.until(lambda: any(backend.seen for backend in context.backends))
         busy = next(backend for backend in context.backends if backend.seen)
         (began,) = gateway._forwarder._running[busy.incarnation]
         began.attempts[-1].began_ms = monotonic_ms() - after_ms  # A stall must not count.
         server = gateway._knowledge.registry.get(busy.incarnation)
-        gateway._on_figure(server, LoadFigure(1, 0, 7.0), monotonic_ms())
+        gateway._on_load_report(server, LoadReport(1, 0, 7.0), monotonic_ms())
         assert (await answer).status == 200
 
     run(context, read())
--- a/features/steps/gateway_store_era_steps.py
+++ b/features/steps/gateway_store_era_steps.py
@@ -7,9 +7,9 @@
 
 from cloverhook.errors import PlatformSilentError
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
-from cloverhook.gateway.knowledge import Knowledge
+from cloverhook.gateway.knowledge import GatewayState
 from cloverhook.gateway.store import Feed, FeedSlice
-from cloverhook.gateway.store_follower import with_versions
+from cloverhook.gateway.store_follower import offsets_to_versions
 from features import gateway_fleet as fleet
 from features.era_replay import HOLD_MS, EraReplay, usable
 from features.shared import run
@@ -58,7 +58,7 @@
     """Have the store be away for a moment and come back without its last records."""
     context.store.failure = PlatformSilentError("away")
     await asyncio.sleep(AWAY_S)
-    context.store.restore({Feed[name.upper()]: count for name, count in lost.items()})
+    context.store.restore_older_copy({Feed[name.upper()]: count for name, count in lost.items()})
     context.store.failure = None
 
 
@@ -270,7 +270,7 @@
 
 @given("the registries of a gateway that saw an era, and of one that was cut off in the era before")
 def step_two_eras(context):
-    context.now, context.before = Knowledge(), Knowledge()
+    context.now, context.before = GatewayState(), GatewayState()
     for knowledge, era in ((context.now, 1), (context.before, 1), (context.now, 2)):
         names = ("i-1", "i-2") if era == 1 else ("i-1", "i-3")
         offset = 900 if era == 1 else 20
@@ -278,8 +278,8 @@
             ServerRecord(name, offset, BackendServer(name, fleet.SERVICE, "10.0.0.1:1", "d"))
             for name in names
         )
-        found = with_versions(FeedSlice((), servers, offset + 1, era=era), era)
-        knowledge.take_server_list(found.servers, found.end_offset, 0.0)
+        found = offsets_to_versions(FeedSlice((), servers, offset + 1, era=era), era)
+        knowledge.apply_server_list(found.servers, found.end_offset, 0.0)
 
 
 @then("what the latter tells changes nothing for the former")
--- a/features/steps/gateway_trust_steps.py
+++ b/features/steps/gateway_trust_steps.py
@@ -8,12 +8,12 @@
 from cloverhook.clock import monotonic_ms
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
 from cloverhook.gateway.balancer import Balancer
-from cloverhook.gateway.choice import Room, WorkEstimates
+from cloverhook.gateway.choice import CapacityRequirement, WorkEstimates
 from cloverhook.gateway.event_log import EventLog
 from cloverhook.gateway.failure_updates import FailureUpdates
-from cloverhook.gateway.knowledge import Knowledge
+from cloverhook.gateway.knowledge import GatewayState
 from cloverhook.gateway.peer_messages import Failures
-from cloverhook.gateway.trust import ANSWERED_MS, Trust
+from cloverhook.gateway.trust import RECENT_ANSWER_MS, CircuitBreaker
 from features import gateway_fleet as fleet
 from features.shared import run
 
@@ -77,8 +77,11 @@
         statuses = statuses + context.statuses
     context.statuses = statuses
     incarnation = context.backends[0].entry().incarnation
-    trusts = [item._knowledge.board.of(incarnation).trust for item, _ in context.gateways]
-    run(context, fleet.until(lambda: all(trust.in_question for trust in trusts)))
+    trusts = [
+        item._knowledge.load_table.get_or_create(incarnation).circuit_breaker
+        for item, _ in context.gateways
+    ]
+    run(context, fleet.until(lambda: all(trust.needs_check for trust in trusts)))
 
 
 @when("callers write {count:d} times")
@@ -104,20 +107,20 @@
 def start_endpoints(context, count):
     """Know so many endpoints of one service, on a clock of the scenario's own."""
     context.now_ms = 0.0
-    context.knowledge = Knowledge()
+    context.knowledge = GatewayState()
     registry = context.knowledge.registry
     for number in range(count):
         entry = BackendServer(f"i-{number}", fleet.SERVICE, "10.0.0.1:80", "here", fleet.SLOTS)
         registry.apply(ServerRecord(entry.name, number, entry), 0.0, False)
     context.balancer = Balancer(
-        registry, context.knowledge.board, WorkEstimates(), "here", random.Random(3)
+        registry, context.knowledge.load_table, WorkEstimates(), "here", random.Random(3)
     )
 
 
 def chosen(context, repeatable):
     """Return the endpoint that a request would go to, or None."""
     choice = context.balancer.choose(
-        fleet.SERVICE, WORK_MS, context.now_ms, (), Room.SLOT, repeatable
+        fleet.SERVICE, WORK_MS, context.now_ms, (), CapacityRequirement.FREE_SLOT, repeatable
     )
     return None if choice is None else choice.server.incarnation
 
@@ -126,13 +129,15 @@
 def step_suspended(context):
     # Nothing is suspended where that leaves nobody: the others of its service are full.
     start_endpoints(context, 4)
-    context.board = context.knowledge.board
+    context.board = context.knowledge.load_table
     for number in range(1, 4):
-        context.board.of(f"i-{number}").in_flight = fleet.SLOTS
-    context.trust = context.board.of("i-0").trust
-    assert not context.trust.failed(0.0, -5.0)
-    assert not context.trust.failed(1.0, -5.0)  # It was under way when the first one failed.
-    assert context.trust.failed(10.0, 5.0)
+        context.board.get_or_create(f"i-{number}").in_flight = fleet.SLOTS
+    context.trust = context.board.get_or_create("i-0").circuit_breaker
+    assert not context.trust.record_failure(0.0, -5.0)
+    assert not context.trust.record_failure(
+        1.0, -5.0
+    )  # It was under way when the first one failed.
+    assert context.trust.record_failure(10.0, 5.0)
 
 
 @then("it gets nothing for a second, and then one request that can be repeated")
@@ -142,14 +147,14 @@
     context.now_ms = 1_200.0
     assert chosen(context, False) is None
     assert chosen(context, True) == "i-0"
-    context.board.of("i-0").in_flight = 1
+    context.board.get_or_create("i-0").in_flight = 1
     assert chosen(context, True) is None
 
 
 @when("that one is answered well")
 def step_answered(context):
-    context.board.of("i-0").in_flight = 0
-    context.trust.answered(context.now_ms)
+    context.board.get_or_create("i-0").in_flight = 0
+    context.trust.record_answer(context.now_ms)
 
 
 @then("it gets any request")
@@ -163,7 +168,7 @@
     for context.now_ms in range(10, 60_000, 20):
         if chosen(context, True) is not None:
             context.trials += 1
-            context.trust.failed(context.now_ms + 5.0, context.now_ms)
+            context.trust.record_failure(context.now_ms + 5.0, context.now_ms)
 
 
 @then("it was tried {low:d} to {high:d} times")
@@ -183,8 +188,8 @@
 
 @then("at most {count:d} of them are suspended")
 def step_few_suspended(context, count):
-    board, servers = context.knowledge.board, context.knowledge.registry.servers()
-    trusts = [board.of(server.incarnation).trust for server in servers]
+    board, servers = context.knowledge.load_table, context.knowledge.registry.servers()
+    trusts = [board.get_or_create(server.incarnation).circuit_breaker for server in servers]
     suspended = sum(1 for trust in trusts if trust.is_suspended(context.now_ms))
     assert 1 <= suspended <= count, suspended
 
@@ -193,9 +198,11 @@
 def step_many_suspended(context, count, suspended):
     start_endpoints(context, count)
     for number in range(suspended):
-        trust: Trust = context.knowledge.board.of(f"i-{number}").trust
-        trust.failed(0.0, -5.0)
-        trust.failed(5.0, 1.0)
+        trust: CircuitBreaker = context.knowledge.load_table.get_or_create(
+            f"i-{number}"
+        ).circuit_breaker
+        trust.record_failure(0.0, -5.0)
+        trust.record_failure(5.0, 1.0)
     context.now_ms = 10.0
 
 
@@ -216,7 +223,7 @@
 def step_hardly_suspended(context, limit):
     vms, rate, lost = context.lossy
     source = random.Random(11)
-    trusts = [Trust() for _ in range(vms)]
+    trusts = [CircuitBreaker() for _ in range(vms)]
     now_ms, suspended_ms = 0.0, 0.0
     while now_ms < 600_000.0:
         step_ms = source.expovariate(rate) * 1_000
@@ -226,13 +233,13 @@
         if own.is_suspended(now_ms):
             continue
         if source.random() >= lost:
-            own.answered(now_ms)
+            own.record_answer(now_ms)
             continue
-        answered = own.answered_since(now_ms - ANSWERED_MS)
-        own.failed(now_ms, now_ms - 1.0)
+        answered = own.answered_since(now_ms - RECENT_ANSWER_MS)
+        own.record_failure(now_ms, now_ms - 1.0)
         for trust in trusts:
             if trust is not own:
-                trust.peer_failed(now_ms, now_ms - 1.0, answered)
+                trust.record_peer_failure(now_ms, now_ms - 1.0, answered)
     assert suspended_ms <= limit * now_ms, suspended_ms / now_ms
 
 
@@ -268,9 +275,9 @@
 @then("both gateways know that it turns away between {least:g} and {most:g} of what it gets")
 def step_refusal_share(context, least, most):
     def shares():
-        boards = [gateway._knowledge.board for gateway, _ in context.gateways]
+        boards = [gateway._knowledge.load_table for gateway, _ in context.gateways]
         name = context.shedding.incarnation
-        return [board.of(name).refusal_share(monotonic_ms()) for board in boards]
+        return [board.get_or_create(name).refusal_share(monotonic_ms()) for board in boards]
 
     run(context, fleet.until(lambda: all(least <= share <= most for share in shares())))
 
@@ -278,7 +285,9 @@
 @then("it is not suspended")
 def step_not_suspended(context):
     for gateway, _ in context.gateways:
-        trust = gateway._knowledge.board.of(context.shedding.incarnation).trust
+        trust = gateway._knowledge.load_table.get_or_create(
+            context.shedding.incarnation
+        ).circuit_breaker
         assert not trust.is_suspended(monotonic_ms())
 
 
@@ -291,8 +300,10 @@
         context.shedding, context.slow = context.backends
         context.shedding.default = "reject"
         context.slow.pace = 6_000
-        board = context.gateways[0][0]._knowledge.board
-        await fleet.until(lambda: board.of(context.slow.incarnation).pace(monotonic_ms()) == 60.0)
+        board = context.gateways[0][0]._knowledge.load_table
+        await fleet.until(
+            lambda: board.get_or_create(context.slow.incarnation).slowdown(monotonic_ms()) == 60.0
+        )
 
     run(context, start())
 
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -12,7 +12,7 @@
 
 import features
 from cloverhook.errors import PlatformError, PlatformSilentError, SettingsError
-from cloverhook.gateway.call_headers import rate_limit_per_s
+from cloverhook.gateway.call_headers import parse_rate_limit
 from cloverhook.gateway.daemon import Gateway
 from cloverhook.gateway.evacuation import Evacuations
 from cloverhook.gateway.settings import GatewaySettings
@@ -255,21 +255,21 @@
 
 @then("the adapter finds none in quarantine")
 def step_no_quarantine(context):
-    found = run(context, context.client.quarantine())
+    found = run(context, context.client.load_quarantine())
     assert not found.records and not found.unreadable
 
 
 @when("two requests in quarantine are written down, and then one")
 def step_keep_quarantine(context):
     records = (QuarantineRecord(2**64 - 1, 2, 1_700_000_000_000), QuarantineRecord(7, 3, 5))
-    run(context, context.client.keep_quarantine(records))
-    run(context, context.client.keep_quarantine(records[:1]))
+    run(context, context.client.save_quarantine(records))
+    run(context, context.client.save_quarantine(records[:1]))
     context.kept = records[:1]
 
 
 @then("the adapter finds that one")
 def step_quarantine(context):
-    assert run(context, context.client.quarantine()).records == context.kept
+    assert run(context, context.client.load_quarantine()).records == context.kept
 
 
 @when("what is written there is no list of requests")
@@ -279,7 +279,7 @@
 
 @then("the adapter says so and finds none")
 def step_bad_quarantine_named(context):
-    found = run(context, context.client.quarantine())
+    found = run(context, context.client.load_quarantine())
     assert not found.records and len(found.unreadable) == 1
 
 
@@ -429,7 +429,7 @@
         run(context, context.client.newest(Feed.CONFIG)),
         run(context, context.client.changes(Feed.CONFIG, 0, 0)),
     ):
-        after = Evacuations().after(found.evacuations)
+        after = Evacuations().with_records(found.evacuations)
         assert after.data_centers == {data_center}, found
         assert [line.split(" at ")[0] for line in found.unreadable] == ["evacuate/"], found
 
@@ -458,4 +458,4 @@
 @then("a limit is read under either name that the platform may give it")
 def step_limit_names(context):
     for name in (b"server-limit", b"x-cloverhook-server-limit"):
-        assert rate_limit_per_s([(name, b"2.5")], HEADERS) == 2.5
+        assert parse_rate_limit([(name, b"2.5")], HEADERS) == 2.5
--- a/features/steps/quarantine_replay_steps.py
+++ b/features/steps/quarantine_replay_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 
-from cloverhook.gateway.quarantine import Quarantine, Standing
+from cloverhook.gateway.quarantine import Quarantine, SendPermission
 from features.quarantine_fleet import QuarantineFleet, keys_of
 
 FATAL = keys_of(1)
@@ -115,23 +115,23 @@
 def step_many(context, count):
     context.quarantine = Quarantine("vm-0")
     for number in range(2, count):
-        context.quarantine.crashed(keys_of(number), (0, 0), float(number))
+        context.quarantine.record_crash(keys_of(number), (0, 0), float(number))
 
 
 @given("a request that it holds in quarantine")
 def step_one(context):
-    context.quarantine.crashed(FATAL, (1, 1), 10_000.0)
+    context.quarantine.record_crash(FATAL, (1, 1), 10_000.0)
     for number in range(10_000, 12_000):
-        context.quarantine.crashed(keys_of(number), (0, 0), 10_000.0 + number)
+        context.quarantine.record_crash(keys_of(number), (0, 0), 10_000.0 + number)
 
 
 @then("it holds at most {most:d}, and still that one")
 def step_bounded(context, most):
     assert len(context.quarantine) <= most
-    assert context.quarantine.standing(FATAL, 22_000.0) is Standing.BARRED
+    assert context.quarantine.send_permission(FATAL, 22_000.0) is SendPermission.QUARANTINED
 
 
 @then("all are forgotten a day after the last")
 def step_forgotten(context):
-    context.quarantine.forget(22_000.0 + 2 * DAY_MS)
+    context.quarantine.remove_expired(22_000.0 + 2 * DAY_MS)
     assert len(context.quarantine) == 0
--- a/features/transfer_replay.py
+++ b/features/transfer_replay.py
@@ -4,7 +4,7 @@
 import itertools
 import random
 
-from cloverhook.gateway.transfer_queue import Asker, Send, TransferQueue
+from cloverhook.gateway.transfer_queue import Requester, Send, TransferQueue
 
 KBIT_PER_KB = 8.0
 LINKS_KBIT_PER_MS = (5.0, 5.0, 20.0, 100.0)
@@ -50,7 +50,7 @@
         heapq.heappush(self._events, (time_ms, next(self._order), action, arguments))
 
     def _asker(self, vm):
-        return Asker(vm, self.data_centers[vm])
+        return Requester(vm, self.data_centers[vm])
 
     def _ask(self, now_ms, vm, holder):
         """Ask a VM; one that was killed answers nothing, or has crashed with its connections."""
@@ -64,14 +64,14 @@
         else:
             data_center = self.data_centers[holder]
             queue = self.queues.setdefault(holder, TransferQueue(data_center))
-            self._act(now_ms, holder, queue.ask(self._asker(vm)))
+            self._act(now_ms, holder, queue.request_transfer(self._asker(vm)))
 
     def _any_holder(self):
         return self.random.choice(list(self.known_ms))
 
     def _act(self, now_ms, holder, actions):
         for action in actions:
-            vm = action.to.peer_address
+            vm = action.requester.peer_address
             if not isinstance(action, Send):
                 wait_ms = ROUND_TRIP_MS if action.peer_address else PAUSE_MS
                 address = action.peer_address or self._any_holder()
@@ -91,4 +91,4 @@
         self.sending[holder] -= 1
         if received:
             self.known_ms.setdefault(vm, now_ms + PASS_ON_MS)
-        self._act(now_ms, holder, self.queues[holder].ended(self._asker(vm), received))
+        self._act(now_ms, holder, self.queues[holder].transfer_ended(self._asker(vm), received))
