--- a/cloverhook/gateway/log_position.py
+++ b/cloverhook/gateway/log_position.py
@@ -6,8 +6,8 @@
 from there.
 
 >>> position = LogPosition()
->>> position.record_peer_state(version=4, as_of=6)
->>> position.advance_from_peer(version=4, as_of=9)
+>>> position.adopted(version=4, as_of=6)
+>>> position.heard(version=4, as_of=9)
 >>> position.version, position.as_of
 (4, 9)
 """
