--- a/cloverhook/gateway/holds.py
+++ b/cloverhook/gateway/holds.py
@@ -5,10 +5,10 @@
 A single entry that vanishes most likely belongs to an endpoint that has left, and gets a shorter
 grace period.
 
->>> holds = Holds(drain_ms=2_000.0)
->>> holds.begin("i-1", "orders", of_service=9, now_ms=0.0, store_was_away=False)
+>>> periods = GracePeriods(drain_ms=2_000.0)
+>>> periods.start("i-1", "orders", service_size=9, now_ms=0.0, store_was_unavailable=False)
 False
->>> "i-1" in holds, holds.due(1_499.0), holds.due(1_500.0)
+>>> "i-1" in periods, periods.expired(1_499.0), periods.expired(1_500.0)
 (True, [], ['i-1'])
 """
 
@@ -40,7 +40,7 @@
     def start(
         self, name: str, service: str, service_size: int, now_ms: float, store_was_unavailable: bool
     ) -> bool:
-        """Start the grace period of an entry whose service has `of_service` entries.
+        """Start the grace period of an entry whose service has `service_size` entries.
 
         Returns whether the entry has more likely expired because of the store than left.
         """
--- a/cloverhook/gateway/log_position.py
+++ b/cloverhook/gateway/log_position.py
@@ -6,8 +6,8 @@
 from there.
 
 >>> position = LogPosition()
->>> position.adopted(version=4, as_of=6)
->>> position.heard(version=4, as_of=9)
+>>> position.record_peer_state(version=4, as_of=6)
+>>> position.advance_from_peer(version=4, as_of=9)
 >>> position.version, position.as_of
 (4, 9)
 """
@@ -71,10 +71,10 @@
             self._knows_last_change = True
 
     def record_snapshot(self, known: tuple[int, int], as_of: int, changed: bool) -> None:
-        """Record that a full list as of a position was applied; it doesn't show the last change.
+        """Record that a snapshot as of a position was applied; it doesn't show the last change.
 
-        `known` holds `version` and `as_of` from before the list; `changed` says that the list
-        changed something.
+        `known` holds `version` and `as_of` from before the snapshot; `changed` says that the
+        snapshot changed something.
         """
         known_version, known_as_of = known
         if changed or era_of(as_of) > era_of(known_as_of):
--- a/cloverhook/gateway/measuring.py
+++ b/cloverhook/gateway/measuring.py
@@ -2,11 +2,11 @@
 
 Layer: coordination.  The backend servers of a data centre form a few groups, and each group has an
 order of the VMs of that data centre.  The first VM in the order probes the group, and its load
-figures reach all the others, which therefore also notice when they stop.  The next VM in the order
-takes over once no figure has arrived for a while, and stops when the first one is back.  No VM has
+reports reach all the others, which therefore also notice when they stop.  The next VM in the order
+takes over once no report has arrived for a while, and stops when the first one is back.  No VM has
 to be notified, and two VMs that probe the same group for a moment cost only a few probes.
 
-Probes are paid for, and a load figure is useful only to a request that is dispatched by it.  So the
+Probes are paid for, and a load report is useful only to a request that is dispatched by it.  So the
 more requests an endpoint gets, the more often it is probed.
 """
 
@@ -22,17 +22,18 @@
 __all__ = ["GROUP_SIZE", "STARTUP_DELAY_MS", "ProbeSchedule"]
 
 GROUP_SIZE = 24
-"""The figures of a group share one datagram, and a small VM can probe it beside its requests."""
+"""The load reports of a group share one datagram, and a small VM can probe the group while it serves
+requests."""
 TAKEOVER_MS = 350.0
-"""The time of two of the slowest probes in a row: without a figure for this long, the VM that sends
-them is dead, paused or isolated."""
+"""The time of two of the slowest probes in a row: without a load report for this long, the VM that
+sends them is dead, paused or isolated."""
 PROBES_PER_REQUEST = 3.0
-"""The speed of an endpoint changes several times a second: a request should find a figure that is
-no older than a third of the time between requests.  Probes are paid for, so there are no more."""
+"""The slowdown of an endpoint changes several times a second, so a request should find a report at
+most a third of the time between requests old.  Probes are paid for, so there are no more."""
 MIN_PROBES_PER_S = 6.0
 """An endpoint with hardly any requests is still probed often enough to notice that it gets slow."""
 LARGE_MAX_PROBES_PER_S = 10.0
-"""In a large data centre each figure goes to all serving and hot standby VMs, and there are many
+"""In a large data centre each load report goes to all load subscribers, and there are many
 endpoints."""
 VM_MAX_PROBES_PER_S = 150.0
 """The number of probes that a small VM can send beside its other work.  Where there are more
@@ -58,7 +59,7 @@
         own_vm: str,
         members: Members,
         registry: Registry,
-        board: LoadTable,
+        load_table: LoadTable,
         max_per_s: float,
         requests_per_s: Callable[[str, float], float],
         startup_until_ms: float = 0.0,
@@ -68,7 +69,7 @@
         """Set up the schedule.
 
         `requests_per_s` returns how many requests of a service this VM gets per second at a time.
-        Before `listen_until_ms`, at most `while_listening` backend servers are probed.  The
+        Before `startup_until_ms`, at most `startup_probe_limit` backend servers are probed.  The
         endpoints of the `evacuated` data centres get no requests, so they are not probed either.
         """
         self._startup_until_ms = startup_until_ms
@@ -81,7 +82,7 @@
         self._next_ms: dict[str, float] = {}
         self._members = members
         self._registry = registry
-        self._board = board
+        self._load_table = load_table
         self._ranked: list[tuple[BackendServer, int]] = []
         self._own: list[BackendServer] = []
         self._order_due_ms = 0.0
@@ -133,9 +134,11 @@
         for server, rank in self._ranked:
             if rank == 0:
                 continue
-            unmeasured_ms = self._board.get_or_create(server.incarnation).since_last_probe_ms(now_ms)
+            since_probe_ms = self._load_table.get_or_create(server.incarnation).since_last_probe_ms(
+                now_ms
+            )
             interval_ms = self._intervals_ms.get(server.service, 0.0)
-            left_ms = rank * max(TAKEOVER_MS, TAKEOVER_INTERVALS * interval_ms) - unmeasured_ms
+            left_ms = rank * max(TAKEOVER_MS, TAKEOVER_INTERVALS * interval_ms) - since_probe_ms
             soonest_ms = min(soonest_ms, left_ms)
             if left_ms <= 0 and self._is_planned(server, now_ms):
                 found.append(server)
@@ -199,9 +202,9 @@
         """Probe a group for this VM alone while it is isolated, if it has requests.
 
         A serving VM is late in the order of each group: while isolated, it would have to wait for
-        figures, and would dispatch requests without them.
+        load reports, and would dispatch requests without them.
         """
-        if self._board.has_requests():
+        if self._load_table.has_requests():
             self._ranked = self._own_selection(self._in_use(), GROUP_SIZE)
 
     def _own_selection(
@@ -235,18 +238,18 @@
     ) -> list[int | None]:
         """Return the same for a large data centre.
 
-        Only a part of its VMs receives the figures, and so notices their absence.  The hot standby
+        Only a part of its VMs receives the load reports, and so notices their absence.  The standby
         VMs rank before the serving VMs.  A data centre that has no VM is probed by one of the other
         data centres, and by the next one once that has failed as a whole.
         """
-        informed = self._members.load_subscribers(now_ms)
+        subscribers = self._members.load_subscribers(now_ms)
         if vms and self._own_vm not in vms:
             return [None] * groups
-        before = 0 if vms else len(informed) * self._data_centers_before(data_center, now_ms)
+        before = 0 if vms else len(subscribers) * self._data_centers_before(data_center, now_ms)
         serving = self._members.serving_vms(now_ms)
-        hot_standby = [vm for vm in informed if vm not in serving]
-        peers = hot_standby if self._own_vm in hot_standby else serving
-        before += 0 if peers is hot_standby else len(hot_standby)
+        standby = [vm for vm in subscribers if vm not in serving]
+        peers = standby if self._own_vm in standby else serving
+        before += 0 if peers is standby else len(standby)
         return [
             before + self._group_rank(f"{data_center}/{group}", peers) for group in range(groups)
         ]
--- a/cloverhook/gateway/members.py
+++ b/cloverhook/gateway/members.py
@@ -46,17 +46,17 @@
 may have less than half a core, and a burst may double the load before another VM is added.  The
 other work of a VM must not count: it grows with the number of serving VMs, so that in the end every
 VM would become one."""
-HOT_STANDBY_VMS = 8
-"""The number of hot standby VMs, which follow the serving VMs in the order.  They receive the load
-figures too, and they send the probes: a VM that becomes a serving VM dispatches requests well from
-its first one on, and the serving VMs are spared the probes."""
+STANDBY_VMS = 8
+"""The number of standby VMs, which follow the serving VMs in the order.  They receive the load
+reports too, and they send the probes: a VM that becomes a serving VM dispatches requests well from
+its first one on, and the serving VMs are spared the probes.  The VMs after them are idle VMs."""
 REFRESH_MS = 100.0
 """The order of VMs and the choice of relays are computed again after this time."""
 COUNT_SENDER_MS = 2_000.0
 """A neighbour that has had requests in flight within this time receives the counts of others."""
 RECENT_MS = 3_500.0
-"""A VM with a heartbeat within this time may be chosen to relay messages: a dead one is chosen for
-no longer than this."""
+"""A VM with a heartbeat within this time may be chosen to relay messages, or to send its state: a
+dead one is chosen for no longer than this."""
 READERS = 2
 READER_TIMEOUT_MS = 900.0
 """When this long has passed without heartbeats from enough readers, another VM starts to read: two
@@ -120,7 +120,7 @@
         self._enough_readers_ms = now_ms
         self._had_enough_readers = False
         self._serving: tuple[str, ...] = ()
-        self._informed: tuple[str, ...] = ()
+        self._load_subscribers: tuple[str, ...] = ()
         self._serving_refresh_ms = 0.0
         self._readers: dict[str, Member] = {}
         self._relays: dict[str, list[Member]] = {}
@@ -191,11 +191,13 @@
         """Return whether this VM, in a large data centre, has lost contact with its neighbours.
 
         That is so when no message has arrived for a while, or when most neighbours are silent.  An
-        isolated VM dispatches requests without the counts and load figures of others.
+        isolated VM dispatches requests without the counts and load reports of others.
         """
         if not self.in_large_data_center():
             return False
-        return now_ms - self._last_message_ms > ISOLATED_MS or _most_silent(self.local_members(), now_ms)
+        return now_ms - self._last_message_ms > ISOLATED_MS or _most_silent(
+            self.local_members(), now_ms
+        )
 
     def advertises_itself(self, now_ms: float) -> bool:
         """Return whether this VM, if it is ready, gives its own address to callers.
@@ -226,9 +228,9 @@
     def caller_addresses(self, now_ms: float, fully_isolated: bool = False) -> list[str]:
         """Return the addresses of the other VMs that callers may use.
 
-        VMs without a heartbeat for a long time are left out, unless `reaches_nobody` is set: this
-        VM then reaches neither other VMs nor the store, so it is the one that is isolated, and
-        callers still reach the others.
+        VMs without a heartbeat for a long time are left out, unless this VM is `fully_isolated`:
+        it then does not even reach the store, so it is the one that has lost contact, and callers
+        still reach the others.
         """
         if self.in_large_data_center() and len(self.serving_vms(now_ms)) >= ENOUGH_LOCAL_VMS:
             found = (self._local.get(vm) for vm in self.serving_vms(now_ms))
@@ -240,7 +242,9 @@
             if len(local) >= ENOUGH_LOCAL_VMS:
                 chosen = local
         if not fully_isolated:
-            chosen = [item for item in chosen if now_ms - item.last_heartbeat_ms < ADDRESS_EXPIRY_MS]
+            chosen = [
+                item for item in chosen if now_ms - item.last_heartbeat_ms < ADDRESS_EXPIRY_MS
+            ]
         return [item.caller_address for item in chosen]
 
     def serves_callers(self, now_ms: float) -> bool:
@@ -257,15 +261,15 @@
         return self._serving
 
     def load_subscribers(self, now_ms: float) -> tuple[str, ...]:
-        """Return the VMs of the own data centre that need load figures, in the same order.
+        """Return the VMs of the own data centre that receive load reports, in the same order.
 
-        They are the serving VMs and the hot standby VMs, which would become serving VMs next.
+        They are the serving VMs and the standby VMs, which would become serving VMs next.
         """
         self._refresh_serving(now_ms)
-        return self._informed
+        return self._load_subscribers
 
     def is_load_subscriber(self, now_ms: float) -> bool:
-        """Return whether this VM is one of those that need load figures."""
+        """Return whether this VM is one of those that receive load reports."""
         return not self.in_large_data_center() or self._own_vm in self.load_subscribers(now_ms)
 
     def _refresh_serving(self, now_ms: float) -> None:
@@ -279,10 +283,10 @@
         requests_per_s = sum(item.requests_per_s for item in local if item.is_alive(now_ms))
         wanted = max(MIN_SERVING_VMS, ceil(requests_per_s / REQUESTS_PER_SERVING_VM))
         self._serving = tuple(found[:wanted])
-        self._informed = tuple(found[: wanted + HOT_STANDBY_VMS])
+        self._load_subscribers = tuple(found[: wanted + STANDBY_VMS])
 
     def dispatching_vms(self, data_center: str, now_ms: float) -> tuple[str, ...]:
-        """Return the VMs that dispatch requests to the endpoints of a data centre with good data.
+        """Return the VMs that dispatch requests to a data centre's endpoints by current load data.
 
         Where the own data centre is large, these are its serving VMs for its own endpoints, and
         none for those of another data centre.  Otherwise they are all ready VMs of the fleet.
@@ -310,7 +314,7 @@
         return self._live_neighbours(self.serving_vms(now_ms), now_ms)
 
     def live_load_subscribers(self, now_ms: float) -> list[Member]:
-        """Return the live neighbours that receive load figures.
+        """Return the live neighbours that receive load reports.
 
         They are those that dispatch requests, or may do so soon.  In a data centre that is not
         large, they are all the live neighbours.
@@ -343,8 +347,10 @@
         ]
         return [*found, self._own_vm] if data_center == self.data_center else found
 
-    def members_with_state(self, has_state: Callable[[Member], bool], now_ms: float) -> list[Member]:
-        """Return the live neighbours whose reported versions satisfy `knows`.
+    def members_with_state(
+        self, has_state: Callable[[Member], bool], now_ms: float
+    ) -> list[Member]:
+        """Return the live neighbours whose reported versions satisfy `has_state`.
 
         If some of them have sent a heartbeat recently, only those are returned: some VMs send
         heartbeats so rarely that a dead one counts as alive for a long time.
@@ -380,7 +386,8 @@
         if now_ms >= self._relays_refresh_ms:
             self._relays_refresh_ms = now_ms + REFRESH_MS
             self._relays = {
-                name: [item for item in group if now_ms - item.last_heartbeat_ms < RECENT_MS] or group
+                name: [item for item in group if now_ms - item.last_heartbeat_ms < RECENT_MS]
+                or group
                 for name, group in self.remote_members(now_ms).items()
             }
         return self._relays
@@ -396,17 +403,19 @@
             if not item.leaving and now_ms - item.last_heartbeat_ms < READER_TIMEOUT_MS
         ]
         if reading:
-            place = rendezvous_rank("reader", self._own_vm, (item.vm for item in others))
-            return place < READERS
+            rank = rendezvous_rank("reader", self._own_vm, (item.vm for item in others))
+            return rank < READERS
         if len(others) >= READERS:
             self._enough_readers_ms = now_ms
             self._had_enough_readers = True
             return False
         recent = (
-            item for item in self.alive(now_ms) if now_ms - item.last_heartbeat_ms < CANDIDATE_EXPIRY_MS
+            item
+            for item in self.alive(now_ms)
+            if now_ms - item.last_heartbeat_ms < CANDIDATE_EXPIRY_MS
         )
-        idle = [item.vm for item in recent if item not in others]
-        wait_ms = TAKEOVER_STEP_MS * rendezvous_rank("reader", self._own_vm, idle)
+        candidates = [item.vm for item in recent if item not in others]
+        wait_ms = TAKEOVER_STEP_MS * rendezvous_rank("reader", self._own_vm, candidates)
         if others or not self._had_enough_readers:
             wait_ms += READER_TIMEOUT_MS
         return now_ms - self._enough_readers_ms >= wait_ms
@@ -431,7 +440,7 @@
     A VM that suddenly has heartbeats from less than half of the others is more likely isolated
     itself.  Callers still reach the others, and should not all be sent to the VM that knows least.
     The isolation shows first in the members with frequent heartbeats: the others count as alive for
-    seconds more, and they have no load figures.
+    seconds more, and they receive no load reports.
     """
     if _most_silent(members, now_ms):
         return members
--- a/cloverhook/gateway/prober.py
+++ b/cloverhook/gateway/prober.py
@@ -1,8 +1,8 @@
-"""Probes the load of backend servers, and reports the figures.
+"""Probes the load of backend servers, and hands over the load reports.
 
 Layer: transport.  `measuring` decides which backend servers: each one is probed by one VM, of the
-same data centre where there is one, so that the fleet as a whole probes it once.  The speed of an
-endpoint changes within half a second, and a load figure that is a tenth of a second old is still
+same data centre where there is one, so that the fleet as a whole probes it once.  The slowdown of
+an endpoint changes within half a second, and a load report that is a tenth of a second old is still
 good enough to choose an endpoint by.
 """
 
@@ -64,29 +64,29 @@
         self._pool.close()
 
     async def _probe(self, server: BackendServer, path: str) -> None:
-        asked_ms = monotonic_ms()
+        started_ms = monotonic_ms()
         try:
             async with asyncio.timeout(TIMEOUT_MS / 1000):
-                figure = await self._ask(server, path)
+                report = await self._request_load(server, path)
         except TimeoutError:
             timeouts = self._timeouts.get(server.incarnation, 0) + 1
             self._timeouts[server.incarnation] = timeouts
-            figure = UNREACHABLE_REPORT if timeouts >= TIMEOUTS_LIMIT else None
+            report = UNREACHABLE_REPORT if timeouts >= TIMEOUTS_LIMIT else None
         except UpstreamError as error:
-            figure = None if error.sent else UNREACHABLE_REPORT
+            report = None if error.sent else UNREACHABLE_REPORT
         else:
             self._timeouts[server.incarnation] = 0
-        if figure is not None:
-            self._on_load_report(server, figure, asked_ms)
+        if report is not None:
+            self._on_load_report(server, report, started_ms)
 
-    async def _ask(self, server: BackendServer, path: str) -> LoadReport | None:
+    async def _request_load(self, server: BackendServer, path: str) -> LoadReport | None:
         connection = await self._pool.acquire(server, CONNECTION_LIMIT, True, TIMEOUT_MS)
         head = None
         try:
-            head, figure = await probe_load(connection, server, path, self._headers)
+            head, report = await probe_load(connection, server, path, self._headers)
         finally:
             if head is None or connection.usable is False:
                 connection.close()
             else:
                 self._pool.release(server, connection, head)
-        return figure
+        return report
--- a/cloverhook/gateway/registry.py
+++ b/cloverhook/gateway/registry.py
@@ -124,10 +124,10 @@
     ) -> bool:
         """Apply a record; return whether anything but its offset has changed.
 
-        `listed` says that the record is part of a full list, which does not show when it was
-        written.  `was_waited_for` says that it arrived while a call waited for changes; any other
-        record may have been written at any time since the store was last read.  `store_was_away`
-        says that the store was unavailable until recently.
+        `from_snapshot` says that the record is part of a full snapshot, which does not show when it
+        was written.  `from_long_poll` says that it arrived while a call waited for changes; any
+        other record may have been written at any time since the store was last read.
+        `store_was_unavailable` says that the store was so until recently.
         """
         name, after = record.name, record.server
         known = max(self._offsets.get(name, -1), self._tombstones.get(name, -1))
@@ -161,9 +161,13 @@
     def apply_all(
         self, records: Iterable[ServerRecord], now_ms: float, store_was_unavailable: bool
     ) -> list[str]:
-        """Apply the records of a full list; return the names of those that changed anything."""
+        """Apply the records of a snapshot; return the names of those that changed anything."""
         with self._index_once():
-            return [item.name for item in records if self.apply(item, now_ms, store_was_unavailable, True)]
+            return [
+                item.name
+                for item in records
+                if self.apply(item, now_ms, store_was_unavailable, True)
+            ]
 
     def _is_later_start(self, after: BackendServer | None) -> bool:
         """Return whether a record belongs to a later start than the registered entry.
@@ -195,7 +199,7 @@
         known_ms = self._born_ms.get(after.name, after.born_ms)
         return after.born_ms < known_ms
 
-    def _had_left(self, record: ServerRecord, after: BackendServer, listed: bool) -> bool:
+    def _had_left(self, record: ServerRecord, after: BackendServer, from_snapshot: bool) -> bool:
         """Return whether a restored store lists an endpoint again that had left before.
 
         After an endpoint has left, only a report counts that is written after the store's return
@@ -203,7 +207,7 @@
         """
         if not self._left_before(record.name, record.offset):
             return False
-        return listed or after.sequence <= self._last_sequences.get(record.name, -1)
+        return from_snapshot or after.sequence <= self._last_sequences.get(record.name, -1)
 
     def _enter_era(self, name: str, offset: int) -> None:
         """Count an entry as changed when it first appears in a later era, whatever its content.
@@ -219,7 +223,7 @@
     def remove_missing(
         self, names: set[str], offset: int, now_ms: float, store_was_unavailable: bool
     ) -> tuple[str, ...]:
-        """Remove what is not in a full list as of `offset`; return the names that vanished."""
+        """Remove what is not in a full snapshot as of `offset`; return the names that vanished."""
         missing = [
             name
             for name, seen in self._offsets.items()
@@ -240,9 +244,9 @@
         now_ms: float,
         store_was_unavailable: bool,
     ) -> tuple[str, ...]:
-        """Apply the store's full list as of `offset`; return the names that changed or vanished.
+        """Apply the store's snapshot as of `offset`; return the names that changed or vanished.
 
-        The list does not show which change was the last one before it.
+        The snapshot does not show which change was the last one before it.
         """
         known = self.version, self.as_of
         kept = tuple(records)
@@ -366,7 +370,9 @@
             self._drop(name)
             return True
         entries = self._by_service.get(server.service, ())
-        if self._grace_periods.start(name, server.service, len(entries), since_ms, store_was_unavailable):
+        if self._grace_periods.start(
+            name, server.service, len(entries), since_ms, store_was_unavailable
+        ):
             names = (other.name for other in entries)
             self._grace_periods.extend(
                 (x for x in names if not self._left_before(x, offset)), since_ms
--- a/cloverhook/gateway/store_follower.py
+++ b/cloverhook/gateway/store_follower.py
@@ -39,11 +39,11 @@
 
 
 class StoreFollower:
-    """Reads the store and applies what it finds to `Knowledge`.
+    """Reads the store and applies what it finds to `GatewayState`.
 
     `on_change` is called after each change with the names of the changed backend servers and the
     registry's version before the change.  There are no names for a change of the configuration or
-    of evacuations, nor after a full list, which doesn't show what has changed.
+    of evacuations, nor after a full snapshot, which doesn't show what has changed.
     """
 
     def __init__(
@@ -124,9 +124,9 @@
 
     def _follow_feed(self, feed: Feed) -> None:
         """Follow a feed from the position it has been read up to; a waiting call is cancelled."""
-        waiting = self._tasks.get(feed)
-        if waiting is not None:
-            waiting.cancel()
+        pending = self._tasks.get(feed)
+        if pending is not None:
+            pending.cancel()
         work = run_with_restarts(lambda: self._follow(feed), f"following {feed.value}", self._log)
         self._tasks[feed] = asyncio.create_task(work)
 
@@ -137,7 +137,7 @@
                 self.stop("enough to serve by")
                 return
             offset = self._offsets.get(feed)
-            asked_ms = monotonic_ms()
+            called_ms = monotonic_ms()
             try:
                 if offset is None:
                     found = await self._store.newest(feed)
@@ -146,7 +146,9 @@
                     wait_ms = WAIT_MS[feed] if self._answered.get(feed) else 0
                     found = await self._store.changes(feed, offset, wait_ms)
             except HistoryLostError:
-                self._log.note(EventKind.STORE, feed=feed.value, state="history-lost", offset=offset)
+                self._log.note(
+                    EventKind.STORE, feed=feed.value, state="history-lost", offset=offset
+                )
                 del self._offsets[feed]
                 continue
             except PlatformError as error:
@@ -161,8 +163,10 @@
                 self._offsets.pop(feed, None)  # The offset belongs to another record now.
                 continue
             if era >= self._knowledge.store_era:
-                waited = monotonic_ms() - asked_ms > EXISTING_RECORD_MS
-                self._apply(feed, offsets_to_versions(found, era), offset is None, waited)
+                arrived_while_waiting = monotonic_ms() - called_ms > EXISTING_RECORD_MS
+                self._apply(
+                    feed, offsets_to_versions(found, era), offset is None, arrived_while_waiting
+                )
                 self._offsets[feed], self._eras[feed] = found.end_offset, era
             await asyncio.sleep(self._poll_gap_ms(feed) / 1000)
 
@@ -203,7 +207,9 @@
             return POLL_GAP_MS
         return max(POLL_GAP_MS, POLL_GAP_DRAIN_RATIO * self._knowledge.drain_ms)
 
-    def _apply(self, feed: Feed, found: FeedSlice, whole: bool, waited: bool) -> None:
+    def _apply(
+        self, feed: Feed, found: FeedSlice, whole: bool, arrived_while_waiting: bool
+    ) -> None:
         now_ms = monotonic_ms()
         knowledge = self._knowledge
         base_version = knowledge.registry.version
@@ -233,7 +239,7 @@
         touched = [
             record.name
             for record in found.servers
-            if knowledge.apply_server_record(record, now_ms, from_long_poll=waited)
+            if knowledge.apply_server_record(record, now_ms, from_long_poll=arrived_while_waiting)
         ]
         knowledge.registry.position.advance_to(found.end_offset - 1)
         knowledge.registry.position.confirm_current(found.end_offset - 1, now_ms)
