--- a/cloverhook/gateway/holds.py
+++ b/cloverhook/gateway/holds.py
@@ -76,11 +76,11 @@
         """Return the names whose grace period is over."""
         return [name for name, until_ms in self._until_ms.items() if until_ms <= now_ms]
 
-    def _is_mass_expiry(self, service: str, of_service: int, now_ms: float) -> bool:
+    def _is_mass_expiry(self, service: str, service_size: int, now_ms: float) -> bool:
         """Return whether so many entries vanish at once that the store is the likelier cause."""
         times = [
             at for at in self._vanished_ms.get(service, ()) if at > now_ms - MASS_EXPIRY_WINDOW_MS
         ]
         times.append(now_ms)
         self._vanished_ms[service] = times
-        return len(times) > 1 and len(times) >= MASS_EXPIRY_SHARE * of_service
+        return len(times) > 1 and len(times) >= MASS_EXPIRY_SHARE * service_size
--- a/cloverhook/gateway/measuring.py
+++ b/cloverhook/gateway/measuring.py
@@ -22,7 +22,7 @@
 __all__ = ["GROUP_SIZE", "STARTUP_DELAY_MS", "ProbeSchedule"]
 
 GROUP_SIZE = 24
-"""The load reports of a group share one datagram, and a small VM can probe the group while it serves
+"""The load reports of a group share one datagram, and a small VM can probe the group beside its
 requests."""
 TAKEOVER_MS = 350.0
 """The time of two of the slowest probes in a row: without a load report for this long, the VM that
