--- a/cloverhook/gateway/prober.py
+++ b/cloverhook/gateway/prober.py
@@ -1,8 +1,9 @@
-"""Measures backend servers, and says what it found.
+"""Probes the load of backend servers, and hands over the load reports.
 
-Layer: transport.  `measuring` says which ones: each is asked by one VM, of the same data centre
-where there is one, so that the fleet as a whole asks once.  An endpoint's pace changes within half
-a second, and a figure that is a tenth of a second old still tells where to go.
+Layer: transport.  `measuring` decides which backend servers: each one is probed by one VM, of the
+same data centre where there is one, so that the fleet as a whole probes it once.  The slowdown of
+an endpoint changes within half a second, and a load report that is a tenth of a second old is still
+good enough to choose an endpoint by.
 """
 
 import asyncio
@@ -19,13 +20,13 @@
 __all__ = ["Prober"]
 
 TIMEOUT_MS = 350.0
-SILENCES = 2
-"""A backend server is out of reach after so many probes in a row without an answer."""
+TIMEOUTS_LIMIT = 2
+"""A backend server is unreachable after this many consecutive probes without an answer."""
 CONNECTION_LIMIT = 1_000
 
 
 class Prober:
-    """Probes under way, at most one for each backend server."""
+    """The running probes, at most one for each backend server."""
 
     def __init__(
         self,
@@ -36,11 +37,11 @@
         self._on_load_report = on_load_report
         self._pool = BackendPool()
         self._running: dict[str, asyncio.Task[None]] = {}
-        self._silences: dict[str, int] = {}
+        self._timeouts: dict[str, int] = {}
         self.probe_count = 0
 
     def probe(self, servers: Iterable[tuple[BackendServer, str]]) -> None:
-        """Ask each backend server on its health path, unless an earlier probe still runs."""
+        """Probe each backend server on its health path, unless an earlier probe still runs."""
         for server, path in servers:
             if server.incarnation not in self._running:
                 self.probe_count += 1
@@ -51,9 +52,9 @@
     def sweep(self, known: Callable[[str], object]) -> None:
         """Forget backend servers that are gone."""
         self._pool.sweep()
-        for incarnation in tuple(self._silences):
+        for incarnation in tuple(self._timeouts):
             if not known(incarnation):
-                self._silences.pop(incarnation, None)
+                self._timeouts.pop(incarnation, None)
                 self._pool.forget(incarnation)
 
     def close(self) -> None:
@@ -63,29 +64,29 @@
         self._pool.close()
 
     async def _probe(self, server: BackendServer, path: str) -> None:
-        asked_ms = monotonic_ms()
+        started_ms = monotonic_ms()
         try:
             async with asyncio.timeout(TIMEOUT_MS / 1000):
-                figure = await self._ask(server, path)
+                report = await self._request_load(server, path)
         except TimeoutError:
-            silences = self._silences.get(server.incarnation, 0) + 1
-            self._silences[server.incarnation] = silences
-            figure = UNREACHABLE_REPORT if silences >= SILENCES else None
+            timeouts = self._timeouts.get(server.incarnation, 0) + 1
+            self._timeouts[server.incarnation] = timeouts
+            report = UNREACHABLE_REPORT if timeouts >= TIMEOUTS_LIMIT else None
         except UpstreamError as error:
-            figure = None if error.sent else UNREACHABLE_REPORT
+            report = None if error.sent else UNREACHABLE_REPORT
         else:
-            self._silences[server.incarnation] = 0
-        if figure is not None:
-            self._on_load_report(server, figure, asked_ms)
+            self._timeouts[server.incarnation] = 0
+        if report is not None:
+            self._on_load_report(server, report, started_ms)
 
-    async def _ask(self, server: BackendServer, path: str) -> LoadReport | None:
+    async def _request_load(self, server: BackendServer, path: str) -> LoadReport | None:
         connection = await self._pool.acquire(server, CONNECTION_LIMIT, True, TIMEOUT_MS)
         head = None
         try:
-            head, figure = await probe_load(connection, server, path, self._headers)
+            head, report = await probe_load(connection, server, path, self._headers)
         finally:
             if head is None or connection.usable is False:
                 connection.close()
             else:
                 self._pool.release(server, connection, head)
-        return figure
+        return report
