--- a/cloverhook/gateway/broadcast.py
+++ b/cloverhook/gateway/broadcast.py
@@ -1,8 +1,9 @@
-"""Sends what many VMs should hear, with few bytes between data centres.
+"""Sends messages to many VMs with little traffic between data centres.
 
-Layer: transport.  A VM of the own data centre is sent a datagram of its own.  In each other data
-centre one VM gets it and relays it to its neighbours; each message goes to the next VM there, so
-that one that is dead, but not yet known to be, loses a small part of the messages only.
+Layer: transport.  Each VM of the own data centre is sent a datagram of its own.  In each other data
+centre one VM receives the message and relays it to its neighbours.  The relaying VM is chosen in
+round-robin order for each message, so that a VM that is dead but not yet detected as dead loses
+only a small part of the messages.
 """
 
 from collections.abc import Iterable
@@ -13,47 +14,53 @@
 
 __all__ = ["Broadcast"]
 
-STALE_MS = 200.0
-"""After a pause of this process, what waited in its socket is not relayed for this long: loads
-that were passed on late would look fresh to the neighbours."""
+RELAY_PAUSE_MS = 200.0
+"""After a pause of this process, messages are not relayed for this long.  Messages that waited in
+the socket are old by then, and load reports relayed late would look fresh to the neighbours."""
 
 
 class Broadcast:
-    """The ways of a message to the other VMs."""
+    """Sends messages to groups of VMs, directly or through relays."""
 
     def __init__(self, own_vm: str, link: PeerLink, members: Members) -> None:
         self._own_vm = own_vm
         self._link = link
         self._members = members
-        self._turns: dict[str, int] = {}
-        self._relays_from_ms = 0.0
+        self._next_relays: dict[str, int] = {}
+        self._relay_resume_ms = 0.0
 
     def to(self, members: Iterable[Member], data: bytes) -> None:
-        """Send to each of these VMs."""
+        """Send an encoded message to each of these VMs."""
         for member in members:
             self._link.send_encoded(member.peer_address, data)
 
     def near(self, data: bytes, now_ms: float) -> None:
-        """Send to every VM of the own data centre that is alive."""
+        """Send an encoded message to every live VM of the own data centre."""
         self.to((item for item in self._members.near() if item.is_alive(now_ms)), data)
 
     def to_audience(self, data: bytes, now_ms: float) -> None:
-        """Send to the VMs of the own data centre that place requests, or may soon."""
+        """Send to the VMs of the own data centre that dispatch requests now or may do so soon."""
         self.to(self._members.audience(now_ms), data)
 
     def far(self, data: bytes, now_ms: float, relays: int = 1) -> None:
-        """Send to so many VMs of each other data centre, which relay it."""
+        """Send to `relays` VMs of each other data centre, which relay it to their neighbours.
+
+        If a data centre has fewer VMs, all of them get it.
+        """
         wrapped = encode(Relay(self._own_vm, data))
         for data_center, members in self._members.relays(now_ms).items():
-            turn = self._turns.get(data_center, 0)
-            wanted = min(relays, len(members))
-            self._turns[data_center] = turn + wanted
-            for place in range(turn, turn + wanted):
-                self._link.send_encoded(members[place % len(members)].peer_address, wrapped)
+            first = self._next_relays.get(data_center, 0)
+            count = min(relays, len(members))
+            self._next_relays[data_center] = first + count
+            for index in range(first, first + count):
+                self._link.send_encoded(members[index % len(members)].peer_address, wrapped)
 
     def relay(self, message: Relay, now_ms: float, audience_only: bool = False) -> None:
-        """Pass a message on to the neighbours, or to those alone that are told load figures."""
-        if now_ms < self._relays_from_ms:
+        """Pass a received message on to the neighbours.
+
+        With `audience_only`, only the neighbours that receive load reports get it.
+        """
+        if now_ms < self._relay_resume_ms:
             return
         if audience_only:
             self.to_audience(message.data, now_ms)
@@ -61,5 +68,5 @@
             self.near(message.data, now_ms)
 
     def paused(self, now_ms: float) -> None:
-        """Note that this process has stood still until now."""
-        self._relays_from_ms = now_ms + STALE_MS
+        """Record that this process was paused until now."""
+        self._relay_resume_ms = now_ms + RELAY_PAUSE_MS
--- a/cloverhook/gateway/datagram_port.py
+++ b/cloverhook/gateway/datagram_port.py
@@ -1,8 +1,8 @@
-"""A UDP socket that may read what comes within a short time together.
+"""A UDP socket that can read received datagrams in batches.
 
-Layer: transport.  To wake for a datagram costs about as much as to handle it.  So a
-VM of a large fleet that has nothing urgent to hear reads several at a time.  asyncio's own endpoint
-wakes for each datagram and can't be told to wait.
+Layer: transport.  Waking up for a datagram costs about as much as handling it.  A VM of a large
+fleet that expects no urgent messages therefore reads several datagrams at a time.  asyncio's own
+datagram endpoint wakes up for each datagram and can't be made to wait.
 """
 
 import asyncio
@@ -14,18 +14,19 @@
 
 SocketAddress = tuple[str, int]
 
-LARGEST_BYTES = 65_536
+RECEIVE_BUFFER_BYTES = 65_536
 READS_LIMIT = 64
-"""So many datagrams are read at a wake-up, so that callers are served between two floods."""
-UNSENT_LIMIT = 256
-"""What a full socket doesn't take waits; beyond this many it is lost, as it may be on the way."""
+"""How many datagrams are read per wake-up at most, so that callers are served between bursts."""
+SEND_QUEUE_LIMIT = 256
+"""Datagrams that a full socket does not accept wait in a queue.  Beyond this many they are dropped,
+just as they may be lost in the network."""
 
 
 class DatagramPort:
-    """Hands what it receives to `on_datagram`, with the sender's address.
+    """Passes each received datagram to `on_datagram`, with the sender's address.
 
-    After a read the next one comes `together_ms()` milliseconds later at the earliest, and then
-    takes all that has come meanwhile; with 0 each datagram is read when it comes.
+    After a read, the next read follows `together_ms()` milliseconds later at the earliest and takes
+    all datagrams that have arrived meanwhile.  With 0, each datagram is read when it arrives.
     """
 
     def __init__(
@@ -37,10 +38,10 @@
         self._together_ms = together_ms
         self._socket: socket.socket | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._unsent: deque[tuple[bytes, SocketAddress]] = deque()
+        self._send_queue: deque[tuple[bytes, SocketAddress]] = deque()
 
     def open(self, address: SocketAddress) -> None:
-        """Bind the socket and begin to read.  Raises `OSError` where the address is taken."""
+        """Bind the socket and start reading.  Raises `OSError` if the address is in use."""
         opened = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         opened.setblocking(False)
         try:
@@ -52,7 +53,7 @@
         asyncio.get_running_loop().add_reader(opened, self._read)
 
     def close(self) -> None:
-        """Close the socket; what is sent afterwards is lost."""
+        """Close the socket; datagrams sent afterwards are dropped."""
         if self._socket is None:
             return
         loop = asyncio.get_running_loop()
@@ -67,60 +68,66 @@
         """Send a datagram, which may be lost."""
         if self._socket is None:
             return
-        if self._unsent or not self._try_to_send(data, address):
-            self._put_off(data, address)
+        if self._send_queue or not self._try_to_send(data, address):
+            self._enqueue(data, address)
 
     def _try_to_send(self, data: bytes, address: SocketAddress) -> bool:
-        """Return whether the socket took a datagram, or never will."""
+        """Return whether the datagram is done with: sent, or impossible to send.
+
+        Returns False if the socket's buffer is full and the datagram should be sent later.
+        """
         try:
             self._socket.sendto(data, address)
         except (BlockingIOError, InterruptedError):
             return False
         except OSError:
-            return True  # Nobody listens there, or there is no way: that peer's silence tells.
+            return True  # Port closed or no route: the missing heartbeats show that peer is down.
         return True
 
-    def _put_off(self, data: bytes, address: SocketAddress) -> None:
-        if not self._unsent:
-            asyncio.get_running_loop().add_writer(self._socket, self._send_unsent)
-        if len(self._unsent) < UNSENT_LIMIT:
-            self._unsent.append((data, address))
+    def _enqueue(self, data: bytes, address: SocketAddress) -> None:
+        if not self._send_queue:
+            asyncio.get_running_loop().add_writer(self._socket, self._send_queued)
+        if len(self._send_queue) < SEND_QUEUE_LIMIT:
+            self._send_queue.append((data, address))
 
-    def _send_unsent(self) -> None:
-        while self._unsent:
-            if not self._try_to_send(*self._unsent[0]):
+    def _send_queued(self) -> None:
+        while self._send_queue:
+            if not self._try_to_send(*self._send_queue[0]):
                 return
-            self._unsent.popleft()
+            self._send_queue.popleft()
         asyncio.get_running_loop().remove_writer(self._socket)
 
     def _read(self) -> None:
-        """Read what has come, and wait before the next read if that is wanted."""
+        """Read the datagrams that have arrived, and delay the next read if batching is wanted."""
         together_ms = self._together_ms()
         if together_ms > 0:
             loop = asyncio.get_running_loop()
             loop.remove_reader(self._socket)
-            self._timer = loop.call_later(together_ms / 1000, self._read_on)
+            self._timer = loop.call_later(together_ms / 1000, self._read_after_delay)
         self._take_all()
 
-    def _read_on(self) -> None:
-        """Read what has come during a wait; while there is some, another wait follows."""
+    def _read_after_delay(self) -> None:
+        """Read the datagrams that have arrived during a delay.
+
+        If there were any, another delay follows; otherwise the next datagram is read on arrival.
+        """
         loop = asyncio.get_running_loop()
         together_ms = self._together_ms()
-        self._timer = loop.call_later(together_ms / 1000, self._read_on)
+        self._timer = loop.call_later(together_ms / 1000, self._read_after_delay)
         if not self._take_all() and self._socket is not None:
             self._timer.cancel()
             loop.add_reader(self._socket, self._read)
 
     def _take_all(self) -> int:
-        """Hand on the datagrams that are there and return how many there were."""
+        """Pass on the datagrams that have arrived, up to the limit, and return their number."""
         for count in range(READS_LIMIT):
             if self._socket is None:
                 return 0
             try:
-                data, sender = self._socket.recvfrom(LARGEST_BYTES)
+                data, sender = self._socket.recvfrom(RECEIVE_BUFFER_BYTES)
             except (BlockingIOError, InterruptedError):
                 return count
             except OSError:
-                continue  # A peer's port is closed: its silence says the same.
+                continue  # A peer's port is closed: its missing heartbeats show this too.
             self._on_datagram(data, sender)
         return READS_LIMIT
--- a/cloverhook/gateway/peer_link.py
+++ b/cloverhook/gateway/peer_link.py
@@ -1,10 +1,11 @@
-"""The sockets between gateways: datagrams for what is small and frequent, TCP for whole states.
+"""The sockets between gateways: UDP for small and frequent messages, TCP for whole states.
 
-Layer: transport.  A datagram may be lost; everything in one is said again.  A whole state is asked
-for over TCP, on the same port, and comes compressed.
+Layer: transport.  A datagram may be lost, so everything sent in datagrams is repeated later.  A
+whole state is requested over TCP, on the same port number, and is sent compressed.
 
-Everything starts with the mark of the fleet.  The address of a VM that is gone may be given to one
-of another fleet, whose versions would count as newer than the own ones.
+Every datagram and every state request starts with a tag that identifies the fleet.  The address of
+a VM that is gone may be assigned to a VM of another fleet, whose versions would count as newer than
+the own ones.
 """
 
 import asyncio
@@ -25,18 +26,18 @@
 __all__ = ["Answer", "PeerLink"]
 
 LENGTH = struct.Struct(">I")
-MARK = struct.Struct(">I")
+FLEET_TAG = struct.Struct(">I")
 STATE_LIMIT_BYTES = 16 * 1024 * 1024
 FETCH_TIMEOUT_S = 1.0
-"""Without a byte for this long, a peer is given up."""
+"""A transfer is abandoned if the peer sends nothing for this long, or can't be connected to."""
 CHUNK_BYTES = 16 * 1024
-RECEIPT_S = 0.7
-SLOWEST_BYTES_PER_S = 250_000
-RECEIVED = b"\x06"
-"""What an asker says once it has all."""
+ACKNOWLEDGE_TIMEOUT_S = 0.7
+SLOW_LINK_BYTES_PER_S = 250_000
+ACKNOWLEDGEMENT = b"\x06"
+"""Sent by the requesting peer once it has received the whole state."""
 
-Asked = dict[str, Any]
-ASKED = Table(
+StateRequest = dict[str, Any]
+STATE_REQUEST = Table(
     {
         "config": Integer(-1),
         "registry": Integer(-1),
@@ -46,33 +47,41 @@
         "data_center": Text(),
     }
 )
-"""The versions that are known, or the data centre whose addresses are wanted; and who asks."""
+"""Fields of a state request: the versions that the requesting peer has, or the data centre whose
+addresses it wants, and the address and data centre of that peer."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A state for a peer; `on_end` hears whether the peer has received it."""
+    """A state for a peer.
+
+    After the transfer `on_end` is called with True if the peer has acknowledged the whole state.
+    """
 
     state: dict[str, Any]
     on_end: Callable[[bool], None] | None = None
 
 
 class PeerLink:
-    """One port for datagrams and for whole states."""
+    """A UDP and a TCP socket on one port number, for messages and for whole states."""
 
     def __init__(
         self,
         on_message: Callable[[PeerMessage, str], None],
-        answer: Callable[[Asked], Awaitable[Answer]],
+        answer: Callable[[StateRequest], Awaitable[Answer]],
         on_garbage: Callable[[str, MessageError], None],
         fleet: str = "",
         together_ms: Callable[[], float] = lambda: 0.0,
     ) -> None:
-        """`fleet` is what all VMs of a fleet have in common and no other fleet has.
+        """Set up the link; `open` opens the sockets.
 
-        Datagrams that come within `together_ms()` of each other are read together.
+        `fleet` is a string that all VMs of a fleet share and that no other fleet uses.
+        `on_message` is called with each message and its sender's address, and `on_garbage` with a
+        sender and an error for data that is not a valid message or request.  `answer` returns the
+        reply to a peer's state request.  Datagrams that arrive within `together_ms()` of each other
+        are read in one batch.
         """
-        self._mark = MARK.pack(xxhash.xxh32_intdigest(fleet.encode()))
+        self._fleet_tag = FLEET_TAG.pack(xxhash.xxh32_intdigest(fleet.encode()))
         self._on_message = on_message
         self._answer = answer
         self._on_garbage = on_garbage
@@ -80,7 +89,7 @@
         self._server: asyncio.Server | None = None
 
     async def open(self, address: str) -> None:
-        """Open both sockets."""
+        """Open both sockets at an address of the form `host:port`."""
         host, port = _split(address)
         self._port.open((host, port))
         self._server = await asyncio.start_server(self._serve, host, port)
@@ -93,18 +102,18 @@
 
     def send_encoded(self, address: str, data: bytes) -> None:
         """Send an encoded message, which may be lost."""
-        self._port.send(self._mark + data, _split(address))
+        self._port.send(self._fleet_tag + data, _split(address))
 
-    async def fetch(self, address: str, asked: Asked) -> dict[str, Any]:
-        """Ask a peer for its state.  Raises `MessageError` when none comes."""
+    async def fetch(self, address: str, asked: StateRequest) -> dict[str, Any]:
+        """Request a peer's state.  Raises `MessageError` if no valid state is received."""
         host, port = _split(address)
         try:
             async with asyncio.timeout(FETCH_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(host, port)
             try:
-                _put(writer, self._mark + cbor2.dumps(asked))
-                data = await _get(reader)
-                writer.write(RECEIVED)
+                _write_frame(writer, self._fleet_tag + cbor2.dumps(asked))
+                data = await _read_frame(reader)
+                writer.write(ACKNOWLEDGEMENT)
                 state = cbor2.loads(zlib.decompress(data))
             finally:
                 writer.close()
@@ -116,39 +125,39 @@
             RecursionError,
             cbor2.CBORError,
         ) as error:
-            raise MessageError(f"no state from {address}: {error!r}") from error
+            raise MessageError(f"could not fetch the state from {address}: {error!r}") from error
         if faults_of(Anything(), "", state):
-            raise MessageError(f"no state from {address}: {type(state).__name__}")
+            raise MessageError(f"invalid state from {address}: {type(state).__name__}")
         return state
 
     def _on_datagram(self, data: bytes, address: SocketAddress) -> None:
-        """Decode a message and hand it on."""
+        """Decode a message and pass it on."""
         sender = f"{address[0]}:{address[1]}"
         try:
-            message = decode(self._own(data))
+            message = decode(self._without_fleet_tag(data))
         except MessageError as error:
             self._on_garbage(sender, error)
             return
         self._on_message(message, sender)
 
-    def _own(self, data: bytes) -> bytes:
-        """Return what follows the fleet's mark.  Raises `MessageError` for another fleet's."""
-        if not data.startswith(self._mark):
-            raise MessageError("it is not of this fleet")
-        return data[MARK.size :]
+    def _without_fleet_tag(self, data: bytes) -> bytes:
+        """Return the data after the fleet's tag.  Raises `MessageError` if the tag differs."""
+        if not data.startswith(self._fleet_tag):
+            raise MessageError("data from another fleet: the fleet tag differs")
+        return data[FLEET_TAG.size :]
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         answer: Answer | None = None
         received = False
         try:
-            asked = cbor2.loads(self._own(await _get(reader)))
-            if faults_of(ASKED, "", asked):
-                raise MessageError("no question for a state")
-            answer = await self._answer(asked)
+            request = cbor2.loads(self._without_fleet_tag(await _read_frame(reader)))
+            if faults_of(STATE_REQUEST, "", request):
+                raise MessageError("invalid state request")
+            answer = await self._answer(request)
             data = zlib.compress(cbor2.dumps(answer.state))
-            _put(writer, data)
+            _write_frame(writer, data)
             if answer.on_end is not None:
-                received = await self._was_received(reader, len(data))
+                received = await self._is_acknowledged(reader, len(data))
         except (
             OSError,
             TimeoutError,
@@ -157,19 +166,20 @@
             MessageError,
             cbor2.CBORError,
         ) as error:
-            self._on_garbage("a peer that asked for the state", MessageError(repr(error)))
+            self._on_garbage("a peer that requested the state", MessageError(repr(error)))
         except asyncio.CancelledError:
-            pass  # The process ends.  Streams of Python 3.11 print a trace for a cancelled task.
+            # The process ends.  The streams of Python 3.11 print a traceback for a cancelled task.
+            pass
         finally:
             writer.close()
             if answer is not None and answer.on_end is not None:
                 answer.on_end(received)
 
-    async def _was_received(self, reader: asyncio.StreamReader, size_bytes: int) -> bool:
-        """Wait until a peer says that it has all, for as long as a slow link needs."""
+    async def _is_acknowledged(self, reader: asyncio.StreamReader, size_bytes: int) -> bool:
+        """Return whether a peer acknowledges the state within the time that a slow link needs."""
         try:
-            async with asyncio.timeout(RECEIPT_S + size_bytes / SLOWEST_BYTES_PER_S):
-                return await reader.read(len(RECEIVED)) == RECEIVED
+            async with asyncio.timeout(ACKNOWLEDGE_TIMEOUT_S + size_bytes / SLOW_LINK_BYTES_PER_S):
+                return await reader.read(len(ACKNOWLEDGEMENT)) == ACKNOWLEDGEMENT
         except TimeoutError:
             return False
 
@@ -179,19 +189,23 @@
     return host, int(port)
 
 
-def _put(writer: asyncio.StreamWriter, data: bytes) -> None:
+def _write_frame(writer: asyncio.StreamWriter, data: bytes) -> None:
     writer.write(LENGTH.pack(len(data)) + data)
 
 
-async def _get(reader: asyncio.StreamReader) -> bytes:
-    """Return what a peer has put.  Raises `TimeoutError` once it sends nothing for a while."""
-    (left_bytes,) = LENGTH.unpack(await _read(reader, LENGTH.size))
-    if left_bytes > STATE_LIMIT_BYTES:
-        raise MessageError(f"a state of {left_bytes} bytes")
+async def _read_frame(reader: asyncio.StreamReader) -> bytes:
+    """Return the data of a frame that a peer has written.
+
+    Raises `TimeoutError` if the peer sends nothing for `FETCH_TIMEOUT_S`, and `MessageError` if the
+    frame is too large.
+    """
+    (remaining_bytes,) = LENGTH.unpack(await _read(reader, LENGTH.size))
+    if remaining_bytes > STATE_LIMIT_BYTES:
+        raise MessageError(f"frame too large: {remaining_bytes} bytes")
     chunks = []
-    while left_bytes:
-        chunks.append(await _read(reader, min(left_bytes, CHUNK_BYTES)))
-        left_bytes -= len(chunks[-1])
+    while remaining_bytes:
+        chunks.append(await _read(reader, min(remaining_bytes, CHUNK_BYTES)))
+        remaining_bytes -= len(chunks[-1])
     return b"".join(chunks)
 
 
