--- a/cloverhook/gateway/peer_messages.py
+++ b/cloverhook/gateway/peer_messages.py
@@ -1,8 +1,9 @@
 """The messages between gateways: small datagrams in CBOR.
 
-Layer: protocol.  Each is a list that starts with its kind, so that a datagram stays small: bytes
-between data centres are paid for.  What is no message, whole and of the right types, raises
-`MessageError`: whatever reaches the port, nothing behind `decode` has to expect it.
+Layer: protocol.  Each message is encoded as a list that starts with the number of its type, which
+keeps datagrams small: traffic between data centres costs money.  `decode` raises `MessageError` for
+anything that is not a complete message with fields of the right types, so that code behind `decode`
+never has to handle malformed input, whatever reaches the port.
 
 >>> decode(encode(InFlight("vm-1", {"i-7": 2}))).counts
 {'i-7': 2}
@@ -40,14 +41,17 @@
 ]
 
 VERSION = Integer(-1)
-"""The version of what is not known yet is -1."""
-LONGEST_MS = 3_600_000.0
+"""A version is -1 as long as nothing is known."""
+HEARTBEAT_LIMIT_MS = 3_600_000.0
 KEY_LIMIT = 2**64
 
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who a gateway is for as long as its process lives."""
+    """The identity of a gateway: its VM, process and addresses.
+
+    It stays the same for the lifetime of the process; `incarnation` differs for each process.
+    """
 
     vm: str
     incarnation: int
@@ -58,13 +62,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A sign of life: who sends it, what it does and which versions it knows.
-
-    `reading` says that it follows the store now, and `every_ms` how often another data centre gets
-    one; `wants_answer` asks for one in return; `requests_per_s` is what callers send the VM.
-    `near_vms` is how many VMs of its data centre it knows, itself included.  `evacuation_version`
-    is the offset as of which it knows the evacuated data centres.  Up to the `as_of` positions it
-    knows all that the store's logs hold; the versions are those of the last changes there.
+    """A heartbeat with the sender's identity, status and state versions.
+
+    `reading` tells whether the sender follows the store now.  `every_ms` is the interval at which
+    the receiver gets heartbeats from the sender.  `wants_answer` asks for a heartbeat in return.
+    `requests_per_s` is the rate of requests that callers send to the VM.  `near_vms` is the number
+    of VMs that the sender knows in its data centre, itself included.  `evacuation_version` is the
+    log offset up to which it knows the evacuated data centres.  Up to the two `as_of` positions it
+    knows everything in the store's logs; the versions are those of the last changes before them.
     """
 
     vm: str
@@ -77,7 +82,7 @@
     leaving: bool = kind_field(Flag())
     config_version: int = kind_field(VERSION)
     registry_version: int = kind_field(VERSION)
-    every_ms: float = kind_field(Number(0, LONGEST_MS), 1_000.0)
+    every_ms: float = kind_field(Number(0, HEARTBEAT_LIMIT_MS), 1_000.0)
     wants_answer: bool = False
     requests_per_s: int = kind_field(Integer(0), 0)
     near_vms: int = kind_field(Integer(0), 0)
@@ -88,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Loads:
-    """Load figures of backend servers: incarnation, figure, and its age when this was sent."""
+    """Load reports of backend servers: incarnation, report, and its age in ms when sent."""
 
     vm: str
     figures: tuple[tuple[str, LoadFigure, float], ...]
@@ -96,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerChanges:
-    """What has changed in the registry since a version, as `Registry.to_document` gives it."""
+    """Changes in the registry since `base_version`, in the form of `Registry.to_document`."""
 
     vm: str
     base_version: int
@@ -105,7 +110,10 @@
 
 @dataclass(frozen=True, slots=True)
 class InFlight:
-    """How many requests a VM has in flight at each backend server; those left out have none."""
+    """The number of requests that a VM has in flight at each backend server.
+
+    Backend servers that are missing in `counts` have none.
+    """
 
     vm: str
     counts: dict[str, int]
@@ -113,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CountChanges:
-    """The counts of `InFlight` that have changed; the others are as they were."""
+    """The counts of `InFlight` that have changed; all others are unchanged."""
 
     vm: str
     counts: dict[str, int]
@@ -123,8 +131,8 @@
 class Failures:
     """Incarnations at which a request of a VM has just failed.
 
-    Each comes with the age of the request when this was sent, and whether the incarnation had
-    answered the VM shortly before it failed.
+    A row has the incarnation, the age of the request in ms when the message was sent, and whether
+    the incarnation had answered a request of the VM shortly before the failure.
     """
 
     vm: str
@@ -133,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusals:
-    """Incarnations that have just turned a request of a VM away though they had room."""
+    """Incarnations that have just rejected a request of a VM although they had free slots."""
 
     vm: str
     incarnations: list[str]
@@ -141,10 +149,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Suspicion:
-    """How many endpoints in a row have crashed under a request, which its key stands for.
+    """The number of consecutive endpoint crashes while running a request, identified by its key.
 
-    Nobody else is to send it for `held_ms`; `claimed` says that the sender sends a copy meanwhile.
-    Without a crash the request was answered well, and is clear.
+    Other VMs must not send the request for `held_ms`.  If `claimed`, the sender of this message
+    sends a copy of the request during that time.  With 0 crashes the request has been answered
+    successfully, and is no longer suspected.
     """
 
     key: int
@@ -154,22 +163,22 @@
 
     @classmethod
     def from_row(cls, key: int, crashes: int, held_ms: float, claimed: bool) -> "Suspicion":
-        """Build one from a row of a datagram.  Raises `TypeError` or `ValueError`."""
+        """Build a suspicion from a datagram's row.  Raises `TypeError` or `ValueError`."""
         has_types = type(key) is type(crashes) is int and isinstance(claimed, bool)
         if not has_types or type(held_ms) not in (int, float):
-            raise TypeError("a suspicion of other types")
+            raise TypeError("suspicion with fields of the wrong type")
         if not 0 <= key < KEY_LIMIT or crashes < 0 or not 0 <= held_ms < inf:
-            raise ValueError("a suspicion out of range")
+            raise ValueError("suspicion with a value out of range")
         return cls(key, crashes, float(held_ms), claimed)
 
     def to_row(self) -> list[Any]:
-        """Return the form in which it stands in a datagram."""
+        """Return the row for a datagram."""
         return [self.key, self.crashes, round(self.held_ms), self.claimed]
 
 
 @dataclass(frozen=True, slots=True)
 class Suspicions:
-    """What a VM holds against some requests."""
+    """A VM's suspicions about some requests."""
 
     vm: str
     rows: tuple[Suspicion, ...]
@@ -177,9 +186,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimitRow:
-    """The limit that an endpoint has named, in requests a second, and the age of its word.
+    """The rate limit that an endpoint has announced, in requests per second, and its age in ms.
 
-    Without a limit, it has ceased to name one.
+    If `per_s` is None, the endpoint no longer announces a limit.
     """
 
     incarnation: str
@@ -188,22 +197,22 @@
 
     @classmethod
     def from_row(cls, incarnation: str, per_s: float | None, age_ms: float) -> "RateLimitRow":
-        """Build one from a row of a datagram.  Raises `TypeError` or `ValueError`."""
+        """Build an entry from a datagram's row.  Raises `TypeError` or `ValueError`."""
         numbers = [age_ms] if per_s is None else [age_ms, per_s]
         if not isinstance(incarnation, str) or any(type(x) not in (int, float) for x in numbers):
-            raise TypeError("a limit of other types")
+            raise TypeError("rate limit with fields of the wrong type")
         if not all(0 <= number < inf for number in numbers):
-            raise ValueError("a limit out of range")
+            raise ValueError("rate limit with a value out of range")
         return cls(incarnation, per_s, float(age_ms))
 
     def to_row(self) -> list[Any]:
-        """Return the form in which it stands in a datagram."""
+        """Return the row for a datagram."""
         return [self.incarnation, self.per_s, round(self.age_ms)]
 
 
 @dataclass(frozen=True, slots=True)
 class RateLimitUpdate:
-    """What a VM has heard of the limits of endpoints."""
+    """The rate limits of endpoints that a VM has learned of."""
 
     vm: str
     rows: tuple[RateLimitRow, ...]
@@ -211,7 +220,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Relay:
-    """An encoded message for each VM of the receiver's data centre, the receiver included."""
+    """An encoded message for every VM of the receiver's data centre, including the receiver."""
 
     vm: str
     data: bytes
@@ -241,60 +250,62 @@
     Suspicions,
     RateLimitUpdate,
 )
-PLAIN_FIELDS = {
-    kind: tuple(item.name for item in fields(kind))
-    for kind in (Heartbeat, Relay, Failures, Refusals)
+UNCONVERTED_FIELDS = {
+    message_type: tuple(item.name for item in fields(message_type))
+    for message_type in (Heartbeat, Relay, Failures, Refusals)
 }
-"""The kinds whose fields follow each other in a datagram as they are."""
+"""The message types whose fields are encoded in order, without conversion."""
 HEARTBEAT_CHECKS = tuple((name, checker(kind)) for name, kind in table_of(Heartbeat).fields.items())
 IS_REGISTRY_DOCUMENT = checker(REGISTRY_DOCUMENT)
 
 
 def encode(message: PeerMessage) -> bytes:
-    """Return a message as a datagram."""
-    kind = KINDS.index(type(message))
+    """Return a message encoded as a datagram."""
+    type_number = KINDS.index(type(message))
     if isinstance(message, Loads):
-        rows = [_row(*item) for item in message.figures]
-        return cbor2.dumps([kind, message.vm, rows])
+        rows = [_report_row(*item) for item in message.figures]
+        return cbor2.dumps([type_number, message.vm, rows])
     if isinstance(message, Suspicions | RateLimitUpdate):
-        return cbor2.dumps([kind, message.vm, [row.to_row() for row in message.rows]])
+        return cbor2.dumps([type_number, message.vm, [row.to_row() for row in message.rows]])
     if isinstance(message, InFlight | CountChanges):
-        return cbor2.dumps([kind, message.vm, message.counts])
+        return cbor2.dumps([type_number, message.vm, message.counts])
     if isinstance(message, ServerChanges):
-        return cbor2.dumps([kind, message.vm, message.base_version, message.document])
-    return cbor2.dumps([kind, *(getattr(message, item) for item in PLAIN_FIELDS[type(message)])])
+        return cbor2.dumps([type_number, message.vm, message.base_version, message.document])
+    return cbor2.dumps(
+        [type_number, *(getattr(message, item) for item in UNCONVERTED_FIELDS[type(message)])]
+    )
 
 
 def decode(data: bytes) -> PeerMessage:
-    """Return the message of a datagram.  Raises `MessageError` for anything else."""
+    """Decode a datagram.  Raises `MessageError` if it is not a valid message."""
     try:
-        kind, *values = cbor2.loads(data)
-        if KINDS[kind] is Loads:
+        type_number, *values = cbor2.loads(data)
+        if KINDS[type_number] is Loads:
             vm, rows = values
-            message = Loads(vm, tuple(_figure(*row) for row in rows))
-        elif KINDS[kind] is Suspicions:
+            message = Loads(vm, tuple(_report_of_row(*row) for row in rows))
+        elif KINDS[type_number] is Suspicions:
             vm, rows = values
             message = Suspicions(vm, tuple(Suspicion.from_row(*row) for row in rows))
-        elif KINDS[kind] is RateLimitUpdate:
+        elif KINDS[type_number] is RateLimitUpdate:
             vm, rows = values
             message = RateLimitUpdate(vm, tuple(RateLimitRow.from_row(*row) for row in rows))
         else:
-            message = KINDS[kind](*values)
+            message = KINDS[type_number](*values)
     except (cbor2.CBORError, TypeError, ValueError, IndexError, RecursionError) as error:
-        raise MessageError(f"a datagram that is no message: {error!r}") from error
-    if not isinstance(message.vm, str) or not _is_sound(message):
-        raise MessageError(f"a datagram that is no sound {type(message).__name__}")
+        raise MessageError(f"datagram that is not a message: {error!r}") from error
+    if not isinstance(message.vm, str) or not _is_valid(message):
+        raise MessageError(f"datagram with an invalid {type(message).__name__}")
     return message
 
 
-def _is_sound(message: PeerMessage) -> bool:
-    """Return whether the fields of a message have the right types, so far as decoding left open."""
+def _is_valid(message: PeerMessage) -> bool:
+    """Return whether the fields of a message that decoding did not check have the right types."""
     match message:
         case Heartbeat():
             return all(accepts(getattr(message, name)) for name, accepts in HEARTBEAT_CHECKS)
         case ServerChanges():
-            base_is_sound = type(message.base_version) is int
-            return base_is_sound and IS_REGISTRY_DOCUMENT(message.document)
+            base_is_valid = type(message.base_version) is int
+            return base_is_valid and IS_REGISTRY_DOCUMENT(message.document)
         case InFlight() | CountChanges():
             counts = message.counts
             return isinstance(counts, dict) and all(map(_is_count, counts, counts.values()))
@@ -320,19 +331,20 @@
     return isinstance(incarnation, str) and has_age and isinstance(answered, bool)
 
 
-def _row(incarnation: str, figure: LoadFigure, age_ms: float) -> list[Any]:
+def _report_row(incarnation: str, figure: LoadFigure, age_ms: float) -> list[Any]:
+    # In a datagram a pace of -1 marks an unreachable endpoint.
     pace = round(figure.pace * 100) if figure.reachable else -1
     row = [incarnation, figure.running, figure.waiting, pace, round(age_ms)]
     return [*row, round(figure.cold_ms)] if figure.cold_ms else row
 
 
-def _figure(
+def _report_of_row(
     incarnation: str, running: int, waiting: int, pace: int, age_ms: float, cold_ms: float = 0
 ) -> tuple[str, LoadFigure, float]:
     if not (type(running) is type(waiting) is type(pace) is int and isinstance(incarnation, str)):
-        raise TypeError("a load figure of other types")
+        raise TypeError("load report with fields of the wrong type")
     if running < 0 or waiting < 0 or not 0 <= age_ms < inf or not 0 <= cold_ms < inf:
-        raise ValueError("a load figure out of range")
+        raise ValueError("load report with a value out of range")
     reachable = pace >= 0
     return (
         incarnation,
