--- a/cloverhook/gateway/peering.py
+++ b/cloverhook/gateway/peering.py
@@ -1,9 +1,10 @@
-"""What gateways tell each other: that they live, what they know, and how loaded endpoints are.
+"""Exchange of heartbeats, state versions and endpoint load between gateways.
 
-Layer: transport.  Each heartbeat names the versions that its sender knows; whoever is behind asks
-that sender for its state.  So changes reach every VM from the one that reads the store, and a VM
-that cannot reach the store lives on what its peers hold.  A state that has come from another data
-centre is told to the neighbours at once, so that they need not fetch it from there too.
+Layer: transport.  Each heartbeat carries the versions of the sender's state.  A receiver whose
+versions are older fetches the state from the sender (anti-entropy).  In this way changes spread to
+every VM from the one that reads the store, and a VM that cannot reach the store works with the
+state that its peers hold.  A state fetched from another data centre is announced to the VMs of the
+own data centre at once, so that they do not have to fetch it from there too.
 """
 
 import asyncio
@@ -52,31 +53,36 @@
 
 __all__ = ["Peering"]
 
-GREET_MS = 1_000.0
-GREET_LIMIT_MS = 120_000.0
-"""An address that has not answered for this long is greeted no more."""
-FIRST_GREET_MS = 300.0
-FIRST_GREETS_MS = 3_000.0
-"""At the start of a fleet a seed may come a little later than others, which greet it again soon."""
-LIST_MS = (300.0, 1_000.0, 3_000.0, 10_000.0, 30_000.0)
-"""After these times a VM asks another one who is there; the last is repeated.  Of two that start at
-once the later one to ask learns of the other; all else repairs what got lost."""
-HOLDERS_TOLD = 8
-"""Who has fetched a state there tells so many neighbours, which may fetch it from there."""
-GREET_FAR = 2
-"""So many addresses of a data centre where nobody is known are greeted at a time."""
-DATAGRAM_BYTES = 1_200
-"""Larger changes are asked for over TCP: a datagram should fit into one packet."""
+CONTACT_INTERVAL_MS = 1_000.0
+CONTACT_LIMIT_MS = 120_000.0
+"""An address that has not answered for this long is dropped and no longer contacted."""
+STARTUP_CONTACT_INTERVAL_MS = 300.0
+STARTUP_CONTACT_MS = 3_000.0
+"""When a fleet starts, a seed VM may come up a little later than the others.  For this time after
+its own start a VM contacts addresses at the shorter interval, so that it finds the seed soon."""
+REQUEST_DELAYS_MS = (300.0, 1_000.0, 3_000.0, 10_000.0, 30_000.0)
+"""Delays between a VM's requests to a peer for the addresses in its data centre; the last delay
+repeats.  Of two VMs that start at the same time, the one that asks later learns of the other.  The
+further requests make up for lost messages."""
+ANNOUNCE_LIMIT = 8
+"""In a data centre with many VMs, a VM that has fetched a state from a neighbour announces it to
+this many neighbours, which may then fetch the state from it."""
+REMOTE_CONTACTS_AT_ONCE = 2
+"""How many addresses are contacted at a time in a data centre where no VM is known to be alive."""
+DATAGRAM_LIMIT_BYTES = 1_200
+"""A datagram should fit into one packet.  Registry changes that are larger than this are not sent;
+peers fetch them over TCP."""
 ADDRESSES = Items(Address())
-FOR_THE_AUDIENCE = (Loads, Failures, Refusals, InFlight, CountChanges, RateLimitUpdate)
-"""What only those need who place requests."""
-CHANGE_RELAYS = 3
-"""A third of a fleet may be cut off before it shows: by a single relay each third change would be
-lost, and endpoints be used after they have left."""
+DISPATCHER_MESSAGES = (Loads, Failures, Refusals, InFlight, CountChanges, RateLimitUpdate)
+"""Messages that are needed only by VMs that dispatch requests."""
+CHANGE_RELAY_COUNT = 3
+"""Number of VMs in each other data centre that relay a registry change.  A third of a fleet may be
+unreachable before this is detected.  With a single relay, every third change would then be lost,
+and endpoints would be used after they have left."""
 
 
 class Peering:
-    """This VM's part in the talk between gateways."""
+    """This VM's side of the message exchange between gateways."""
 
     def __init__(
         self,
@@ -90,7 +96,13 @@
         fleet: str = "",
         requests_per_s: Callable[[float], float] = lambda now_ms: 0.0,
     ) -> None:
-        """`requests_per_s` says what callers send this VM."""
+        """Set up the exchange; the sockets are opened by `link.open`.
+
+        `on_figure` is called with the incarnation of a backend server for which a load report has
+        arrived, and `on_counts` when another VM's counts of requests in flight have arrived.
+        `fleet` is described at `PeerLink`.  `requests_per_s` returns the rate at which callers
+        send requests to this VM, given the current time.
+        """
         self._own = own
         self._on_figure = on_figure
         self._knowledge = knowledge
@@ -114,14 +126,14 @@
         )
         self._started_ms = monotonic_ms()
         self._requests_per_s = requests_per_s
-        self._pace = HeartbeatPace(members)
+        self._heartbeat_interval = HeartbeatPace(members)
         self._addresses: dict[str, str | None] = {}
-        self._greeted_since_ms: dict[str, float] = {}
-        self._near_due_ms = 0.0
-        self._far_due_ms = 0.0
-        self._relays = 1
+        self._contacted_since_ms: dict[str, float] = {}
+        self._local_heartbeat_due_ms = 0.0
+        self._remote_heartbeat_due_ms = 0.0
+        self._relay_count = 1
         self._has_update = False
-        self._greet_due_ms = 0.0
+        self._contact_due_ms = 0.0
         self._states = StateFetch(
             knowledge,
             members,
@@ -132,74 +144,85 @@
             self._fetched,
             self._on_garbage,
         )
-        self._list: asyncio.Task[None] | None = None
-        self._lists = 0
-        self._list_due_ms = 0.0
+        self._address_task: asyncio.Task[None] | None = None
+        self._address_requests = 0
+        self._address_due_ms = 0.0
         self.ready = False
         self.leaving = False
         self.reading = False
 
     def add_address(self, peer_address: str, data_center: str | None = None) -> None:
-        """Take an address where a peer may be, and its data centre if that is known."""
+        """Add an address at which a peer may run, with its data centre if that is known."""
         if peer_address != self._own.peer_address:
             self._addresses[peer_address] = data_center or self._addresses.get(peer_address)
 
     def add_members(self, records: tuple[MemberRecord, ...]) -> None:
-        """Take the VMs that the store knows, and greet them."""
+        """Add the addresses of the VMs that the store lists, and contact them at the next tick."""
         for record in records:
             self.add_address(record.peer_address, record.data_center)
-        self._greet_due_ms = 0.0
+        self._contact_due_ms = 0.0
 
     def tick(self, now_ms: float) -> None:
-        """Send the heartbeats and greetings that are due."""
-        if now_ms >= self._greet_due_ms:
-            first = now_ms - self._started_ms < FIRST_GREETS_MS
-            self._greet_due_ms = now_ms + (FIRST_GREET_MS if first else GREET_MS)
-            self._greet(now_ms)
+        """Send the heartbeats, discovery requests and repeated counts that are due."""
+        if now_ms >= self._contact_due_ms:
+            is_startup = now_ms - self._started_ms < STARTUP_CONTACT_MS
+            self._contact_due_ms = now_ms + (
+                STARTUP_CONTACT_INTERVAL_MS if is_startup else CONTACT_INTERVAL_MS
+            )
+            self._contact_unheard(now_ms)
         self.count_updates.repeat(now_ms)
-        if now_ms >= self._near_due_ms:
-            every_ms = self._pace.near_ms(self.reading, now_ms)
-            self._near_due_ms = now_ms + every_ms
+        if now_ms >= self._local_heartbeat_due_ms:
+            every_ms = self._heartbeat_interval.near_ms(self.reading, now_ms)
+            self._local_heartbeat_due_ms = now_ms + every_ms
             self.broadcast.near(encode(self._heartbeat(every_ms)), now_ms)
-        if now_ms >= self._far_due_ms:
-            every_ms = self._pace.far_ms(self.reading, now_ms)
-            self._far_due_ms = now_ms + every_ms
+        if now_ms >= self._remote_heartbeat_due_ms:
+            every_ms = self._heartbeat_interval.far_ms(self.reading, now_ms)
+            self._remote_heartbeat_due_ms = now_ms + every_ms
             data = encode(self._heartbeat(every_ms))
-            relays, self._relays = self._relays, 1
+            relay_count, self._relay_count = self._relay_count, 1
             has_update, self._has_update = self._has_update, False
-            if has_update or self._pace.is_heard_far(self.reading, now_ms):
-                self.broadcast.far(data, now_ms, relays)
+            if has_update or self._heartbeat_interval.is_heard_far(self.reading, now_ms):
+                self.broadcast.far(data, now_ms, relay_count)
             silent = (item for item in self._members.near() if not item.is_alive(now_ms))
             self.broadcast.to(silent, data)
 
     def send_heartbeat(self, has_update: bool = False) -> None:
-        """Send a heartbeat soon, with `has_update` to all, as this VM knows something new."""
-        self._near_due_ms = self._far_due_ms = 0.0
+        """Send a heartbeat at the next tick.
+
+        With `has_update` this VM has newer state to announce, and the heartbeat goes to the other
+        data centres in any case.
+        """
+        self._local_heartbeat_due_ms = self._remote_heartbeat_due_ms = 0.0
         self._has_update |= has_update
         if self._members.crowded():
-            self._relays = CHANGE_RELAYS
+            self._relay_count = CHANGE_RELAY_COUNT
 
     def broadcast_changes(self, base_version: int, touched: tuple[str, ...]) -> None:
-        """Send what has changed in the registry to everyone, if it fits into a datagram.
+        """Send registry changes to all VMs, or a heartbeat if they do not fit into a datagram.
 
-        `base_version` is the registry's version before the change: who is behind that one lacks
-        more than what is touched.
+        `base_version` is the registry's version before the change.  A receiver with an older
+        version lacks more than the entries in `touched`.
         """
         now_ms = monotonic_ms()
         document = self._knowledge.registry.to_document(now_ms, touched)
         data = encode(ServerChanges(self._own.vm, base_version, document))
-        if len(data) > DATAGRAM_BYTES:
+        if len(data) > DATAGRAM_LIMIT_BYTES:
             self.send_heartbeat(has_update=True)
             return
         self.broadcast.near(data, now_ms)
-        self.broadcast.far(data, now_ms, relays=CHANGE_RELAYS)
+        self.broadcast.far(data, now_ms, relays=CHANGE_RELAY_COUNT)
 
     def _heartbeat(self, every_ms: float | None = None, wants_answer: bool = False) -> Heartbeat:
-        """Return a sign of life; one out of turn counts until the next one that is due."""
+        """Return a heartbeat.
+
+        `every_ms` is the time until the next heartbeat to the same receivers.  Without it, the
+        heartbeat is sent out of turn and is valid until the next regular one: the longer one of
+        the two heartbeat intervals is used.
+        """
         own, knowledge, now_ms = self._own, self._knowledge, monotonic_ms()
         if every_ms is None:
-            near_ms = self._pace.near_ms(self.reading, now_ms)
-            every_ms = max(near_ms, self._pace.far_ms(self.reading, now_ms))
+            near_ms = self._heartbeat_interval.near_ms(self.reading, now_ms)
+            every_ms = max(near_ms, self._heartbeat_interval.far_ms(self.reading, now_ms))
         return Heartbeat(
             own.vm,
             own.incarnation,
@@ -221,58 +244,68 @@
         )
 
     def _hears_ms(self) -> float:
-        """Return for how long datagrams may wait to be read together."""
-        return self._pace.hears_ms(self._knowledge.board.has_requests(), monotonic_ms())
+        """Return for how long received datagrams may wait to be read in one batch."""
+        return self._heartbeat_interval.hears_ms(
+            self._knowledge.board.has_requests(), monotonic_ms()
+        )
 
-    def _greet(self, now_ms: float) -> None:
-        """Ask for a heartbeat from the addresses that have never sent one.
+    def _contact_unheard(self, now_ms: float) -> None:
+        """Request a heartbeat from the addresses that have never sent one.
 
-        Where nobody lives in another data centre, its silent VMs are asked too.
+        For another data centre in which no VM is alive, its silent VMs are asked too.
         """
-        heard = {item.peer_address for item in self._members.all()}
-        self._forget_unanswered(heard, now_ms)
-        far: dict[str, list[str]] = {}
-        found = []
+        known_addresses = {item.peer_address for item in self._members.all()}
+        self._drop_unanswered(known_addresses, now_ms)
+        remote_addresses: dict[str, list[str]] = {}
+        targets = []
         for address, data_center in self._addresses.items():
-            if address in heard:
+            if address in known_addresses:
                 continue
             if data_center in (None, self._own.data_center):
-                found.append(address)
+                targets.append(address)
             else:
-                far.setdefault(data_center, []).append(address)
+                remote_addresses.setdefault(data_center, []).append(address)
         for data_center, members in self._members.far(now_ms).items():
             if any(item.is_alive(now_ms) for item in members):
-                far.pop(data_center, None)
+                remote_addresses.pop(data_center, None)
             else:
-                far.setdefault(data_center, []).extend(item.peer_address for item in members)
-        for addresses in far.values():
-            found += random.sample(addresses, min(GREET_FAR, len(addresses)))
-        if found:
+                remote_addresses.setdefault(data_center, []).extend(
+                    item.peer_address for item in members
+                )
+        for addresses in remote_addresses.values():
+            targets += random.sample(addresses, min(REMOTE_CONTACTS_AT_ONCE, len(addresses)))
+        if targets:
             data = encode(self._heartbeat(wants_answer=True))
-            for address in found:
+            for address in targets:
                 self.link.send_encoded(address, data)
 
-    def _forget_unanswered(self, heard: set[str], now_ms: float) -> None:
-        """Drop the addresses that have not answered for long, unless the settings name them.
+    def _drop_unanswered(self, known_addresses: set[str], now_ms: float) -> None:
+        """Drop addresses that have not answered for long, unless they come from the settings.
 
-        The VMs there were replaced.  The settings' addresses have no data centre.
+        The VMs at dropped addresses have been replaced.  Addresses from the settings are recognised
+        by their missing data centre.
         """
         for address, data_center in tuple(self._addresses.items()):
-            if address in heard or data_center is None:
-                self._greeted_since_ms.pop(address, None)
-            elif now_ms - self._greeted_since_ms.setdefault(address, now_ms) > GREET_LIMIT_MS:
-                del self._addresses[address], self._greeted_since_ms[address]
+            if address in known_addresses or data_center is None:
+                self._contacted_since_ms.pop(address, None)
+            elif now_ms - self._contacted_since_ms.setdefault(address, now_ms) > CONTACT_LIMIT_MS:
+                del self._addresses[address], self._contacted_since_ms[address]
 
     def ask_who_is_there(self, now_ms: float) -> None:
-        """Ask a peer for the addresses in the own data centre, if that is due, to greet them."""
-        if now_ms < self._list_due_ms:
+        """If it is due, ask a peer for the addresses in the own data centre.
+
+        The addresses are added to those that are contacted.
+        """
+        if now_ms < self._address_due_ms:
             return
         alive = self._members.alive(now_ms)
-        if not alive or (self._list is not None and not self._list.done()):
+        if not alive or (self._address_task is not None and not self._address_task.done()):
             return
-        self._list_due_ms = now_ms + LIST_MS[min(self._lists, len(LIST_MS) - 1)]
-        self._lists += 1
-        self._list = asyncio.create_task(self._fetch_addresses(random.choice(alive)))
+        self._address_due_ms = (
+            now_ms + REQUEST_DELAYS_MS[min(self._address_requests, len(REQUEST_DELAYS_MS) - 1)]
+        )
+        self._address_requests += 1
+        self._address_task = asyncio.create_task(self._fetch_addresses(random.choice(alive)))
 
     async def _fetch_addresses(self, member: Member) -> None:
         asked = {"addresses": self._own.data_center}
@@ -283,7 +316,9 @@
             return
         addresses = state.get("addresses", [])
         if faults_of(ADDRESSES, "", addresses):
-            self._on_garbage(member.peer_address, MessageError("no list of addresses"))
+            self._on_garbage(
+                member.peer_address, MessageError("reply with an invalid list of addresses")
+            )
             return
         for address in addresses:
             self.add_address(address, self._own.data_center)
@@ -324,27 +359,30 @@
             self._on_garbage(sender, error)
             return
         if isinstance(inner, Relay):
-            self._on_garbage(sender, MessageError("a relay within a relay"))
+            self._on_garbage(sender, MessageError("relay message inside a relay message"))
             return
-        self.broadcast.relay(message, now_ms, audience_only=isinstance(inner, FOR_THE_AUDIENCE))
+        self.broadcast.relay(message, now_ms, audience_only=isinstance(inner, DISPATCHER_MESSAGES))
         self._on_message(inner, sender, relayed=True)
 
     def _on_heartbeat(self, heartbeat: Heartbeat, now_ms: float, relayed: bool) -> None:
-        back = self._members.heard(heartbeat, now_ms)
-        near = heartbeat.data_center == self._own.data_center
-        if back:
+        returned = self._members.heard(heartbeat, now_ms)
+        is_local = heartbeat.data_center == self._own.data_center
+        if returned:
             self._log.note(
                 Kind.MEMBER, member=heartbeat.vm, state="joined", at=heartbeat.peer_address
             )
             self.quarantine_updates.welcome(self._members.get(heartbeat.vm), now_ms)
-        if heartbeat.wants_answer or (back and near):
+        if heartbeat.wants_answer or (returned and is_local):
             self.link.send_encoded(heartbeat.peer_address, encode(self._heartbeat()))
         if self._states.is_behind(heartbeat):
-            self._states.catch_up(heartbeat.vm, near or relayed)
-        self._hear_positions(heartbeat, now_ms)
+            self._states.catch_up(heartbeat.vm, is_local or relayed)
+        self._update_log_positions(heartbeat, now_ms)
 
-    def _hear_positions(self, heartbeat: Heartbeat, now_ms: float) -> None:
-        """Take a VM's word on how far in the store's logs it knows of no further change."""
+    def _update_log_positions(self, heartbeat: Heartbeat, now_ms: float) -> None:
+        """Take over the positions in the store's logs up to which the sender has all changes.
+
+        A sender that reads the store also confirms its registry version as current.
+        """
         knowledge = self._knowledge
         knowledge.registry.position.heard(heartbeat.registry_version, heartbeat.registry_as_of)
         if heartbeat.reading:
@@ -360,8 +398,8 @@
             if member is not None:
                 member.registry_version = max(member.registry_version, changes.base_version)
                 member.registry_as_of = max(member.registry_as_of, changes.base_version)
-            near = member is not None and member.data_center == self._own.data_center
-            self._states.catch_up(changes.vm, near or relayed)
+            is_local = member is not None and member.data_center == self._own.data_center
+            self._states.catch_up(changes.vm, is_local or relayed)
         elif registry.adopt(changes.document, now_ms):
             self._log.note(
                 Kind.SERVER,
@@ -372,16 +410,24 @@
             )
 
     def _fetched(self, address: str) -> None:
-        """Tell those who wait for a state that it can be had here."""
+        """Announce to neighbours that may wait for a fetched state that this VM has it now.
+
+        After a fetch from another data centre all neighbours get a heartbeat at the next tick.
+        After a fetch from a neighbour a few of them get one, if the data centre has many VMs.
+        """
         if not any(item.peer_address == address for item in self._members.near()):
-            self._near_due_ms = 0.0
+            self._local_heartbeat_due_ms = 0.0
         elif self._members.crowded():
-            near = self._members.near()
-            told = random.sample(near, min(HOLDERS_TOLD, len(near)))
-            self.broadcast.to(told, encode(self._heartbeat()))
+            neighbours = self._members.near()
+            receivers = random.sample(neighbours, min(ANNOUNCE_LIMIT, len(neighbours)))
+            self.broadcast.to(receivers, encode(self._heartbeat()))
 
     async def _answer(self, asked: dict[str, Any]) -> Answer:
-        """Return what a peer asks for; the configuration may have to wait for its turn."""
+        """Return the reply to a peer's state request.
+
+        A request for the configuration may wait until a transfer slot is free, or be referred to
+        another VM.
+        """
         if "config" not in asked:
             return Answer(self._state_for(asked))
         encoded = self._knowledge.encoded_config()
