--- a/cloverhook/gateway/count_updates.py
+++ b/cloverhook/gateway/count_updates.py
@@ -1,10 +1,11 @@
-"""Tells other VMs how many requests this one has in flight where, and takes what they tell.
-
-Layer: transport.  Two VMs that have not heard of each other's requests choose the same last slot,
-so the VMs of a data centre tell each other at once.  Those of other data centres place requests at
-home, and hear nothing, until a data centre can't serve itself: then all place them at the same few
-endpoints, and each change is told to the others too.  What a VM hears of that is bounded: the more
-VMs place requests, the more changes each of them gathers into one datagram.
+"""Exchanges with other VMs how many requests each VM has in flight at each endpoint.
+
+Layer: transport.  Two VMs that do not know of each other's requests choose the same last free slot,
+so the VMs of a data centre send each other every change at once.  VMs of other data centres
+dispatch requests in their own data centre and receive no counts, until a data centre can't serve
+itself.  Then all VMs dispatch requests to the same few endpoints, and every change is sent to the
+other data centres too.  The number of these datagrams that a VM receives is bounded: the more VMs
+dispatch requests, the more changes each of them collects in one datagram.
 """
 
 import asyncio
@@ -19,15 +20,16 @@
 __all__ = ["CountUpdates"]
 
 DELAY_MS = 2.0
-"""Changes within this time go into one datagram."""
+"""Changes within this time share a datagram."""
 REPEAT_MS = 250.0
-FAR_DELAY_MS = 5.0
-FAR_HEARD_PER_S = 1_500.0
-"""A VM hears so many datagrams on changes elsewhere at most, which leaves it time for requests."""
+REMOTE_DELAY_MS = 5.0
+REMOTE_RECEIVE_LIMIT_PER_S = 1_500.0
+"""How many datagrams about changes in other data centres a VM receives at most, so that it has time
+left for requests."""
 
 
 class CountUpdates:
-    """This VM's counts on their way to others, and those of others."""
+    """Sends this VM's counts of requests in flight, and applies those that other VMs send."""
 
     def __init__(
         self,
@@ -37,34 +39,34 @@
         knowledge: Knowledge,
         on_counts: Callable[[], None],
     ) -> None:
-        """`on_counts` is called when counts of another VM have come."""
+        """`on_counts` is called when counts of another VM have arrived."""
         self._own_vm = own_vm
         self._broadcast = broadcast
         self._members = members
         self._knowledge = knowledge
         self._on_counts = on_counts
-        self._timer: asyncio.TimerHandle | None = None
-        self._far_timer: asyncio.TimerHandle | None = None
-        self._near_changed: set[str] = set()
-        self._far_changed: set[str] = set()
-        self._told: dict[str, frozenset[str]] = {}
+        self._local_timer: asyncio.TimerHandle | None = None
+        self._remote_timer: asyncio.TimerHandle | None = None
+        self._local_changed: set[str] = set()
+        self._remote_changed: set[str] = set()
+        self._counted_endpoints: dict[str, frozenset[str]] = {}
         self._repeat_due_ms = 0.0
 
     def changed(self, incarnation: str) -> None:
-        """Tell those who place requests soon that the count at an endpoint has changed."""
+        """Send the changed count of an endpoint soon, to the VMs that dispatch requests."""
         loop = asyncio.get_running_loop()
-        self._near_changed.add(incarnation)
-        if self._timer is None:
-            self._timer = loop.call_later(DELAY_MS / 1000, self._tell_changed)
+        self._local_changed.add(incarnation)
+        if self._local_timer is None:
+            self._local_timer = loop.call_later(DELAY_MS / 1000, self._send_local)
         now_ms = monotonic_ms()
         if self._knowledge.crossing(now_ms):
-            self._far_changed.add(incarnation)
-            if self._far_timer is None:
-                delay_ms = self._far_delay_ms(now_ms)
-                self._far_timer = loop.call_later(delay_ms / 1000, self._tell_far)
+            self._remote_changed.add(incarnation)
+            if self._remote_timer is None:
+                delay_ms = self._remote_delay_ms(now_ms)
+                self._remote_timer = loop.call_later(delay_ms / 1000, self._send_remote)
 
     def repeat(self, now_ms: float) -> None:
-        """Tell all counts again if that is due: a datagram may have been lost."""
+        """Send all counts again if this is due, as a datagram may have been lost."""
         if now_ms < self._repeat_due_ms or not self._knowledge.board.in_flight():
             return
         self._repeat_due_ms = now_ms + REPEAT_MS
@@ -74,12 +76,12 @@
             self._broadcast.far(data, now_ms)
 
     def received(self, message: InFlight, now_ms: float) -> None:
-        """Take all counts of another VM; endpoints that are left out have none."""
+        """Apply all counts of another VM; endpoints that are missing have no requests in flight."""
         board, vm = self._knowledge.board, message.vm
         if message.counts:
             self._members.sent_counts(vm, now_ms)
-        before = self._told.get(vm, frozenset())
-        self._told[vm] = frozenset(message.counts)
+        before = self._counted_endpoints.get(vm, frozenset())
+        self._counted_endpoints[vm] = frozenset(message.counts)
         for incarnation in before - message.counts.keys():
             board.of(incarnation).peer_has(vm, 0, now_ms)
         for incarnation, count in message.counts.items():
@@ -87,29 +89,31 @@
         self._on_counts()
 
     def received_changes(self, message: CountChanges, now_ms: float) -> None:
-        """Take the counts of another VM that have changed."""
+        """Apply the counts of another VM that have changed."""
         board, vm = self._knowledge.board, message.vm
         self._members.sent_counts(vm, now_ms)
-        self._told[vm] = self._told.get(vm, frozenset()) | message.counts.keys()
+        self._counted_endpoints[vm] = (
+            self._counted_endpoints.get(vm, frozenset()) | message.counts.keys()
+        )
         for incarnation, count in message.counts.items():
             board.of(incarnation).peer_has(vm, count, now_ms)
         self._on_counts()
 
-    def _tell_changed(self) -> None:
-        self._timer = None
+    def _send_local(self) -> None:
+        self._local_timer = None
         members = self._members.count_audience(monotonic_ms())
-        self._broadcast.to(members, encode(self._changes(self._near_changed)))
+        self._broadcast.to(members, encode(self._changes(self._local_changed)))
 
-    def _far_delay_ms(self, now_ms: float) -> float:
+    def _remote_delay_ms(self, now_ms: float) -> float:
         senders = 1 + self._members.senders(now_ms)
-        return max(FAR_DELAY_MS, 1_000.0 * senders / FAR_HEARD_PER_S)
+        return max(REMOTE_DELAY_MS, 1_000.0 * senders / REMOTE_RECEIVE_LIMIT_PER_S)
 
-    def _tell_far(self) -> None:
-        self._far_timer = None
-        self._broadcast.far(encode(self._changes(self._far_changed)), monotonic_ms())
+    def _send_remote(self) -> None:
+        self._remote_timer = None
+        self._broadcast.far(encode(self._changes(self._remote_changed)), monotonic_ms())
 
     def _changes(self, names: set[str]) -> CountChanges:
-        """Return the counts at some endpoints, and empty the set of their names."""
+        """Return the counts at the named endpoints, and clear the set of names."""
         counts = self._knowledge.board.in_flight()
         changes = {name: counts.get(name, 0) for name in names}
         names.clear()
--- a/cloverhook/gateway/failure_updates.py
+++ b/cloverhook/gateway/failure_updates.py
@@ -1,7 +1,8 @@
-"""Tells other VMs at which endpoints requests have failed, and takes what they tell.
+"""Exchanges with other VMs at which endpoints requests have failed.
 
-Layer: transport.  Who learns of it only by its own requests fails one at each lying endpoint; there
-may be dozens of both.
+Layer: transport.  An endpoint may report that it is healthy and yet fail requests.  VMs that learn
+of this only from their own requests would each fail a request at every such endpoint, and there may
+be dozens of VMs and dozens of such endpoints.
 """
 
 import asyncio
@@ -16,13 +17,13 @@
 __all__ = ["FailureUpdates"]
 
 FLUSH_MS = 5.0
-"""Failures within this time go into one datagram; other VMs place few requests meanwhile."""
+"""Failures within this time share a datagram; other VMs dispatch few requests in that time."""
 ROWS_LIMIT = 40
-"""A datagram should fit into one packet."""
+"""How many rows a datagram has at most, so that it fits into one packet."""
 
 
 class FailureUpdates:
-    """Failures that wait for the next datagram, and the effect of those that are told."""
+    """Sends the failures of this VM's requests, and applies those that other VMs send."""
 
     def __init__(
         self, own_vm: str, broadcast: Broadcast, knowledge: Knowledge, log: EventLog
@@ -32,52 +33,60 @@
         self._knowledge = knowledge
         self._log = log
         self._accusations = Accusations()
-        self._waiting: list[tuple[str, float, bool]] = []
-        self._timer: asyncio.TimerHandle | None = None
+        self._unsent: list[tuple[str, float, bool]] = []
+        self._flush_timer: asyncio.TimerHandle | None = None
 
     def failed(self, incarnation: str, began_ms: float) -> None:
-        """Take a request of this VM, begun at a time, that an endpoint has failed."""
+        """Record that a request of this VM, begun at `began_ms`, has failed, and send this soon.
+
+        Failures at endpoints that are not registered are ignored.  A failure is not sent if this VM
+        has seen so many endpoints fail that the fault is probably its own.
+        """
         now_ms = monotonic_ms()
         if self._knowledge.registry.get(incarnation) is None:
             return
         trust = self._knowledge.board.of(incarnation).trust
         answered = trust.answered_since(now_ms - ANSWERED_MS)
         if trust.failed(now_ms, began_ms):
-            self._note(incarnation, self._own_vm)
-        if not self._is_believed(self._own_vm, incarnation, now_ms):
+            self._log_suspension(incarnation, self._own_vm)
+        if not self._is_credible(self._own_vm, incarnation, now_ms):
             return
-        self._waiting.append((incarnation, began_ms, answered))
-        if self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(FLUSH_MS / 1000, self._flush)
+        self._unsent.append((incarnation, began_ms, answered))
+        if self._flush_timer is None:
+            self._flush_timer = asyncio.get_running_loop().call_later(FLUSH_MS / 1000, self._flush)
 
     def received(self, message: Failures, now_ms: float) -> None:
-        """Take what another VM tells."""
+        """Apply the failures that another VM has sent.
+
+        Rows are ignored if their endpoint is not registered, or if that VM has reported so many
+        endpoints that the fault is probably its own.
+        """
         for incarnation, age_ms, answered in message.rows[:ROWS_LIMIT]:
             known = self._knowledge.registry.get(incarnation) is not None
-            if not known or not self._is_believed(message.vm, incarnation, now_ms):
+            if not known or not self._is_credible(message.vm, incarnation, now_ms):
                 continue
             trust = self._knowledge.board.of(incarnation).trust
             if trust.peer_failed(now_ms, now_ms - age_ms, answered):
-                self._note(incarnation, message.vm)
+                self._log_suspension(incarnation, message.vm)
 
     def forget(self, now_ms: float) -> None:
-        """Drop what no longer counts."""
+        """Drop the failures that are too old to count."""
         self._accusations.forget(now_ms)
 
-    def _is_believed(self, vm: str, incarnation: str, now_ms: float) -> bool:
+    def _is_credible(self, vm: str, incarnation: str, now_ms: float) -> bool:
         endpoints = len(self._knowledge.registry)
         return self._accusations.believed(vm, incarnation, endpoints, now_ms)
 
-    def _note(self, incarnation: str, source: str) -> None:
+    def _log_suspension(self, incarnation: str, source: str) -> None:
         self._log.note(Kind.ENDPOINT, server=incarnation, suspended=True, source=source)
 
     def _flush(self) -> None:
-        self._timer = None
+        self._flush_timer = None
         now_ms = monotonic_ms()
         rows = [
-            (name, round(now_ms - began_ms), answered) for name, began_ms, answered in self._waiting
+            (name, round(now_ms - began_ms), answered) for name, began_ms, answered in self._unsent
         ]
-        self._waiting.clear()
+        self._unsent.clear()
         data = encode(Failures(self._own_vm, rows[:ROWS_LIMIT]))
         self._broadcast.to_audience(data, now_ms)
         self._broadcast.far(data, now_ms)
--- a/cloverhook/gateway/load_updates.py
+++ b/cloverhook/gateway/load_updates.py
@@ -1,9 +1,10 @@
-"""Passes on the load figures that this VM has measured.
+"""Sends the load reports that this VM has measured to other VMs.
 
-Layer: transport.  Probes go out together, so their answers come together, and the figures of a few
-milliseconds share a datagram.  The own data centre hears every figure; the others hear what has
-changed, as bytes on the way there are paid for, and everything once a second.  While a data centre
-can't serve itself, its VMs place their requests in the others, and hear each change of load soon.
+Layer: transport.  Probes are sent together, so their answers arrive together, and the reports of a
+few milliseconds share a datagram.  VMs of the own data centre receive every report.  Other data
+centres receive changes, as traffic to them costs money, and every report once a second.  While a
+data centre can't serve itself, its VMs dispatch their requests to other data centres, and receive
+each change of load there soon.
 """
 
 import asyncio
@@ -17,29 +18,32 @@
 __all__ = ["LoadUpdates"]
 
 FLUSH_MS = 4.0
-"""Answers to probes that were sent together come within about this time."""
-CROWD_FAR_FLUSH_MS = 250.0
-"""Between crowded data centres each datagram is relayed to 20 VMs; what changes within this time
-goes into one.  Requests cross only where their own data centre has no room, and a pace that changes
-several times a second says nothing by then: it is told once a second, with the rest."""
+"""Answers to probes that were sent together arrive within about this time."""
+LARGE_REMOTE_FLUSH_MS = 250.0
+"""Between data centres with many VMs, a datagram is relayed to 20 VMs, so changes within this time
+share one.  Requests go to another data centre only if their own has no room.  A pace that changes
+several times a second is outdated by then; it is sent once a second, with everything else."""
 ROWS_LIMIT = 40
-"""A datagram should fit into one packet; a row takes up to 30 bytes."""
-FAR_LOAD_MS = 150.0
-FAR_LOAD_STEP = 2
-"""Other data centres hear of a load that has changed by this many requests, after this time."""
-CROSSING_FLUSH_MS = 20.0
-CROSSING_FIGURE_MS = 60.0
-"""A VM that places requests in another data centre does not hear the counts of the VMs there: it
-knows of their requests by figures alone, and would fill endpoints that have no slot left."""
-FAR_FIGURE_MS = 1_000.0
-FAR_PACE_RATIO = 1.5
-"""Other data centres hear of a pace once it has changed by this factor, or after a second."""
-
-Measured = dict[str, tuple[LoadFigure, float]]
+"""How many rows of up to 30 bytes a datagram has at most, so that it fits into one packet."""
+REMOTE_LOAD_MS = 150.0
+REMOTE_LOAD_STEP = 2
+"""A load that has changed by this many requests is sent to other data centres, `REMOTE_LOAD_MS`
+after the last report at the earliest."""
+SPILLOVER_FLUSH_MS = 20.0
+SPILLOVER_REPORT_MS = 60.0
+"""A VM that dispatches requests to another data centre knows of the requests of the VMs there from
+load reports, not from their counts.  Without frequent reports it would fill endpoints that have no
+slot left."""
+REMOTE_REPORT_MS = 1_000.0
+REMOTE_PACE_RATIO = 1.5
+"""A pace that has changed by this factor is sent to other data centres; any other one is sent after
+a second."""
+
+MeasuredReports = dict[str, tuple[LoadFigure, float]]
 
 
 class LoadUpdates:
-    """Figures that wait for the next datagram; times are on the monotonic clock."""
+    """Collects load reports and sends them in datagrams; times are on the monotonic clock."""
 
     def __init__(
         self,
@@ -48,68 +52,71 @@
         crowded: Callable[[], bool] = lambda: False,
         crossing: Callable[[float], bool] = lambda now_ms: False,
     ) -> None:
-        """`crowded` says whether the own data centre has many VMs.
+        """`crowded` returns whether the own data centre has many VMs.
 
-        `crossing` says whether VMs of other data centres have to place their requests here.
+        `crossing` returns whether some data centre can't serve itself, so that its VMs have to
+        dispatch their requests to other data centres.
         """
         self._crossing = crossing
         self._own_vm = own_vm
         self._crowded = crowded
         self._broadcast = broadcast
-        self._near: Measured = {}
-        self._far: Measured = {}
-        self._far_sent: Measured = {}
+        self._local_unsent: MeasuredReports = {}
+        self._remote_unsent: MeasuredReports = {}
+        self._remote_sent: MeasuredReports = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._far_timer: asyncio.TimerHandle | None = None
+        self._remote_timer: asyncio.TimerHandle | None = None
 
     def add(self, incarnation: str, figure: LoadFigure, at_ms: float) -> None:
-        """Take a figure that was measured at a time, and send it soon."""
-        self._near[incarnation] = (figure, at_ms)
-        if self._is_far_change(incarnation, figure, at_ms):
-            self._far_sent[incarnation] = self._far[incarnation] = (figure, at_ms)
+        """Add a report that was measured at `at_ms`, and send it soon."""
+        self._local_unsent[incarnation] = (figure, at_ms)
+        if self._is_remote_change(incarnation, figure, at_ms):
+            self._remote_sent[incarnation] = self._remote_unsent[incarnation] = (figure, at_ms)
         loop = asyncio.get_running_loop()
         if self._timer is None:
             self._timer = loop.call_later(FLUSH_MS / 1000, self._flush)
-        if self._far and self._far_timer is None:
-            self._far_timer = loop.call_later(self._far_delay_ms(at_ms) / 1000, self._flush_far)
+        if self._remote_unsent and self._remote_timer is None:
+            self._remote_timer = loop.call_later(
+                self._remote_delay_ms(at_ms) / 1000, self._flush_remote
+            )
 
-    def _far_delay_ms(self, now_ms: float) -> float:
+    def _remote_delay_ms(self, now_ms: float) -> float:
         if not self._crowded():
             return FLUSH_MS
-        return CROSSING_FLUSH_MS if self._crossing(now_ms) else CROWD_FAR_FLUSH_MS
+        return SPILLOVER_FLUSH_MS if self._crossing(now_ms) else LARGE_REMOTE_FLUSH_MS
 
     def forget(self, incarnation: str) -> None:
-        """Drop what was sent of an incarnation that is gone."""
-        self._far_sent.pop(incarnation, None)
+        """Drop the record of the last report sent of an incarnation that is gone."""
+        self._remote_sent.pop(incarnation, None)
 
     def _flush(self) -> None:
         self._timer = None
         now_ms = monotonic_ms()
-        for data in self._datagrams(self._near, now_ms):
+        for data in self._datagrams(self._local_unsent, now_ms):
             self._broadcast.to_audience(data, now_ms)
-        self._near.clear()
+        self._local_unsent.clear()
 
-    def _flush_far(self) -> None:
-        self._far_timer = None
+    def _flush_remote(self) -> None:
+        self._remote_timer = None
         now_ms = monotonic_ms()
-        for data in self._datagrams(self._far, now_ms):
+        for data in self._datagrams(self._remote_unsent, now_ms):
             self._broadcast.far(data, now_ms)
-        self._far.clear()
+        self._remote_unsent.clear()
 
-    def _datagrams(self, measured: Measured, now_ms: float) -> list[bytes]:
+    def _datagrams(self, measured: MeasuredReports, now_ms: float) -> list[bytes]:
         rows = [(name, figure, now_ms - at_ms) for name, (figure, at_ms) in measured.items()]
         return [
             encode(Loads(self._own_vm, tuple(rows[start : start + ROWS_LIMIT])))
             for start in range(0, len(rows), ROWS_LIMIT)
         ]
 
-    def _is_far_change(self, incarnation: str, figure: LoadFigure, at_ms: float) -> bool:
-        sent, sent_ms = self._far_sent.get(incarnation, (figure, -1e12))
+    def _is_remote_change(self, incarnation: str, figure: LoadFigure, at_ms: float) -> bool:
+        sent, sent_ms = self._remote_sent.get(incarnation, (figure, -1e12))
         ratio = max(figure.pace, sent.pace) / max(min(figure.pace, sent.pace), 0.01)
         step = abs(figure.running + figure.waiting - sent.running - sent.waiting)
         changed = figure.reachable != sent.reachable
-        if self._crossing(at_ms) and at_ms - sent_ms >= CROSSING_FIGURE_MS:
-            changed |= step > 0 or ratio >= FAR_PACE_RATIO
-        changed |= ratio >= FAR_PACE_RATIO and not self._crowded()
-        changed |= step >= FAR_LOAD_STEP and at_ms - sent_ms >= FAR_LOAD_MS
-        return changed or at_ms - sent_ms >= FAR_FIGURE_MS
+        if self._crossing(at_ms) and at_ms - sent_ms >= SPILLOVER_REPORT_MS:
+            changed |= step > 0 or ratio >= REMOTE_PACE_RATIO
+        changed |= ratio >= REMOTE_PACE_RATIO and not self._crowded()
+        changed |= step >= REMOTE_LOAD_STEP and at_ms - sent_ms >= REMOTE_LOAD_MS
+        return changed or at_ms - sent_ms >= REMOTE_REPORT_MS
--- a/cloverhook/gateway/rate_limit_updates.py
+++ b/cloverhook/gateway/rate_limit_updates.py
@@ -1,7 +1,8 @@
-"""Tells the other VMs of the limits that endpoints name in their answers.
+"""Exchanges with other VMs the rate limits that endpoints announce in their answers.
 
-Layer: transport.  A limit that is new or another one is told at once, and while an endpoint goes
-on naming it, once a second by whoever hears it then: so one that has just started learns of it too.
+Layer: transport.  A new or changed limit is sent at once.  While an endpoint keeps announcing its
+limit, the limit is sent again once a second, by the VM that gets the first answer after that time.
+In this way a VM that has just started learns of it too.
 """
 
 import asyncio
@@ -17,15 +18,15 @@
 __all__ = ["RateLimitUpdates"]
 
 FLUSH_MS = 10.0
-"""What is heard within this time goes into one datagram."""
+"""Limits that are received within this time share a datagram."""
 REPEAT_MS = 1_000.0
 ROWS_LIMIT = 30
-"""A datagram should fit into one packet."""
-RELAYS = 2
+"""How many rows a datagram has at most, so that it fits into one packet."""
+RELAY_COUNT = 2
 
 
 class RateLimitUpdates:
-    """What this VM hears of limits, from endpoints and from other VMs."""
+    """Sends the rate limits that endpoints announce to this VM, and applies other VMs' limits."""
 
     def __init__(
         self,
@@ -43,24 +44,24 @@
         self._log = log
         self._counters = counters
         self._sent_ms: dict[str, float] = {}
-        self._waiting: dict[str, None] = {}
-        self._timer: asyncio.TimerHandle | None = None
+        self._unsent: dict[str, None] = {}
+        self._flush_timer: asyncio.TimerHandle | None = None
 
     def answered(self, incarnation: str, per_s: float | None, at_ms: float) -> None:
-        """Take what an endpoint's answer to a request says; `per_s` is None without a limit."""
+        """Process the limit in an endpoint's answer to a request; None means that it has none."""
         if per_s is None:
             if self.limits.not_named(incarnation, at_ms):
-                self._ended(incarnation, "answer")
-                self._send_soon(incarnation)
+                self._record_end(incarnation, "answer")
+                self._schedule_send(incarnation)
             return
         if self.limits.named(incarnation, per_s, at_ms):
-            self._changed(incarnation, "answer")
+            self._record_change(incarnation, "answer")
         elif at_ms - self._sent_ms.get(incarnation, -REPEAT_MS) < REPEAT_MS:
             return
-        self._send_soon(incarnation)
+        self._schedule_send(incarnation)
 
     def received(self, message: RateLimitUpdate, now_ms: float) -> None:
-        """Take what another VM tells of endpoints that are registered."""
+        """Apply the limits of registered endpoints that another VM has sent."""
         for row in message.rows[:ROWS_LIMIT]:
             if self._knowledge.registry.get(row.incarnation) is None:
                 continue
@@ -68,43 +69,43 @@
             at_ms = now_ms - row.age_ms
             if row.per_s is None:
                 if self.limits.not_named(row.incarnation, at_ms):
-                    self._ended(row.incarnation, message.vm)
+                    self._record_end(row.incarnation, message.vm)
             elif self.limits.named(row.incarnation, row.per_s, at_ms):
-                self._changed(row.incarnation, message.vm)
+                self._record_change(row.incarnation, message.vm)
 
     def expire(self, now_ms: float) -> None:
-        """End the limits that nobody has named for long."""
+        """End the limits that have not been announced for long."""
         for incarnation in self.limits.expire(now_ms):
-            self._ended(incarnation, "age")
+            self._record_end(incarnation, "age")
 
     def forget(self, incarnation: str) -> None:
-        """Drop what is known of an incarnation that is gone."""
+        """Drop the data of an incarnation that is gone."""
         self.limits.forget(incarnation)
         self._sent_ms.pop(incarnation, None)
 
-    def _changed(self, incarnation: str, source: str) -> None:
+    def _record_change(self, incarnation: str, source: str) -> None:
         limit = self.limits.get(incarnation)
         self._log.note(Kind.RATE_LIMIT, server=incarnation, per_s=limit.per_s, source=source)
         self._counters.add("rate_limits_named")
 
-    def _ended(self, incarnation: str, source: str) -> None:
+    def _record_end(self, incarnation: str, source: str) -> None:
         self._log.note(Kind.RATE_LIMIT, server=incarnation, per_s=None, source=source)
 
-    def _send_soon(self, incarnation: str) -> None:
-        self._waiting[incarnation] = None
+    def _schedule_send(self, incarnation: str) -> None:
+        self._unsent[incarnation] = None
         self._sent_ms[incarnation] = monotonic_ms()
-        if self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(FLUSH_MS / 1000, self._flush)
+        if self._flush_timer is None:
+            self._flush_timer = asyncio.get_running_loop().call_later(FLUSH_MS / 1000, self._flush)
 
     def _flush(self) -> None:
-        self._timer = None
+        self._flush_timer = None
         now_ms = monotonic_ms()
-        rows = tuple(self._row(incarnation, now_ms) for incarnation in self._waiting)
-        self._waiting.clear()
+        rows = tuple(self._row(incarnation, now_ms) for incarnation in self._unsent)
+        self._unsent.clear()
         for start in range(0, len(rows), ROWS_LIMIT):
             data = encode(RateLimitUpdate(self._own_vm, rows[start : start + ROWS_LIMIT]))
             self._broadcast.to_audience(data, now_ms)
-            self._broadcast.far(data, now_ms, RELAYS)
+            self._broadcast.far(data, now_ms, RELAY_COUNT)
 
     def _row(self, incarnation: str, now_ms: float) -> RateLimitRow:
         limit = self.limits.get(incarnation)
--- a/cloverhook/gateway/refusal_updates.py
+++ b/cloverhook/gateway/refusal_updates.py
@@ -1,7 +1,8 @@
-"""Tells other VMs which endpoints turned requests away with free slots, and takes what they tell.
+"""Exchanges with other VMs which endpoints rejected requests although they had free slots.
 
-Layer: transport.  A refusal tells nothing of the next request alone; the share of them does, and a
-VM of a large fleet meets an endpoint too seldom to learn it by itself.
+Layer: transport.  A single refusal says nothing about the next request, but the share of refused
+requests does.  A VM of a large fleet sends requests to an endpoint too seldom to learn this share
+by itself.
 """
 
 import asyncio
@@ -15,42 +16,42 @@
 __all__ = ["RefusalUpdates"]
 
 FLUSH_MS = 30.0
-"""Refusals come in numbers; those within this time go into one datagram."""
+"""Refusals come in bursts; those within this time share a datagram."""
 ROWS_LIMIT = 60
-"""A datagram should fit into one packet."""
+"""How many rows a datagram has at most, so that it fits into one packet."""
 
 
 class RefusalUpdates:
-    """Refusals that wait for the next datagram, and the effect of those that are told."""
+    """Sends the refusals of this VM's requests, and applies those that other VMs send."""
 
     def __init__(
         self, own_vm: str, broadcast: Broadcast, board: LoadBoard, known: Callable[[str], object]
     ) -> None:
-        """`known` says of an incarnation whether it is registered."""
+        """`known` returns what is registered for an incarnation, or None."""
         self._own_vm = own_vm
         self._broadcast = broadcast
         self._board = board
         self._known = known
-        self._waiting: list[str] = []
-        self._timer: asyncio.TimerHandle | None = None
+        self._unsent: list[str] = []
+        self._flush_timer: asyncio.TimerHandle | None = None
 
     def refused(self, incarnation: str) -> None:
-        """Take a request of this VM that an endpoint has turned away."""
+        """Record that an endpoint has refused a request of this VM, and send this soon."""
         self._board.of(incarnation).refused(monotonic_ms())
-        self._waiting.append(incarnation)
-        if self._timer is None:
-            self._timer = asyncio.get_running_loop().call_later(FLUSH_MS / 1000, self._flush)
+        self._unsent.append(incarnation)
+        if self._flush_timer is None:
+            self._flush_timer = asyncio.get_running_loop().call_later(FLUSH_MS / 1000, self._flush)
 
     def received(self, message: Refusals, now_ms: float) -> None:
-        """Take what another VM tells."""
+        """Apply the refusals that another VM has sent."""
         for incarnation in message.incarnations[:ROWS_LIMIT]:
             if self._known(incarnation) is not None:
                 self._board.of(incarnation).refused(now_ms)
 
     def _flush(self) -> None:
-        self._timer = None
+        self._flush_timer = None
         now_ms = monotonic_ms()
-        for start in range(0, len(self._waiting), ROWS_LIMIT):
-            data = encode(Refusals(self._own_vm, self._waiting[start : start + ROWS_LIMIT]))
+        for start in range(0, len(self._unsent), ROWS_LIMIT):
+            data = encode(Refusals(self._own_vm, self._unsent[start : start + ROWS_LIMIT]))
             self._broadcast.to_audience(data, now_ms)
-        self._waiting.clear()
+        self._unsent.clear()
