--- a/cloverhook/gateway/state_fetch.py
+++ b/cloverhook/gateway/state_fetch.py
@@ -1,10 +1,10 @@
-"""Fetches what peers know more, the configuration apart from all else.
+"""Fetches newer state from peers, the configuration separately from everything else.
 
-Layer: transport.  Who hears of newer versions asks for the state: in the sender's data centre at
-once, elsewhere one VM does and its neighbours fetch it from there.  In a crowded data centre not
-all ask at the same moment, nor all the same VM: whoever has the state by then gives it.  A large
-configuration may be on its way for seconds; what is small, such as changes of backend servers, is
-asked for by itself and doesn't wait for that.
+Layer: transport.  A VM that learns of newer versions fetches the state.  In the sender's data
+centre each VM does so at once.  In another data centre one VM does so, and its neighbours fetch the
+state from that VM.  In a data centre with many VMs the requests are spread over time and over the
+VMs that already have the state.  The transfer of a large configuration may take seconds.  Small
+state, such as changes of backend servers, is fetched separately and does not wait for it.
 """
 
 import asyncio
@@ -29,29 +29,34 @@
 __all__ = ["Part", "StateFetch", "state_for"]
 
 NEIGHBOUR_FIRST_MS = 300.0
-"""How long a neighbour may take to fetch a state from another data centre and to tell of it."""
-FETCH_SPREAD_MS = 50.0
-"""In a crowded data centre the questions are spread over this time."""
-PART_SHARE = 0.5
-"""Of a registry less than this part is sent alone: checking 3,000 rows holds a small VM long."""
+"""How long a neighbour may take to fetch a state from another data centre and to announce it."""
+REQUEST_SPREAD_MS = 50.0
+"""In a data centre with many VMs their requests are spread over this time."""
+CHANGES_SHARE = 0.5
+"""Changes of up to this share of a registry are sent without the rest: checking 3,000 rows blocks a
+small VM for long."""
 FETCH_TRIES = 3
-"""A try takes up to a second; a change has to be in force within two."""
+"""How often a fetch is tried: a try takes up to a second, and a change has to be in force within
+two seconds."""
 REFERRALS_LIMIT = 24
-REFERRED_PAUSE_MS = 50.0
-"""Before the next question of one that was sent back without an address."""
+REFERRAL_PAUSE_MS = 50.0
+"""The pause before the next request after a referral without an address."""
 
 State = dict[str, Any]
 
 
 class Part(Enum):
-    """What is fetched by itself: the configuration, or backend servers and evacuations."""
+    """A part of the state that is fetched separately.
+
+    `SERVERS` comprises the backend servers and the evacuations.
+    """
 
     CONFIG = "config"
     SERVERS = "servers"
 
 
 class StateFetch:
-    """The fetches that are under way, at most one of each part."""
+    """Fetches newer state, with at most one fetch of each part at a time."""
 
     def __init__(
         self,
@@ -64,9 +69,12 @@
         on_fetched: Callable[[str], None],
         on_garbage: Callable[[str, MessageError], None],
     ) -> None:
-        """`fetch` asks an address for a state; `on_fetched` hears from which one it has come.
+        """Set up without any fetch.
 
-        Others may ask for the configuration at `own_address` once it is here.
+        `fetch` requests a state from an address.  `on_fetched` is called with the address from
+        which a state has been received, and `on_garbage` with the address of a peer that has sent
+        an invalid one, and an error.  Other VMs may request the configuration at `own_address` once
+        this VM has it.
         """
         self._knowledge = knowledge
         self._members = members
@@ -80,11 +88,11 @@
         self._behind_since_ms: dict[Part, float] = {}
 
     def is_behind(self, other: KnownVersions) -> bool:
-        """Return whether there is more to know than is known here."""
+        """Return whether another VM's versions are newer than this VM's in any part."""
         return any(self._lacks(part, other) for part in Part)
 
     def _lacks(self, part: Part, other: KnownVersions) -> bool:
-        """Return whether another VM knows more of a part."""
+        """Return whether another VM's version of a part is newer."""
         knowledge = self._knowledge
         if part is Part.CONFIG:
             lacks = other.config_version > knowledge.config_version
@@ -98,10 +106,14 @@
         return lacks
 
     def catch_up(self, vm: str, at_once: bool) -> None:
-        """Fetch a peer's state soon; `at_once` where no neighbour can be expected to do it."""
+        """Fetch newer state of a peer soon.
+
+        Without `at_once`, neighbours are given time to fetch it first.  It is set if none of them
+        can be expected to do so; then only a data centre with many VMs adds a short random delay.
+        """
         wait_ms = 0.0 if at_once else NEIGHBOUR_FIRST_MS
         if at_once and self._members.crowded():
-            wait_ms = random.uniform(0.0, FETCH_SPREAD_MS)
+            wait_ms = random.uniform(0.0, REQUEST_SPREAD_MS)
         if not wait_ms:
             self._fetch_if_behind(vm)
             return
@@ -109,7 +121,7 @@
         loop.call_later(wait_ms / 1000, self._fetch_if_behind, vm)
 
     def _fetch_if_behind(self, vm: str) -> None:
-        """Fetch what a peer knows, from it or from a neighbour that has it meanwhile."""
+        """Fetch newer parts of a peer's state, from it or from a neighbour that has them by now."""
         member = self._members.get(vm)
         if member is None:
             return
@@ -119,33 +131,33 @@
                 self._tasks[part] = asyncio.create_task(self._fetch_part(part, member))
 
     async def _fetch_part(self, part: Part, member: Member) -> None:
-        """Fetch a part, and go on while there is somebody who knows more by then."""
+        """Fetch a part; after each success, repeat this while a live VM has a newer version."""
         ahead: Member | None = member
-        while ahead is not None and await self._fetch_what_is_known(part, ahead):
+        while ahead is not None and await self._fetch_from_holders(part, ahead):
             self._behind_since_ms.pop(part, None)
             alive = self._members.alive(monotonic_ms())
             ahead = next((item for item in alive if self._lacks(part, item)), None)
 
-    async def _fetch_what_is_known(self, part: Part, member: Member) -> bool:
-        """Ask a few holders in turn: one whose link is slow or which is gone answers none.
+    async def _fetch_from_holders(self, part: Part, member: Member) -> bool:
+        """Request a part from a few holders in turn, and return whether it has been received.
 
-        Returns whether that has succeeded.
+        A holder that is gone or has a slow link does not answer.
         """
-        wanted = replace(member)  # What it knows when the question is put, without later changes.
+        wanted = replace(member)  # The versions at the time of the request, without later changes.
         address: str | None = None
         tries = referrals = 0
         while tries < FETCH_TRIES and referrals < REFERRALS_LIMIT:
             if address is None:
                 address = self._holder_of(part, wanted)
-            state = await self._ask(part, address)
+            state = await self._request(part, address)
             if state is not None and "refer" in state:
                 referrals += 1
                 address = state["refer"] or None
                 if address is None:
-                    await asyncio.sleep(REFERRED_PAUSE_MS / 1000)
+                    await asyncio.sleep(REFERRAL_PAUSE_MS / 1000)
                 continue
             if state is not None:
-                await self._take(part, state, address)
+                await self._apply(part, state, address)
             if not self._lacks(part, wanted):
                 return True
             tries += 1
@@ -153,7 +165,7 @@
         return False
 
     def _holder_of(self, part: Part, wanted: Member) -> str:
-        """Return the address of a VM that has what is wanted, if possible a neighbour."""
+        """Return the address of a VM that has the wanted versions, if possible a neighbour."""
         if part is Part.CONFIG:
             holders = self._members.holders(
                 lambda item: item.config_version >= wanted.config_version, monotonic_ms()
@@ -166,23 +178,23 @@
             )
         return (random.choice(holders) if holders else wanted).peer_address
 
-    async def _ask(self, part: Part, address: str) -> State | None:
-        """Ask for a part; return None where no answer comes."""
+    async def _request(self, part: Part, address: str) -> State | None:
+        """Request a part; return None if no valid answer is received."""
         knowledge = self._knowledge
         if part is Part.CONFIG:
-            asked: State = {
+            request: State = {
                 "config": knowledge.config_version,
                 "peer_address": self._own_address,
                 "data_center": self._members.data_center,
             }
         else:
-            asked = {
+            request = {
                 "registry": knowledge.registry.as_of,
                 "evacuations": knowledge.evacuations.version,
             }
         started_ms = monotonic_ms()
         try:
-            state = await self._fetch(address, asked)
+            state = await self._fetch(address, request)
         except MessageError as error:
             self._log.note(Kind.MEMBER, member=address, state="no-answer", error=str(error))
             return None
@@ -192,30 +204,30 @@
             Kind.FETCH,
             state="referred" if "refer" in state else "received",
             source=address,
-            asked=asked,
+            asked=request,
             parts=list(state),
             took_ms=round(now_ms - started_ms, 1),
             behind_ms=round(now_ms - self._behind_since_ms.get(part, now_ms)),
         )
         return state
 
-    async def _take(self, part: Part, state: State, address: str) -> None:
+    async def _apply(self, part: Part, state: State, address: str) -> None:
         try:
             if part is Part.CONFIG:
-                await self._take_config(state, address)
+                await self._apply_config(state, address)
             else:
-                self._take_servers(state, address)
+                self._apply_servers(state, address)
         except MessageError as error:
             self._on_garbage(address, error)
 
-    async def _take_config(self, state: State, address: str) -> None:
-        """Take a configuration, and hand it on to others before it is decoded here."""
+    async def _apply_config(self, state: State, address: str) -> None:
+        """Put a received configuration in force; it is offered to peers before it is decoded."""
         knowledge = self._knowledge
         if not state:
-            return  # The peer has none that is newer.
+            return  # The peer has no newer one.
         version, data = state.get("config_version"), state.get("config")
         if type(version) is not int or not isinstance(data, bytes):
-            raise MessageError("no configuration")
+            raise MessageError("state without a valid configuration")
         if version <= knowledge.config_version:
             return
         encoded = EncodedConfig(version, data)
@@ -232,13 +244,13 @@
             self._log.note(Kind.CONFIG, version=version, source=address)
             self._on_fetched(address)
 
-    def _take_servers(self, state: State, address: str) -> None:
-        """Take backend servers and evacuations."""
+    def _apply_servers(self, state: State, address: str) -> None:
+        """Apply received backend servers and evacuations."""
         knowledge, now_ms = self._knowledge, monotonic_ms()
         registry, evacuations = state.get("registry"), state.get("evacuations")
         left = Evacuations.from_document(evacuations) if evacuations else None
         if registry and not IS_REGISTRY_DOCUMENT(registry):
-            raise MessageError("no registry")
+            raise MessageError("state with an invalid registry")
         if left is not None and knowledge.take_evacuations(left, now_ms):
             self._log.note(Kind.EVACUATION, **left.to_document(), source=address)
         if registry and knowledge.registry.adopt(registry, now_ms):
@@ -254,22 +266,25 @@
 
 
 def state_for(asked: State, knowledge: Knowledge, members: Members, now_ms: float) -> State:
-    """Return what a peer that knows the versions `asked` lacks, or the addresses that it wants."""
+    """Return the state that is newer than the versions in `asked`, or the requested addresses."""
     if "addresses" in asked:
         alive = members.alive(now_ms)
         found = [item for item in alive if item.data_center == asked["addresses"]]
         return {"addresses": [item.peer_address for item in found]}
     state: State = {}
     if knowledge.registry.position.claimed_version > asked.get("registry", -1):
-        state["registry"] = _lacking(knowledge.registry, asked.get("registry", -1), now_ms)
+        state["registry"] = _registry_since(knowledge.registry, asked.get("registry", -1), now_ms)
     if knowledge.evacuations.version > asked.get("evacuations", -1):
         state["evacuations"] = knowledge.evacuations.to_document()
     return state
 
 
-def _lacking(registry: Registry, version: int, now_ms: float) -> State:
-    """Return what a registry of this version lacks, or all where that is much or can't be told."""
+def _registry_since(registry: Registry, version: int, now_ms: float) -> State:
+    """Return the changes since a registry version.
+
+    Returns the whole registry if there are many changes or if they are not known.
+    """
     changed = registry.changed_since(version) if version >= 0 else None
-    if changed is not None and len(changed) > PART_SHARE * len(registry):
+    if changed is not None and len(changed) > CHANGES_SHARE * len(registry):
         changed = None
     return registry.to_document(now_ms, changed)
--- a/cloverhook/gateway/transfer_queue.py
+++ b/cloverhook/gateway/transfer_queue.py
@@ -1,9 +1,10 @@
-"""Decides whom this VM sends a large state, and whom it refers to another VM that has it by then.
+"""Decides which VMs get a large state from this VM, and which are referred to another holder.
 
-Layer: coordination.  All neighbours ask within moments of a change, over links and at VMs that
-are slow: sent to all at once, each copy would be late.  So three copies are sent at a time, and
-each VM that has received one takes over half of those that wait: the number of senders doubles with
-each round.  To another data centre few copies go; its VMs pass them on.
+Layer: coordination.  All neighbours request a changed state within a short time, and links and VMs
+are slow: if it were sent to all of them at once, every copy would be late.  Therefore three copies
+are sent at a time, and each VM that has received one takes over half of the waiting VMs, so that
+the number of senders doubles with each round.  Only a few copies are sent to another data centre;
+its VMs pass them on.
 
 >>> queue = TransferQueue("papine")
 >>> askers = [Asker(f"10.1.0.{number}:1", "papine") for number in range(7)]
@@ -17,16 +18,17 @@
 
 __all__ = ["Asker", "Refer", "Send", "TransferQueue"]
 
-SENDS_AT_ONCE = 3
-"""One that is slow or has gone must not hold up the rest."""
-FAR_COPIES = 2
-"""Bytes between data centres are paid for; of two receivers one may be restarted."""
+CONCURRENT_SENDS = 3
+"""How many transfers run at once: a VM that is slow or gone must not hold up the others."""
+REMOTE_COPIES = 2
+"""How many copies are sent to another data centre.  Traffic between data centres costs money, so
+there are few; with two, one of the receivers may be restarted."""
 WAITING_LIMIT = 512
 
 
 @dataclass(frozen=True, slots=True)
 class Asker:
-    """A VM that wants the state: where it serves it to others, and its data centre."""
+    """A VM that requests the state: the address at which it serves peers, and its data centre."""
 
     peer_address: str
     data_center: str
@@ -34,21 +36,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send the state to a VM, and report the end to `TransferQueue.ended`."""
+    """An action: send the state to a VM, and report the end to `TransferQueue.ended`."""
 
     to: Asker
 
 
 @dataclass(frozen=True, slots=True)
 class Refer:
-    """Tell a VM to ask at another one; with no address, to ask again anywhere."""
+    """An action: refer a VM to another holder; without an address it asks any VM again."""
 
     to: Asker
     peer_address: str | None
 
 
 class TransferQueue:
-    """The VMs that want one version of a state from this one, in the order in which they asked."""
+    """The VMs that request one version of a state from this VM, in the order of their requests."""
 
     def __init__(self, data_center: str) -> None:
         self._data_center = data_center
@@ -58,11 +60,11 @@
         self._referred: set[Asker] = set()
 
     def ask(self, asker: Asker) -> list[Send | Refer]:
-        """Take a question; the answer may come with a later call.
+        """Add a request and return the actions due now; its own may come with a later call.
 
-        One that comes back after it was referred has found nobody there: it is served here.
+        A VM that asks again after a referral did not get the state there, so it is served here.
         """
-        if self._is_served_elsewhere(asker.data_center) and asker not in self._referred:
+        if self._has_enough_copies(asker.data_center) and asker not in self._referred:
             return [self._refer(asker)]
         if len(self._waiting) >= WAITING_LIMIT or asker in self._waiting:
             return [Refer(asker, None)]
@@ -70,12 +72,12 @@
         return self._send_next()
 
     def withdraw(self, asker: Asker) -> Refer:
-        """Let one that has waited for long ask elsewhere."""
+        """Remove a VM that has waited for too long, and refer it to another holder."""
         self._waiting.remove(asker)
         return self._refer(asker)
 
     def ended(self, asker: Asker, received: bool) -> list[Send | Refer]:
-        """Note the end of a transfer, and whether the VM has the whole state now."""
+        """Record the end of a transfer, and whether the VM has received the whole state."""
         self._sending.discard(asker)
         actions: list[Send | Refer] = []
         if received:
@@ -84,30 +86,33 @@
         return actions + self._send_next()
 
     def _hand_over(self, receiver: Asker) -> list[Send | Refer]:
-        """Refer every second VM that waits in the receiver's data centre to it, or all."""
+        """Refer every second waiting VM of the receiver's data centre to the receiver.
+
+        All of them are referred if that data centre has enough copies.
+        """
         neighbours = [item for item in self._waiting if item.data_center == receiver.data_center]
-        step = 1 if self._is_served_elsewhere(receiver.data_center) else 2
+        step = 1 if self._has_enough_copies(receiver.data_center) else 2
         referred = neighbours[::step]
         self._waiting = [item for item in self._waiting if item not in referred]
         self._referred.update(referred)
         return [Refer(item, receiver.peer_address) for item in referred]
 
-    def _is_served_elsewhere(self, data_center: str) -> bool:
-        """Return whether another data centre has enough copies to go on by itself."""
+    def _has_enough_copies(self, data_center: str) -> bool:
+        """Return whether another data centre has enough copies to spread them by itself."""
         copies = len(self._received.get(data_center, ()))
-        return data_center != self._data_center and copies >= FAR_COPIES
+        return data_center != self._data_center and copies >= REMOTE_COPIES
 
     def _refer(self, asker: Asker) -> Refer:
-        """Refer a VM to the one of its data centre that has received the state last."""
+        """Refer a VM to the VM of its data centre that has received the state last."""
         self._referred.add(asker)
         received = self._received.get(asker.data_center, ())
         others = [item for item in received if item != asker]
         return Refer(asker, others[-1].peer_address if others else None)
 
     def _send_next(self) -> list[Send | Refer]:
-        """Begin transfers while there may be more, to the data centre with the fewest first."""
+        """Start transfers up to the limit, first to the data centre with the fewest copies."""
         actions: list[Send | Refer] = []
-        while self._waiting and len(self._sending) < SENDS_AT_ONCE:
+        while self._waiting and len(self._sending) < CONCURRENT_SENDS:
             asker = min(self._waiting, key=lambda item: self._copies_to(item.data_center))
             self._waiting.remove(asker)
             self._sending.add(asker)
