--- a/cloverhook/gateway/broadcast.py
+++ b/cloverhook/gateway/broadcast.py
@@ -29,44 +29,44 @@
         self._next_relays: dict[str, int] = {}
         self._relay_resume_ms = 0.0
 
-    def to(self, members: Iterable[Member], data: bytes) -> None:
+    def send_to(self, members: Iterable[Member], data: bytes) -> None:
         """Send an encoded message to each of these VMs."""
         for member in members:
             self._link.send_encoded(member.peer_address, data)
 
-    def near(self, data: bytes, now_ms: float) -> None:
+    def send_local(self, data: bytes, now_ms: float) -> None:
         """Send an encoded message to every live VM of the own data centre."""
-        self.to((item for item in self._members.near() if item.is_alive(now_ms)), data)
+        self.send_to((item for item in self._members.local_members() if item.is_alive(now_ms)), data)
 
-    def to_audience(self, data: bytes, now_ms: float) -> None:
+    def send_to_load_subscribers(self, data: bytes, now_ms: float) -> None:
         """Send to the VMs of the own data centre that dispatch requests now or may do so soon."""
-        self.to(self._members.audience(now_ms), data)
+        self.send_to(self._members.live_load_subscribers(now_ms), data)
 
-    def far(self, data: bytes, now_ms: float, relays: int = 1) -> None:
+    def send_remote(self, data: bytes, now_ms: float, relay_count: int = 1) -> None:
         """Send to `relays` VMs of each other data centre, which relay it to their neighbours.
 
         If a data centre has fewer VMs, all of them get it.
         """
         wrapped = encode(Relay(self._own_vm, data))
-        for data_center, members in self._members.relays(now_ms).items():
+        for data_center, members in self._members.relay_candidates(now_ms).items():
             first = self._next_relays.get(data_center, 0)
-            count = min(relays, len(members))
+            count = min(relay_count, len(members))
             self._next_relays[data_center] = first + count
             for index in range(first, first + count):
                 self._link.send_encoded(members[index % len(members)].peer_address, wrapped)
 
-    def relay(self, message: Relay, now_ms: float, audience_only: bool = False) -> None:
+    def relay(self, message: Relay, now_ms: float, load_subscribers_only: bool = False) -> None:
         """Pass a received message on to the neighbours.
 
         With `audience_only`, only the neighbours that receive load reports get it.
         """
         if now_ms < self._relay_resume_ms:
             return
-        if audience_only:
-            self.to_audience(message.data, now_ms)
+        if load_subscribers_only:
+            self.send_to_load_subscribers(message.data, now_ms)
         else:
-            self.near(message.data, now_ms)
+            self.send_local(message.data, now_ms)
 
-    def paused(self, now_ms: float) -> None:
+    def record_process_pause(self, now_ms: float) -> None:
         """Record that this process was paused until now."""
         self._relay_resume_ms = now_ms + RELAY_PAUSE_MS
--- a/cloverhook/gateway/count_updates.py
+++ b/cloverhook/gateway/count_updates.py
@@ -13,9 +13,9 @@
 
 from cloverhook.clock import monotonic_ms
 from cloverhook.gateway.broadcast import Broadcast
-from cloverhook.gateway.knowledge import Knowledge
+from cloverhook.gateway.knowledge import GatewayState
 from cloverhook.gateway.members import Members
-from cloverhook.gateway.peer_messages import CountChanges, InFlight, encode
+from cloverhook.gateway.peer_messages import InFlightCountChanges, InFlightCounts, encode
 
 __all__ = ["CountUpdates"]
 
@@ -36,15 +36,15 @@
         own_vm: str,
         broadcast: Broadcast,
         members: Members,
-        knowledge: Knowledge,
-        on_counts: Callable[[], None],
+        knowledge: GatewayState,
+        on_in_flight_counts: Callable[[], None],
     ) -> None:
         """`on_counts` is called when counts of another VM have arrived."""
         self._own_vm = own_vm
         self._broadcast = broadcast
         self._members = members
         self._knowledge = knowledge
-        self._on_counts = on_counts
+        self._on_in_flight_counts = on_in_flight_counts
         self._local_timer: asyncio.TimerHandle | None = None
         self._remote_timer: asyncio.TimerHandle | None = None
         self._local_changed: set[str] = set()
@@ -52,69 +52,69 @@
         self._counted_endpoints: dict[str, frozenset[str]] = {}
         self._repeat_due_ms = 0.0
 
-    def changed(self, incarnation: str) -> None:
+    def count_changed(self, incarnation: str) -> None:
         """Send the changed count of an endpoint soon, to the VMs that dispatch requests."""
         loop = asyncio.get_running_loop()
         self._local_changed.add(incarnation)
         if self._local_timer is None:
             self._local_timer = loop.call_later(DELAY_MS / 1000, self._send_local)
         now_ms = monotonic_ms()
-        if self._knowledge.crossing(now_ms):
+        if self._knowledge.needs_remote_capacity(now_ms):
             self._remote_changed.add(incarnation)
             if self._remote_timer is None:
                 delay_ms = self._remote_delay_ms(now_ms)
                 self._remote_timer = loop.call_later(delay_ms / 1000, self._send_remote)
 
-    def repeat(self, now_ms: float) -> None:
+    def resend_all(self, now_ms: float) -> None:
         """Send all counts again if this is due, as a datagram may have been lost."""
-        if now_ms < self._repeat_due_ms or not self._knowledge.board.in_flight():
+        if now_ms < self._repeat_due_ms or not self._knowledge.load_table.in_flight():
             return
         self._repeat_due_ms = now_ms + REPEAT_MS
-        data = encode(InFlight(self._own_vm, self._knowledge.board.in_flight()))
-        self._broadcast.to(self._members.audience(now_ms), data)
-        if self._knowledge.crossing(now_ms):
-            self._broadcast.far(data, now_ms)
+        data = encode(InFlightCounts(self._own_vm, self._knowledge.load_table.in_flight()))
+        self._broadcast.send_to(self._members.live_load_subscribers(now_ms), data)
+        if self._knowledge.needs_remote_capacity(now_ms):
+            self._broadcast.send_remote(data, now_ms)
 
-    def received(self, message: InFlight, now_ms: float) -> None:
+    def received(self, message: InFlightCounts, now_ms: float) -> None:
         """Apply all counts of another VM; endpoints that are missing have no requests in flight."""
-        board, vm = self._knowledge.board, message.vm
+        board, vm = self._knowledge.load_table, message.vm
         if message.counts:
-            self._members.sent_counts(vm, now_ms)
+            self._members.record_count_sender(vm, now_ms)
         before = self._counted_endpoints.get(vm, frozenset())
         self._counted_endpoints[vm] = frozenset(message.counts)
         for incarnation in before - message.counts.keys():
-            board.of(incarnation).peer_has(vm, 0, now_ms)
+            board.get_or_create(incarnation).set_peer_in_flight(vm, 0, now_ms)
         for incarnation, count in message.counts.items():
-            board.of(incarnation).peer_has(vm, count, now_ms)
-        self._on_counts()
+            board.get_or_create(incarnation).set_peer_in_flight(vm, count, now_ms)
+        self._on_in_flight_counts()
 
-    def received_changes(self, message: CountChanges, now_ms: float) -> None:
+    def received_changes(self, message: InFlightCountChanges, now_ms: float) -> None:
         """Apply the counts of another VM that have changed."""
-        board, vm = self._knowledge.board, message.vm
-        self._members.sent_counts(vm, now_ms)
+        board, vm = self._knowledge.load_table, message.vm
+        self._members.record_count_sender(vm, now_ms)
         self._counted_endpoints[vm] = (
             self._counted_endpoints.get(vm, frozenset()) | message.counts.keys()
         )
         for incarnation, count in message.counts.items():
-            board.of(incarnation).peer_has(vm, count, now_ms)
-        self._on_counts()
+            board.get_or_create(incarnation).set_peer_in_flight(vm, count, now_ms)
+        self._on_in_flight_counts()
 
     def _send_local(self) -> None:
         self._local_timer = None
-        members = self._members.count_audience(monotonic_ms())
-        self._broadcast.to(members, encode(self._changes(self._local_changed)))
+        members = self._members.live_count_subscribers(monotonic_ms())
+        self._broadcast.send_to(members, encode(self._changes(self._local_changed)))
 
     def _remote_delay_ms(self, now_ms: float) -> float:
-        senders = 1 + self._members.senders(now_ms)
+        senders = 1 + self._members.count_senders(now_ms)
         return max(REMOTE_DELAY_MS, 1_000.0 * senders / REMOTE_RECEIVE_LIMIT_PER_S)
 
     def _send_remote(self) -> None:
         self._remote_timer = None
-        self._broadcast.far(encode(self._changes(self._remote_changed)), monotonic_ms())
+        self._broadcast.send_remote(encode(self._changes(self._remote_changed)), monotonic_ms())
 
-    def _changes(self, names: set[str]) -> CountChanges:
+    def _changes(self, names: set[str]) -> InFlightCountChanges:
         """Return the counts at the named endpoints, and clear the set of names."""
-        counts = self._knowledge.board.in_flight()
+        counts = self._knowledge.load_table.in_flight()
         changes = {name: counts.get(name, 0) for name in names}
         names.clear()
-        return CountChanges(self._own_vm, changes)
+        return InFlightCountChanges(self._own_vm, changes)
--- a/cloverhook/gateway/datagram_port.py
+++ b/cloverhook/gateway/datagram_port.py
@@ -32,10 +32,10 @@
     def __init__(
         self,
         on_datagram: Callable[[bytes, SocketAddress], None],
-        together_ms: Callable[[], float],
+        receive_batch_ms: Callable[[], float],
     ) -> None:
         self._on_datagram = on_datagram
-        self._together_ms = together_ms
+        self._receive_batch_ms = receive_batch_ms
         self._socket: socket.socket | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._send_queue: deque[tuple[bytes, SocketAddress]] = deque()
@@ -99,11 +99,11 @@
 
     def _read(self) -> None:
         """Read the datagrams that have arrived, and delay the next read if batching is wanted."""
-        together_ms = self._together_ms()
-        if together_ms > 0:
+        receive_batch_ms = self._receive_batch_ms()
+        if receive_batch_ms > 0:
             loop = asyncio.get_running_loop()
             loop.remove_reader(self._socket)
-            self._timer = loop.call_later(together_ms / 1000, self._read_after_delay)
+            self._timer = loop.call_later(receive_batch_ms / 1000, self._read_after_delay)
         self._take_all()
 
     def _read_after_delay(self) -> None:
@@ -112,8 +112,8 @@
         If there were any, another delay follows; otherwise the next datagram is read on arrival.
         """
         loop = asyncio.get_running_loop()
-        together_ms = self._together_ms()
-        self._timer = loop.call_later(together_ms / 1000, self._read_after_delay)
+        receive_batch_ms = self._receive_batch_ms()
+        self._timer = loop.call_later(receive_batch_ms / 1000, self._read_after_delay)
         if not self._take_all() and self._socket is not None:
             self._timer.cancel()
             loop.add_reader(self._socket, self._read)
--- a/cloverhook/gateway/failure_updates.py
+++ b/cloverhook/gateway/failure_updates.py
@@ -9,10 +9,10 @@
 
 from cloverhook.clock import monotonic_ms
 from cloverhook.gateway.broadcast import Broadcast
-from cloverhook.gateway.event_log import EventLog, Kind
-from cloverhook.gateway.knowledge import Knowledge
+from cloverhook.gateway.event_log import EventKind, EventLog
+from cloverhook.gateway.knowledge import GatewayState
 from cloverhook.gateway.peer_messages import Failures, encode
-from cloverhook.gateway.trust import ANSWERED_MS, Accusations
+from cloverhook.gateway.trust import RECENT_ANSWER_MS, FailureReportFilter
 
 __all__ = ["FailureUpdates"]
 
@@ -26,17 +26,17 @@
     """Sends the failures of this VM's requests, and applies those that other VMs send."""
 
     def __init__(
-        self, own_vm: str, broadcast: Broadcast, knowledge: Knowledge, log: EventLog
+        self, own_vm: str, broadcast: Broadcast, knowledge: GatewayState, log: EventLog
     ) -> None:
         self._own_vm = own_vm
         self._broadcast = broadcast
         self._knowledge = knowledge
         self._log = log
-        self._accusations = Accusations()
+        self._accusations = FailureReportFilter()
         self._unsent: list[tuple[str, float, bool]] = []
         self._flush_timer: asyncio.TimerHandle | None = None
 
-    def failed(self, incarnation: str, began_ms: float) -> None:
+    def record_failure(self, incarnation: str, began_ms: float) -> None:
         """Record that a request of this VM, begun at `began_ms`, has failed, and send this soon.
 
         Failures at endpoints that are not registered are ignored.  A failure is not sent if this VM
@@ -45,9 +45,9 @@
         now_ms = monotonic_ms()
         if self._knowledge.registry.get(incarnation) is None:
             return
-        trust = self._knowledge.board.of(incarnation).trust
-        answered = trust.answered_since(now_ms - ANSWERED_MS)
-        if trust.failed(now_ms, began_ms):
+        trust = self._knowledge.load_table.get_or_create(incarnation).circuit_breaker
+        answered = trust.answered_since(now_ms - RECENT_ANSWER_MS)
+        if trust.record_failure(now_ms, began_ms):
             self._log_suspension(incarnation, self._own_vm)
         if not self._is_credible(self._own_vm, incarnation, now_ms):
             return
@@ -65,8 +65,8 @@
             known = self._knowledge.registry.get(incarnation) is not None
             if not known or not self._is_credible(message.vm, incarnation, now_ms):
                 continue
-            trust = self._knowledge.board.of(incarnation).trust
-            if trust.peer_failed(now_ms, now_ms - age_ms, answered):
+            trust = self._knowledge.load_table.get_or_create(incarnation).circuit_breaker
+            if trust.record_peer_failure(now_ms, now_ms - age_ms, answered):
                 self._log_suspension(incarnation, message.vm)
 
     def forget(self, now_ms: float) -> None:
@@ -75,10 +75,10 @@
 
     def _is_credible(self, vm: str, incarnation: str, now_ms: float) -> bool:
         endpoints = len(self._knowledge.registry)
-        return self._accusations.believed(vm, incarnation, endpoints, now_ms)
+        return self._accusations.accept(vm, incarnation, endpoints, now_ms)
 
     def _log_suspension(self, incarnation: str, source: str) -> None:
-        self._log.note(Kind.ENDPOINT, server=incarnation, suspended=True, source=source)
+        self._log.note(EventKind.ENDPOINT, server=incarnation, suspended=True, source=source)
 
     def _flush(self) -> None:
         self._flush_timer = None
@@ -88,5 +88,5 @@
         ]
         self._unsent.clear()
         data = encode(Failures(self._own_vm, rows[:ROWS_LIMIT]))
-        self._broadcast.to_audience(data, now_ms)
-        self._broadcast.far(data, now_ms)
+        self._broadcast.send_to_load_subscribers(data, now_ms)
+        self._broadcast.send_remote(data, now_ms)
--- a/cloverhook/gateway/load_updates.py
+++ b/cloverhook/gateway/load_updates.py
@@ -12,8 +12,8 @@
 
 from cloverhook.clock import monotonic_ms
 from cloverhook.gateway.broadcast import Broadcast
-from cloverhook.gateway.load import LoadFigure
-from cloverhook.gateway.peer_messages import Loads, encode
+from cloverhook.gateway.load import LoadReport
+from cloverhook.gateway.peer_messages import LoadReports, encode
 
 __all__ = ["LoadUpdates"]
 
@@ -39,7 +39,7 @@
 """A pace that has changed by this factor is sent to other data centres; any other one is sent after
 a second."""
 
-MeasuredReports = dict[str, tuple[LoadFigure, float]]
+MeasuredReports = dict[str, tuple[LoadReport, float]]
 
 
 class LoadUpdates:
@@ -49,17 +49,17 @@
         self,
         own_vm: str,
         broadcast: Broadcast,
-        crowded: Callable[[], bool] = lambda: False,
-        crossing: Callable[[float], bool] = lambda now_ms: False,
+        in_large_data_center: Callable[[], bool] = lambda: False,
+        needs_remote_capacity: Callable[[float], bool] = lambda now_ms: False,
     ) -> None:
         """`crowded` returns whether the own data centre has many VMs.
 
         `crossing` returns whether some data centre can't serve itself, so that its VMs have to
         dispatch their requests to other data centres.
         """
-        self._crossing = crossing
+        self._crossing = needs_remote_capacity
         self._own_vm = own_vm
-        self._crowded = crowded
+        self._crowded = in_large_data_center
         self._broadcast = broadcast
         self._local_unsent: MeasuredReports = {}
         self._remote_unsent: MeasuredReports = {}
@@ -67,11 +67,11 @@
         self._timer: asyncio.TimerHandle | None = None
         self._remote_timer: asyncio.TimerHandle | None = None
 
-    def add(self, incarnation: str, figure: LoadFigure, at_ms: float) -> None:
+    def add(self, incarnation: str, report: LoadReport, at_ms: float) -> None:
         """Add a report that was measured at `at_ms`, and send it soon."""
-        self._local_unsent[incarnation] = (figure, at_ms)
-        if self._is_remote_change(incarnation, figure, at_ms):
-            self._remote_sent[incarnation] = self._remote_unsent[incarnation] = (figure, at_ms)
+        self._local_unsent[incarnation] = (report, at_ms)
+        if self._is_remote_change(incarnation, report, at_ms):
+            self._remote_sent[incarnation] = self._remote_unsent[incarnation] = (report, at_ms)
         loop = asyncio.get_running_loop()
         if self._timer is None:
             self._timer = loop.call_later(FLUSH_MS / 1000, self._flush)
@@ -93,26 +93,26 @@
         self._timer = None
         now_ms = monotonic_ms()
         for data in self._datagrams(self._local_unsent, now_ms):
-            self._broadcast.to_audience(data, now_ms)
+            self._broadcast.send_to_load_subscribers(data, now_ms)
         self._local_unsent.clear()
 
     def _flush_remote(self) -> None:
         self._remote_timer = None
         now_ms = monotonic_ms()
         for data in self._datagrams(self._remote_unsent, now_ms):
-            self._broadcast.far(data, now_ms)
+            self._broadcast.send_remote(data, now_ms)
         self._remote_unsent.clear()
 
     def _datagrams(self, measured: MeasuredReports, now_ms: float) -> list[bytes]:
         rows = [(name, figure, now_ms - at_ms) for name, (figure, at_ms) in measured.items()]
         return [
-            encode(Loads(self._own_vm, tuple(rows[start : start + ROWS_LIMIT])))
+            encode(LoadReports(self._own_vm, tuple(rows[start : start + ROWS_LIMIT])))
             for start in range(0, len(rows), ROWS_LIMIT)
         ]
 
-    def _is_remote_change(self, incarnation: str, figure: LoadFigure, at_ms: float) -> bool:
+    def _is_remote_change(self, incarnation: str, figure: LoadReport, at_ms: float) -> bool:
         sent, sent_ms = self._remote_sent.get(incarnation, (figure, -1e12))
-        ratio = max(figure.pace, sent.pace) / max(min(figure.pace, sent.pace), 0.01)
+        ratio = max(figure.slowdown, sent.slowdown) / max(min(figure.slowdown, sent.slowdown), 0.01)
         step = abs(figure.running + figure.waiting - sent.running - sent.waiting)
         changed = figure.reachable != sent.reachable
         if self._crossing(at_ms) and at_ms - sent_ms >= SPILLOVER_REPORT_MS:
--- a/cloverhook/gateway/peer_link.py
+++ b/cloverhook/gateway/peer_link.py
@@ -23,7 +23,7 @@
 from cloverhook.gateway.datagram_port import DatagramPort, SocketAddress
 from cloverhook.gateway.peer_messages import PeerMessage, decode
 
-__all__ = ["Answer", "PeerLink"]
+__all__ = ["StateReply", "PeerLink"]
 
 LENGTH = struct.Struct(">I")
 FLEET_TAG = struct.Struct(">I")
@@ -52,14 +52,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class StateReply:
     """A state for a peer.
 
     After the transfer `on_end` is called with True if the peer has acknowledged the whole state.
     """
 
     state: dict[str, Any]
-    on_end: Callable[[bool], None] | None = None
+    on_transfer_end: Callable[[bool], None] | None = None
 
 
 class PeerLink:
@@ -68,10 +68,10 @@
     def __init__(
         self,
         on_message: Callable[[PeerMessage, str], None],
-        answer: Callable[[StateRequest], Awaitable[Answer]],
-        on_garbage: Callable[[str, MessageError], None],
+        answer: Callable[[StateRequest], Awaitable[StateReply]],
+        on_invalid_message: Callable[[str, MessageError], None],
         fleet: str = "",
-        together_ms: Callable[[], float] = lambda: 0.0,
+        receive_batch_ms: Callable[[], float] = lambda: 0.0,
     ) -> None:
         """Set up the link; `open` opens the sockets.
 
@@ -84,8 +84,8 @@
         self._fleet_tag = FLEET_TAG.pack(xxhash.xxh32_intdigest(fleet.encode()))
         self._on_message = on_message
         self._answer = answer
-        self._on_garbage = on_garbage
-        self._port = DatagramPort(self._on_datagram, together_ms)
+        self._on_invalid_message = on_invalid_message
+        self._port = DatagramPort(self._on_datagram, receive_batch_ms)
         self._server: asyncio.Server | None = None
 
     async def open(self, address: str) -> None:
@@ -104,14 +104,14 @@
         """Send an encoded message, which may be lost."""
         self._port.send(self._fleet_tag + data, _split(address))
 
-    async def fetch(self, address: str, asked: StateRequest) -> dict[str, Any]:
+    async def fetch(self, address: str, request: StateRequest) -> dict[str, Any]:
         """Request a peer's state.  Raises `MessageError` if no valid state is received."""
         host, port = _split(address)
         try:
             async with asyncio.timeout(FETCH_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(host, port)
             try:
-                _write_frame(writer, self._fleet_tag + cbor2.dumps(asked))
+                _write_frame(writer, self._fleet_tag + cbor2.dumps(request))
                 data = await _read_frame(reader)
                 writer.write(ACKNOWLEDGEMENT)
                 state = cbor2.loads(zlib.decompress(data))
@@ -136,7 +136,7 @@
         try:
             message = decode(self._without_fleet_tag(data))
         except MessageError as error:
-            self._on_garbage(sender, error)
+            self._on_invalid_message(sender, error)
             return
         self._on_message(message, sender)
 
@@ -147,7 +147,7 @@
         return data[FLEET_TAG.size :]
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        answer: Answer | None = None
+        answer: StateReply | None = None
         received = False
         try:
             request = cbor2.loads(self._without_fleet_tag(await _read_frame(reader)))
@@ -156,7 +156,7 @@
             answer = await self._answer(request)
             data = zlib.compress(cbor2.dumps(answer.state))
             _write_frame(writer, data)
-            if answer.on_end is not None:
+            if answer.on_transfer_end is not None:
                 received = await self._is_acknowledged(reader, len(data))
         except (
             OSError,
@@ -166,14 +166,14 @@
             MessageError,
             cbor2.CBORError,
         ) as error:
-            self._on_garbage("a peer that requested the state", MessageError(repr(error)))
+            self._on_invalid_message("a peer that requested the state", MessageError(repr(error)))
         except asyncio.CancelledError:
             # The process ends.  The streams of Python 3.11 print a traceback for a cancelled task.
             pass
         finally:
             writer.close()
-            if answer is not None and answer.on_end is not None:
-                answer.on_end(received)
+            if answer is not None and answer.on_transfer_end is not None:
+                answer.on_transfer_end(received)
 
     async def _is_acknowledged(self, reader: asyncio.StreamReader, size_bytes: int) -> bool:
         """Return whether a peer acknowledges the state within the time that a slow link needs."""
--- a/cloverhook/gateway/peer_messages.py
+++ b/cloverhook/gateway/peer_messages.py
@@ -17,25 +17,25 @@
 
 from cloverhook.checking import Address, Flag, Integer, Number, checker, kind_field, table_of
 from cloverhook.errors import MessageError
-from cloverhook.gateway.load import LoadFigure
+from cloverhook.gateway.load import LoadReport
 from cloverhook.gateway.registry import REGISTRY_DOCUMENT
 
 __all__ = [
     "Heartbeat",
-    "CountChanges",
+    "InFlightCountChanges",
     "Failures",
-    "IS_REGISTRY_DOCUMENT",
+    "is_registry_document",
     "Identity",
-    "InFlight",
-    "Loads",
+    "InFlightCounts",
+    "LoadReports",
     "PeerMessage",
-    "RateLimitRow",
+    "RateLimitEntry",
     "RateLimitUpdate",
     "Refusals",
     "Relay",
     "ServerChanges",
-    "Suspicion",
-    "Suspicions",
+    "CrashRecord",
+    "CrashRecords",
     "decode",
     "encode",
 ]
@@ -92,11 +92,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Loads:
+class LoadReports:
     """Load reports of backend servers: incarnation, report, and its age in ms when sent."""
 
     vm: str
-    figures: tuple[tuple[str, LoadFigure, float], ...]
+    reports: tuple[tuple[str, LoadReport, float], ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,7 +109,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class InFlight:
+class InFlightCounts:
     """The number of requests that a VM has in flight at each backend server.
 
     Backend servers that are missing in `counts` have none.
@@ -120,7 +120,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CountChanges:
+class InFlightCountChanges:
     """The counts of `InFlight` that have changed; all others are unchanged."""
 
     vm: str
@@ -148,7 +148,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Suspicion:
+class CrashRecord:
     """The number of consecutive endpoint crashes while running a request, identified by its key.
 
     Other VMs must not send the request for `held_ms`.  If `claimed`, the sender of this message
@@ -158,11 +158,11 @@
 
     key: int
     crashes: int
-    held_ms: float = 0.0
-    claimed: bool = False
+    hold_ms: float = 0.0
+    is_claim: bool = False
 
     @classmethod
-    def from_row(cls, key: int, crashes: int, held_ms: float, claimed: bool) -> "Suspicion":
+    def from_row(cls, key: int, crashes: int, held_ms: float, claimed: bool) -> "CrashRecord":
         """Build a suspicion from a datagram's row.  Raises `TypeError` or `ValueError`."""
         has_types = type(key) is type(crashes) is int and isinstance(claimed, bool)
         if not has_types or type(held_ms) not in (int, float):
@@ -173,19 +173,19 @@
 
     def to_row(self) -> list[Any]:
         """Return the row for a datagram."""
-        return [self.key, self.crashes, round(self.held_ms), self.claimed]
+        return [self.key, self.crashes, round(self.hold_ms), self.is_claim]
 
 
 @dataclass(frozen=True, slots=True)
-class Suspicions:
+class CrashRecords:
     """A VM's suspicions about some requests."""
 
     vm: str
-    rows: tuple[Suspicion, ...]
+    rows: tuple[CrashRecord, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class RateLimitRow:
+class RateLimitEntry:
     """The rate limit that an endpoint has announced, in requests per second, and its age in ms.
 
     If `per_s` is None, the endpoint no longer announces a limit.
@@ -196,7 +196,7 @@
     age_ms: float
 
     @classmethod
-    def from_row(cls, incarnation: str, per_s: float | None, age_ms: float) -> "RateLimitRow":
+    def from_row(cls, incarnation: str, per_s: float | None, age_ms: float) -> "RateLimitEntry":
         """Build an entry from a datagram's row.  Raises `TypeError` or `ValueError`."""
         numbers = [age_ms] if per_s is None else [age_ms, per_s]
         if not isinstance(incarnation, str) or any(type(x) not in (int, float) for x in numbers):
@@ -215,7 +215,7 @@
     """The rate limits of endpoints that a VM has learned of."""
 
     vm: str
-    rows: tuple[RateLimitRow, ...]
+    rows: tuple[RateLimitEntry, ...]
 
 
 @dataclass(frozen=True, slots=True)
@@ -228,26 +228,26 @@
 
 PeerMessage = (
     Heartbeat
-    | Loads
+    | LoadReports
     | ServerChanges
-    | InFlight
+    | InFlightCounts
     | Relay
     | Failures
     | Refusals
-    | CountChanges
-    | Suspicions
+    | InFlightCountChanges
+    | CrashRecords
     | RateLimitUpdate
 )
-KINDS: tuple[type, ...] = (
+MESSAGE_TYPES: tuple[type, ...] = (
     Heartbeat,
-    Loads,
+    LoadReports,
     ServerChanges,
-    InFlight,
+    InFlightCounts,
     Relay,
     Failures,
     Refusals,
-    CountChanges,
-    Suspicions,
+    InFlightCountChanges,
+    CrashRecords,
     RateLimitUpdate,
 )
 UNCONVERTED_FIELDS = {
@@ -256,18 +256,18 @@
 }
 """The message types whose fields are encoded in order, without conversion."""
 HEARTBEAT_CHECKS = tuple((name, checker(kind)) for name, kind in table_of(Heartbeat).fields.items())
-IS_REGISTRY_DOCUMENT = checker(REGISTRY_DOCUMENT)
+is_registry_document = checker(REGISTRY_DOCUMENT)
 
 
 def encode(message: PeerMessage) -> bytes:
     """Return a message encoded as a datagram."""
-    type_number = KINDS.index(type(message))
-    if isinstance(message, Loads):
-        rows = [_report_row(*item) for item in message.figures]
+    type_number = MESSAGE_TYPES.index(type(message))
+    if isinstance(message, LoadReports):
+        rows = [_report_row(*item) for item in message.reports]
         return cbor2.dumps([type_number, message.vm, rows])
-    if isinstance(message, Suspicions | RateLimitUpdate):
+    if isinstance(message, CrashRecords | RateLimitUpdate):
         return cbor2.dumps([type_number, message.vm, [row.to_row() for row in message.rows]])
-    if isinstance(message, InFlight | CountChanges):
+    if isinstance(message, InFlightCounts | InFlightCountChanges):
         return cbor2.dumps([type_number, message.vm, message.counts])
     if isinstance(message, ServerChanges):
         return cbor2.dumps([type_number, message.vm, message.base_version, message.document])
@@ -280,17 +280,17 @@
     """Decode a datagram.  Raises `MessageError` if it is not a valid message."""
     try:
         type_number, *values = cbor2.loads(data)
-        if KINDS[type_number] is Loads:
+        if MESSAGE_TYPES[type_number] is LoadReports:
             vm, rows = values
-            message = Loads(vm, tuple(_report_of_row(*row) for row in rows))
-        elif KINDS[type_number] is Suspicions:
+            message = LoadReports(vm, tuple(_report_of_row(*row) for row in rows))
+        elif MESSAGE_TYPES[type_number] is CrashRecords:
             vm, rows = values
-            message = Suspicions(vm, tuple(Suspicion.from_row(*row) for row in rows))
-        elif KINDS[type_number] is RateLimitUpdate:
+            message = CrashRecords(vm, tuple(CrashRecord.from_row(*row) for row in rows))
+        elif MESSAGE_TYPES[type_number] is RateLimitUpdate:
             vm, rows = values
-            message = RateLimitUpdate(vm, tuple(RateLimitRow.from_row(*row) for row in rows))
+            message = RateLimitUpdate(vm, tuple(RateLimitEntry.from_row(*row) for row in rows))
         else:
-            message = KINDS[type_number](*values)
+            message = MESSAGE_TYPES[type_number](*values)
     except (cbor2.CBORError, TypeError, ValueError, IndexError, RecursionError) as error:
         raise MessageError(f"datagram that is not a message: {error!r}") from error
     if not isinstance(message.vm, str) or not _is_valid(message):
@@ -305,8 +305,8 @@
             return all(accepts(getattr(message, name)) for name, accepts in HEARTBEAT_CHECKS)
         case ServerChanges():
             base_is_valid = type(message.base_version) is int
-            return base_is_valid and IS_REGISTRY_DOCUMENT(message.document)
-        case InFlight() | CountChanges():
+            return base_is_valid and is_registry_document(message.document)
+        case InFlightCounts() | InFlightCountChanges():
             counts = message.counts
             return isinstance(counts, dict) and all(map(_is_count, counts, counts.values()))
         case Relay():
@@ -331,16 +331,16 @@
     return isinstance(incarnation, str) and has_age and isinstance(answered, bool)
 
 
-def _report_row(incarnation: str, figure: LoadFigure, age_ms: float) -> list[Any]:
+def _report_row(incarnation: str, figure: LoadReport, age_ms: float) -> list[Any]:
     # In a datagram a pace of -1 marks an unreachable endpoint.
-    pace = round(figure.pace * 100) if figure.reachable else -1
+    pace = round(figure.slowdown * 100) if figure.reachable else -1
     row = [incarnation, figure.running, figure.waiting, pace, round(age_ms)]
-    return [*row, round(figure.cold_ms)] if figure.cold_ms else row
+    return [*row, round(figure.cold_for_ms)] if figure.cold_for_ms else row
 
 
 def _report_of_row(
     incarnation: str, running: int, waiting: int, pace: int, age_ms: float, cold_ms: float = 0
-) -> tuple[str, LoadFigure, float]:
+) -> tuple[str, LoadReport, float]:
     if not (type(running) is type(waiting) is type(pace) is int and isinstance(incarnation, str)):
         raise TypeError("load report with fields of the wrong type")
     if running < 0 or waiting < 0 or not 0 <= age_ms < inf or not 0 <= cold_ms < inf:
@@ -348,6 +348,6 @@
     reachable = pace >= 0
     return (
         incarnation,
-        LoadFigure(running, waiting, pace / 100 if reachable else 1.0, reachable, float(cold_ms)),
+        LoadReport(running, waiting, pace / 100 if reachable else 1.0, reachable, float(cold_ms)),
         age_ms,
     )
--- a/cloverhook/gateway/peering.py
+++ b/cloverhook/gateway/peering.py
@@ -20,26 +20,26 @@
 from cloverhook.gateway.config_sender import ConfigSender
 from cloverhook.gateway.count_updates import CountUpdates
 from cloverhook.gateway.counters import Counters
-from cloverhook.gateway.event_log import EventLog, Kind
+from cloverhook.gateway.event_log import EventKind, EventLog
 from cloverhook.gateway.failure_updates import FailureUpdates
-from cloverhook.gateway.heartbeat_pace import HeartbeatPace
-from cloverhook.gateway.knowledge import Knowledge
+from cloverhook.gateway.heartbeat_pace import HeartbeatIntervals
+from cloverhook.gateway.knowledge import GatewayState
 from cloverhook.gateway.load_updates import LoadUpdates
 from cloverhook.gateway.members import Member, Members
-from cloverhook.gateway.peer_link import Answer, PeerLink
+from cloverhook.gateway.peer_link import PeerLink, StateReply
 from cloverhook.gateway.peer_messages import (
-    CountChanges,
+    CrashRecords,
     Failures,
     Heartbeat,
     Identity,
-    InFlight,
-    Loads,
+    InFlightCountChanges,
+    InFlightCounts,
+    LoadReports,
     PeerMessage,
     RateLimitUpdate,
     Refusals,
     Relay,
     ServerChanges,
-    Suspicions,
     decode,
     encode,
 )
@@ -47,9 +47,9 @@
 from cloverhook.gateway.rate_limit_updates import RateLimitUpdates
 from cloverhook.gateway.rate_limits import RateLimits
 from cloverhook.gateway.refusal_updates import RefusalUpdates
-from cloverhook.gateway.state_fetch import StateFetch, state_for
+from cloverhook.gateway.state_fetch import StateFetcher, build_state_reply
 from cloverhook.gateway.store import MemberRecord
-from cloverhook.gateway.transfer_queue import Asker, Refer
+from cloverhook.gateway.transfer_queue import Refer, Requester
 
 __all__ = ["Peering"]
 
@@ -73,7 +73,7 @@
 """A datagram should fit into one packet.  Registry changes that are larger than this are not sent;
 peers fetch them over TCP."""
 ADDRESSES = Items(Address())
-DISPATCHER_MESSAGES = (Loads, Failures, Refusals, InFlight, CountChanges, RateLimitUpdate)
+DISPATCHER_MESSAGES = (LoadReports, Failures, Refusals, InFlightCounts, InFlightCountChanges, RateLimitUpdate)
 """Messages that are needed only by VMs that dispatch requests."""
 CHANGE_RELAY_COUNT = 3
 """Number of VMs in each other data centre that relay a registry change.  A third of a fleet may be
@@ -86,12 +86,12 @@
 
     def __init__(
         self,
-        own: Identity,
-        knowledge: Knowledge,
+        identity: Identity,
+        knowledge: GatewayState,
         members: Members,
         log: EventLog,
-        on_figure: Callable[[str], None],
-        on_counts: Callable[[], None],
+        on_load_report: Callable[[str], None],
+        on_in_flight_counts: Callable[[], None],
         counters: Counters,
         fleet: str = "",
         requests_per_s: Callable[[float], float] = lambda now_ms: 0.0,
@@ -103,30 +103,30 @@
         `fleet` is described at `PeerLink`.  `requests_per_s` returns the rate at which callers
         send requests to this VM, given the current time.
         """
-        self._own = own
-        self._on_figure = on_figure
+        self._identity = identity
+        self._on_load_report = on_load_report
         self._knowledge = knowledge
         self._members = members
         self._log = log
         self._counters = counters
         self.link = PeerLink(
-            self._on_message, self._answer, self._on_garbage, fleet, self._hears_ms
+            self._on_message, self._answer, self._on_garbage, fleet, self._receive_batch_ms
         )
-        self._config_sender = ConfigSender(own.data_center)
-        self.broadcast = Broadcast(own.vm, self.link, members)
-        self.load_updates = LoadUpdates(own.vm, self.broadcast, members.crowded, knowledge.crossing)
-        self.failure_updates = FailureUpdates(own.vm, self.broadcast, knowledge, log)
-        self.count_updates = CountUpdates(own.vm, self.broadcast, members, knowledge, on_counts)
+        self._config_sender = ConfigSender(identity.data_center)
+        self.broadcast = Broadcast(identity.vm, self.link, members)
+        self.load_updates = LoadUpdates(identity.vm, self.broadcast, members.in_large_data_center, knowledge.needs_remote_capacity)
+        self.failure_updates = FailureUpdates(identity.vm, self.broadcast, knowledge, log)
+        self.count_updates = CountUpdates(identity.vm, self.broadcast, members, knowledge, on_in_flight_counts)
         self.refusal_updates = RefusalUpdates(
-            own.vm, self.broadcast, knowledge.board, knowledge.registry.get
+            identity.vm, self.broadcast, knowledge.load_table, knowledge.registry.get
         )
-        self.quarantine_updates = QuarantineUpdates(own.vm, self.broadcast, members, log)
+        self.quarantine_updates = QuarantineUpdates(identity.vm, self.broadcast, members, log)
         self.rate_limit_updates = RateLimitUpdates(
-            own.vm, self.broadcast, RateLimits(own.vm, members.placing), knowledge, log, counters
+            identity.vm, self.broadcast, RateLimits(identity.vm, members.dispatching_vms), knowledge, log, counters
         )
         self._started_ms = monotonic_ms()
         self._requests_per_s = requests_per_s
-        self._heartbeat_interval = HeartbeatPace(members)
+        self._heartbeat_interval = HeartbeatIntervals(members)
         self._addresses: dict[str, str | None] = {}
         self._contacted_since_ms: dict[str, float] = {}
         self._local_heartbeat_due_ms = 0.0
@@ -134,12 +134,12 @@
         self._relay_count = 1
         self._has_update = False
         self._contact_due_ms = 0.0
-        self._states = StateFetch(
+        self._state_fetch = StateFetcher(
             knowledge,
             members,
             log,
             counters,
-            own.peer_address,
+            identity.peer_address,
             lambda address, asked: self.link.fetch(address, asked),
             self._fetched,
             self._on_garbage,
@@ -153,10 +153,10 @@
 
     def add_address(self, peer_address: str, data_center: str | None = None) -> None:
         """Add an address at which a peer may run, with its data centre if that is known."""
-        if peer_address != self._own.peer_address:
+        if peer_address != self._identity.peer_address:
             self._addresses[peer_address] = data_center or self._addresses.get(peer_address)
 
-    def add_members(self, records: tuple[MemberRecord, ...]) -> None:
+    def add_member_addresses(self, records: tuple[MemberRecord, ...]) -> None:
         """Add the addresses of the VMs that the store lists, and contact them at the next tick."""
         for record in records:
             self.add_address(record.peer_address, record.data_center)
@@ -170,21 +170,21 @@
                 STARTUP_CONTACT_INTERVAL_MS if is_startup else CONTACT_INTERVAL_MS
             )
             self._contact_unheard(now_ms)
-        self.count_updates.repeat(now_ms)
+        self.count_updates.resend_all(now_ms)
         if now_ms >= self._local_heartbeat_due_ms:
-            every_ms = self._heartbeat_interval.near_ms(self.reading, now_ms)
+            every_ms = self._heartbeat_interval.local_interval_ms(self.reading, now_ms)
             self._local_heartbeat_due_ms = now_ms + every_ms
-            self.broadcast.near(encode(self._heartbeat(every_ms)), now_ms)
+            self.broadcast.send_local(encode(self._heartbeat(every_ms)), now_ms)
         if now_ms >= self._remote_heartbeat_due_ms:
-            every_ms = self._heartbeat_interval.far_ms(self.reading, now_ms)
+            every_ms = self._heartbeat_interval.remote_interval_ms(self.reading, now_ms)
             self._remote_heartbeat_due_ms = now_ms + every_ms
             data = encode(self._heartbeat(every_ms))
             relay_count, self._relay_count = self._relay_count, 1
             has_update, self._has_update = self._has_update, False
-            if has_update or self._heartbeat_interval.is_heard_far(self.reading, now_ms):
-                self.broadcast.far(data, now_ms, relay_count)
-            silent = (item for item in self._members.near() if not item.is_alive(now_ms))
-            self.broadcast.to(silent, data)
+            if has_update or self._heartbeat_interval.sends_to_remote(self.reading, now_ms):
+                self.broadcast.send_remote(data, now_ms, relay_count)
+            silent = (item for item in self._members.local_members() if not item.is_alive(now_ms))
+            self.broadcast.send_to(silent, data)
 
     def send_heartbeat(self, has_update: bool = False) -> None:
         """Send a heartbeat at the next tick.
@@ -194,23 +194,23 @@
         """
         self._local_heartbeat_due_ms = self._remote_heartbeat_due_ms = 0.0
         self._has_update |= has_update
-        if self._members.crowded():
+        if self._members.in_large_data_center():
             self._relay_count = CHANGE_RELAY_COUNT
 
-    def broadcast_changes(self, base_version: int, touched: tuple[str, ...]) -> None:
+    def broadcast_registry_changes(self, base_version: int, changed_names: tuple[str, ...]) -> None:
         """Send registry changes to all VMs, or a heartbeat if they do not fit into a datagram.
 
         `base_version` is the registry's version before the change.  A receiver with an older
         version lacks more than the entries in `touched`.
         """
         now_ms = monotonic_ms()
-        document = self._knowledge.registry.to_document(now_ms, touched)
-        data = encode(ServerChanges(self._own.vm, base_version, document))
+        document = self._knowledge.registry.to_document(now_ms, changed_names)
+        data = encode(ServerChanges(self._identity.vm, base_version, document))
         if len(data) > DATAGRAM_LIMIT_BYTES:
             self.send_heartbeat(has_update=True)
             return
-        self.broadcast.near(data, now_ms)
-        self.broadcast.far(data, now_ms, relays=CHANGE_RELAY_COUNT)
+        self.broadcast.send_local(data, now_ms)
+        self.broadcast.send_remote(data, now_ms, relay_count=CHANGE_RELAY_COUNT)
 
     def _heartbeat(self, every_ms: float | None = None, wants_answer: bool = False) -> Heartbeat:
         """Return a heartbeat.
@@ -219,10 +219,10 @@
         heartbeat is sent out of turn and is valid until the next regular one: the longer one of
         the two heartbeat intervals is used.
         """
-        own, knowledge, now_ms = self._own, self._knowledge, monotonic_ms()
+        own, knowledge, now_ms = self._identity, self._knowledge, monotonic_ms()
         if every_ms is None:
-            near_ms = self._heartbeat_interval.near_ms(self.reading, now_ms)
-            every_ms = max(near_ms, self._heartbeat_interval.far_ms(self.reading, now_ms))
+            near_ms = self._heartbeat_interval.local_interval_ms(self.reading, now_ms)
+            every_ms = max(near_ms, self._heartbeat_interval.remote_interval_ms(self.reading, now_ms))
         return Heartbeat(
             own.vm,
             own.incarnation,
@@ -233,20 +233,20 @@
             self.reading,
             self.leaving,
             knowledge.config_version,
-            knowledge.registry.position.claimed_version,
+            knowledge.registry.position.advertised_version,
             every_ms,
             wants_answer,
             round(self._requests_per_s(now_ms)),
-            1 + self._members.near_count(),
+            1 + self._members.local_count(),
             knowledge.evacuations.version,
-            knowledge.registry.as_of if knowledge.registry.position.claimed_version >= 0 else -1,
+            knowledge.registry.as_of if knowledge.registry.position.advertised_version >= 0 else -1,
             knowledge.config_as_of,
         )
 
-    def _hears_ms(self) -> float:
+    def _receive_batch_ms(self) -> float:
         """Return for how long received datagrams may wait to be read in one batch."""
-        return self._heartbeat_interval.hears_ms(
-            self._knowledge.board.has_requests(), monotonic_ms()
+        return self._heartbeat_interval.receive_batch_ms(
+            self._knowledge.load_table.has_requests(), monotonic_ms()
         )
 
     def _contact_unheard(self, now_ms: float) -> None:
@@ -261,11 +261,11 @@
         for address, data_center in self._addresses.items():
             if address in known_addresses:
                 continue
-            if data_center in (None, self._own.data_center):
+            if data_center in (None, self._identity.data_center):
                 targets.append(address)
             else:
                 remote_addresses.setdefault(data_center, []).append(address)
-        for data_center, members in self._members.far(now_ms).items():
+        for data_center, members in self._members.remote_members(now_ms).items():
             if any(item.is_alive(now_ms) for item in members):
                 remote_addresses.pop(data_center, None)
             else:
@@ -291,7 +291,7 @@
             elif now_ms - self._contacted_since_ms.setdefault(address, now_ms) > CONTACT_LIMIT_MS:
                 del self._addresses[address], self._contacted_since_ms[address]
 
-    def ask_who_is_there(self, now_ms: float) -> None:
+    def request_peer_addresses(self, now_ms: float) -> None:
         """If it is due, ask a peer for the addresses in the own data centre.
 
         The addresses are added to those that are contacted.
@@ -308,11 +308,11 @@
         self._address_task = asyncio.create_task(self._fetch_addresses(random.choice(alive)))
 
     async def _fetch_addresses(self, member: Member) -> None:
-        asked = {"addresses": self._own.data_center}
+        asked = {"addresses": self._identity.data_center}
         try:
             state = await self.link.fetch(member.peer_address, asked)
         except MessageError as error:
-            self._log.note(Kind.MEMBER, member=member.vm, state="no-answer", error=str(error))
+            self._log.note(EventKind.MEMBER, member=member.vm, state="no-answer", error=str(error))
             return
         addresses = state.get("addresses", [])
         if faults_of(ADDRESSES, "", addresses):
@@ -321,34 +321,34 @@
             )
             return
         for address in addresses:
-            self.add_address(address, self._own.data_center)
+            self.add_address(address, self._identity.data_center)
 
     def _on_message(self, message: PeerMessage, sender: str, relayed: bool = False) -> None:
-        if message.vm == self._own.vm:
+        if message.vm == self._identity.vm:
             return
         now_ms = monotonic_ms()
-        self._members.hears(now_ms)
+        self._members.record_message(now_ms)
         match message:
             case Heartbeat():
                 self._on_heartbeat(message, now_ms, relayed)
-            case Loads():
-                for incarnation, figure, age_ms in message.figures:
-                    self._knowledge.board.of(incarnation).measured(figure, now_ms - age_ms)
-                    self._on_figure(incarnation)
-            case InFlight():
+            case LoadReports():
+                for incarnation, figure, age_ms in message.reports:
+                    self._knowledge.load_table.get_or_create(incarnation).update_from_probe(figure, now_ms - age_ms)
+                    self._on_load_report(incarnation)
+            case InFlightCounts():
                 self.count_updates.received(message, now_ms)
-            case CountChanges():
+            case InFlightCountChanges():
                 self.count_updates.received_changes(message, now_ms)
             case Failures():
                 self.failure_updates.received(message, now_ms)
             case Refusals():
                 self.refusal_updates.received(message, now_ms)
-            case Suspicions():
+            case CrashRecords():
                 self.quarantine_updates.received(message, now_ms)
             case RateLimitUpdate():
                 self.rate_limit_updates.received(message, now_ms)
             case ServerChanges():
-                self._on_changes(message, now_ms, relayed)
+                self._on_server_changes(message, now_ms, relayed)
             case Relay():
                 self._on_relay(message, sender, now_ms)
 
@@ -361,21 +361,21 @@
         if isinstance(inner, Relay):
             self._on_garbage(sender, MessageError("relay message inside a relay message"))
             return
-        self.broadcast.relay(message, now_ms, audience_only=isinstance(inner, DISPATCHER_MESSAGES))
+        self.broadcast.relay(message, now_ms, load_subscribers_only=isinstance(inner, DISPATCHER_MESSAGES))
         self._on_message(inner, sender, relayed=True)
 
     def _on_heartbeat(self, heartbeat: Heartbeat, now_ms: float, relayed: bool) -> None:
-        returned = self._members.heard(heartbeat, now_ms)
-        is_local = heartbeat.data_center == self._own.data_center
+        returned = self._members.record_heartbeat(heartbeat, now_ms)
+        is_local = heartbeat.data_center == self._identity.data_center
         if returned:
             self._log.note(
-                Kind.MEMBER, member=heartbeat.vm, state="joined", at=heartbeat.peer_address
+                EventKind.MEMBER, member=heartbeat.vm, state="joined", at=heartbeat.peer_address
             )
-            self.quarantine_updates.welcome(self._members.get(heartbeat.vm), now_ms)
+            self.quarantine_updates.send_records_to(self._members.get(heartbeat.vm), now_ms)
         if heartbeat.wants_answer or (returned and is_local):
             self.link.send_encoded(heartbeat.peer_address, encode(self._heartbeat()))
-        if self._states.is_behind(heartbeat):
-            self._states.catch_up(heartbeat.vm, is_local or relayed)
+        if self._state_fetch.is_behind(heartbeat):
+            self._state_fetch.schedule_fetch(heartbeat.vm, is_local or relayed)
         self._update_log_positions(heartbeat, now_ms)
 
     def _update_log_positions(self, heartbeat: Heartbeat, now_ms: float) -> None:
@@ -384,25 +384,25 @@
         A sender that reads the store also confirms its registry version as current.
         """
         knowledge = self._knowledge
-        knowledge.registry.position.heard(heartbeat.registry_version, heartbeat.registry_as_of)
+        knowledge.registry.position.advance_from_peer(heartbeat.registry_version, heartbeat.registry_as_of)
         if heartbeat.reading:
-            knowledge.registry.position.confirm(heartbeat.registry_version, now_ms)
-        knowledge.heard_config_as_of(
+            knowledge.registry.position.confirm_current(heartbeat.registry_version, now_ms)
+        knowledge.confirm_config_as_of(
             heartbeat.config_version, heartbeat.evacuation_version, heartbeat.config_as_of
         )
 
-    def _on_changes(self, changes: ServerChanges, now_ms: float, relayed: bool) -> None:
+    def _on_server_changes(self, changes: ServerChanges, now_ms: float, relayed: bool) -> None:
         registry = self._knowledge.registry
         if changes.base_version > registry.as_of:
             member = self._members.get(changes.vm)
             if member is not None:
                 member.registry_version = max(member.registry_version, changes.base_version)
                 member.registry_as_of = max(member.registry_as_of, changes.base_version)
-            is_local = member is not None and member.data_center == self._own.data_center
-            self._states.catch_up(changes.vm, is_local or relayed)
+            is_local = member is not None and member.data_center == self._identity.data_center
+            self._state_fetch.schedule_fetch(changes.vm, is_local or relayed)
         elif registry.adopt(changes.document, now_ms):
             self._log.note(
-                Kind.SERVER,
+                EventKind.SERVER,
                 source=changes.vm,
                 version=registry.version,
                 servers=len(registry),
@@ -415,40 +415,40 @@
         After a fetch from another data centre all neighbours get a heartbeat at the next tick.
         After a fetch from a neighbour a few of them get one, if the data centre has many VMs.
         """
-        if not any(item.peer_address == address for item in self._members.near()):
+        if not any(item.peer_address == address for item in self._members.local_members()):
             self._local_heartbeat_due_ms = 0.0
-        elif self._members.crowded():
-            neighbours = self._members.near()
+        elif self._members.in_large_data_center():
+            neighbours = self._members.local_members()
             receivers = random.sample(neighbours, min(ANNOUNCE_LIMIT, len(neighbours)))
-            self.broadcast.to(receivers, encode(self._heartbeat()))
+            self.broadcast.send_to(receivers, encode(self._heartbeat()))
 
-    async def _answer(self, asked: dict[str, Any]) -> Answer:
+    async def _answer(self, asked: dict[str, Any]) -> StateReply:
         """Return the reply to a peer's state request.
 
         A request for the configuration may wait until a transfer slot is free, or be referred to
         another VM.
         """
         if "config" not in asked:
-            return Answer(self._state_for(asked))
+            return StateReply(self._state_for(asked))
         encoded = self._knowledge.encoded_config()
         if encoded is None or encoded.version <= asked["config"]:
-            return Answer({})
-        asker = Asker(asked.get("peer_address", ""), asked.get("data_center", ""))
-        turn = await self._config_sender.turn(asker, encoded.version)
+            return StateReply({})
+        asker = Requester(asked.get("peer_address", ""), asked.get("data_center", ""))
+        turn = await self._config_sender.wait_for_turn(asker, encoded.version)
         if isinstance(turn, Refer):
-            return Answer({"refer": turn.peer_address or ""})
+            return StateReply({"refer": turn.peer_address or ""})
         self._counters.add("states_sent")
-        self._log.note(Kind.FETCH, state="sent", asked=asked, to=asker.peer_address)
-        ended = partial(self._config_sender.ended, asker, encoded.version)
-        return Answer({"config_version": encoded.version, "config": encoded.data}, ended)
+        self._log.note(EventKind.FETCH, state="sent", asked=asked, to=asker.peer_address)
+        ended = partial(self._config_sender.transfer_ended, asker, encoded.version)
+        return StateReply({"config_version": encoded.version, "config": encoded.data}, ended)
 
     def _state_for(self, asked: dict[str, Any]) -> dict[str, Any]:
         started_ms = monotonic_ms()
-        state = state_for(asked, self._knowledge, self._members, started_ms)
+        state = build_state_reply(asked, self._knowledge, self._members, started_ms)
         self._counters.add("states_sent")
         took_ms = round(monotonic_ms() - started_ms, 1)
-        self._log.note(Kind.FETCH, state="sent", asked=asked, parts=list(state), took_ms=took_ms)
+        self._log.note(EventKind.FETCH, state="sent", asked=asked, parts=list(state), took_ms=took_ms)
         return state
 
     def _on_garbage(self, sender: str, error: MessageError) -> None:
-        self._log.note(Kind.MEMBER, member=sender, state="garbage", error=str(error))
+        self._log.note(EventKind.MEMBER, member=sender, state="garbage", error=str(error))
--- a/cloverhook/gateway/quarantine_updates.py
+++ b/cloverhook/gateway/quarantine_updates.py
@@ -9,11 +9,11 @@
 
 from cloverhook.clock import monotonic_ms
 from cloverhook.gateway.broadcast import Broadcast
-from cloverhook.gateway.event_log import EventLog, Kind
+from cloverhook.gateway.event_log import EventKind, EventLog
 from cloverhook.gateway.members import Member, Members
-from cloverhook.gateway.peer_messages import Suspicion, Suspicions, encode
-from cloverhook.gateway.quarantine import TOLD_LIMIT, Quarantine, Standing
-from cloverhook.gateway.ranking import place_in_order
+from cloverhook.gateway.peer_messages import CrashRecord, CrashRecords, encode
+from cloverhook.gateway.quarantine import CRASH_RECORDS_PER_DATAGRAM, Quarantine, SendPermission
+from cloverhook.gateway.ranking import rendezvous_rank
 from cloverhook.gateway.request_key import RequestKeys
 
 __all__ = ["QuarantineUpdates"]
@@ -43,7 +43,7 @@
         self._broadcast = broadcast
         self._members = members
         self._log = log
-        self._unsent: list[Suspicion] = []
+        self._unsent: list[CrashRecord] = []
         self._flush_timer: asyncio.TimerHandle | None = None
 
     async def admit(self, keys: RequestKeys, give_up_ms: float) -> bool:
@@ -54,33 +54,33 @@
         quarantine = self.quarantine
         while True:
             now_ms = monotonic_ms()
-            standing = quarantine.standing(keys, now_ms)
+            standing = quarantine.send_permission(keys, now_ms)
             wait_ms = POLL_MS
-            if standing is Standing.CLEAR:
+            if standing is SendPermission.CLEAR:
                 return True
-            if standing is Standing.FREE:
+            if standing is SendPermission.LEASE_FREE:
                 self._schedule_send(quarantine.claim(keys, now_ms))
                 continue
-            if standing is Standing.OURS:
-                wait_ms = quarantine.settled_ms(keys) - now_ms
+            if standing is SendPermission.OWN_LEASE:
+                wait_ms = quarantine.claim_settled_ms(keys) - now_ms
                 if wait_ms <= 0.0:
                     return True
-            elif standing is Standing.BARRED or now_ms >= give_up_ms:
+            elif standing is SendPermission.QUARANTINED or now_ms >= give_up_ms:
                 return False
             await asyncio.sleep(wait_ms / 1000)
 
-    def begin(self, keys: RequestKeys) -> bool:
+    def try_begin_send(self, keys: RequestKeys) -> bool:
         """Return whether a request may be sent now; claim the right to send it if that is free."""
         now_ms = monotonic_ms()
         self._schedule_send(self.quarantine.claim(keys, now_ms))
-        return self.quarantine.begin(keys, now_ms)
+        return self.quarantine.try_begin_send(keys, now_ms)
 
-    def crashed(self, keys: RequestKeys, known: tuple[int, ...], server: str) -> None:
+    def record_crash(self, keys: RequestKeys, known: tuple[int, ...], server: str) -> None:
         """Record that an endpoint has crashed while it ran a request.
 
         `known` are the numbers of crashes known for each key when the request was sent.
         """
-        suspicions = self.quarantine.crashed(keys, known, monotonic_ms())
+        suspicions = self.quarantine.record_crash(keys, known, monotonic_ms())
         for suspicion in suspicions:
             self._note(suspicion, self._own_vm, server=server)
         self._schedule_send(suspicions)
@@ -89,59 +89,59 @@
             for delay_ms in REPEAT_DELAYS_MS:
                 asyncio.get_running_loop().call_later(delay_ms / 1000, self._repeat, keys)
 
-    def served(self, keys: RequestKeys) -> None:
+    def record_success(self, keys: RequestKeys) -> None:
         """Record that a request was answered successfully."""
-        before = self.quarantine.crashes(keys)
-        cleared = self.quarantine.served(keys, monotonic_ms())
+        before = self.quarantine.crash_counts(keys)
+        cleared = self.quarantine.record_success(keys, monotonic_ms())
         if max(before) > 1:
             self.on_change()
         for suspicion in cleared:
             self._note(suspicion, self._own_vm)
         self._schedule_send(cleared)
 
-    def received(self, message: Suspicions, now_ms: float) -> None:
+    def received(self, message: CrashRecords, now_ms: float) -> None:
         """Apply the suspicions of another VM, and reply with those about which it knows less."""
         answers = []
-        for suspicion in message.rows[:TOLD_LIMIT]:
-            before = self.quarantine.crashes((suspicion.key,))
-            answer, pass_on = self.quarantine.received(message.vm, suspicion, now_ms)
+        for suspicion in message.rows[:CRASH_RECORDS_PER_DATAGRAM]:
+            before = self.quarantine.crash_counts((suspicion.key,))
+            answer, pass_on = self.quarantine.apply_update(message.vm, suspicion, now_ms)
             if pass_on is not None:
                 self._schedule_send([pass_on])
             if answer is not None:
                 answers.append(answer)
             elif (
                 max(suspicion.crashes, *before) > 1
-                and self.quarantine.crashes((suspicion.key,)) != before
+                and self.quarantine.crash_counts((suspicion.key,)) != before
             ):
                 self._note(suspicion, message.vm)  # A first crash is logged by the VM that saw it.
         member = self._members.get(message.vm)
         if answers and member is not None:
-            self._broadcast.to([member], encode(Suspicions(self._own_vm, tuple(answers))))
+            self._broadcast.send_to([member], encode(CrashRecords(self._own_vm, tuple(answers))))
 
-    def welcome(self, member: Member, now_ms: float) -> None:
+    def send_records_to(self, member: Member, now_ms: float) -> None:
         """Send the suspicions to a VM that has just joined or returned."""
         if not len(self.quarantine) or not self._is_join_sender(member, now_ms):
             return
         rows = tuple(self.quarantine.suspicions(now_ms))
-        self._broadcast.to([member], encode(Suspicions(self._own_vm, rows)))
+        self._broadcast.send_to([member], encode(CrashRecords(self._own_vm, rows)))
 
-    def forget(self, now_ms: float) -> None:
+    def remove_expired(self, now_ms: float) -> None:
         """Drop the suspicions that are too old to count."""
-        for key in self.quarantine.forget(now_ms):
-            self._log.note(Kind.QUARANTINE, key=f"{key:016x}", crashes=0, source="age")
+        for key in self.quarantine.remove_expired(now_ms):
+            self._log.note(EventKind.QUARANTINE, key=f"{key:016x}", crashes=0, source="age")
 
     def _is_join_sender(self, member: Member, now_ms: float) -> bool:
         """Return whether this VM is among the few that send suspicions to a VM that has joined."""
-        others = (item for item in self._members.near() if item.is_alive(now_ms))
+        others = (item for item in self._members.local_members() if item.is_alive(now_ms))
         before = (item.vm for item in others if item.vm != member.vm)
-        return place_in_order(member.vm, self._own_vm, before) < JOIN_SENDERS
+        return rendezvous_rank(member.vm, self._own_vm, before) < JOIN_SENDERS
 
     def _repeat(self, keys: RequestKeys) -> None:
         """Send the quarantine of a request again if it is still in force."""
         known = {item.key: item for item in self.quarantine.suspicions(monotonic_ms())}
         self._schedule_send(known[key] for key in keys if key in known and known[key].crashes > 1)
 
-    def _schedule_send(self, suspicions: Iterable[Suspicion]) -> None:
+    def _schedule_send(self, suspicions: Iterable[CrashRecord]) -> None:
         """Send suspicions soon; those that exceed the limit of waiting ones are dropped."""
         self._unsent += suspicions
         del self._unsent[UNSENT_LIMIT:]
@@ -153,17 +153,17 @@
         self._flush_timer = None
         now_ms = monotonic_ms()
         rows, self._unsent = self._unsent, []
-        for start in range(0, len(rows), TOLD_LIMIT):
-            data = encode(Suspicions(self._own_vm, tuple(rows[start : start + TOLD_LIMIT])))
-            self._broadcast.near(data, now_ms)
-            self._broadcast.far(data, now_ms, RELAY_COUNT)
+        for start in range(0, len(rows), CRASH_RECORDS_PER_DATAGRAM):
+            data = encode(CrashRecords(self._own_vm, tuple(rows[start : start + CRASH_RECORDS_PER_DATAGRAM])))
+            self._broadcast.send_local(data, now_ms)
+            self._broadcast.send_remote(data, now_ms, RELAY_COUNT)
 
-    def _note(self, suspicion: Suspicion, source: str, **fields: str) -> None:
+    def _note(self, suspicion: CrashRecord, source: str, **fields: str) -> None:
         self._log.note(
-            Kind.QUARANTINE,
+            EventKind.QUARANTINE,
             key=f"{suspicion.key:016x}",
             crashes=suspicion.crashes,
-            held_ms=round(suspicion.held_ms),
+            held_ms=round(suspicion.hold_ms),
             source=source,
             **fields,
         )
--- a/cloverhook/gateway/rate_limit_updates.py
+++ b/cloverhook/gateway/rate_limit_updates.py
@@ -10,9 +10,9 @@
 from cloverhook.clock import monotonic_ms
 from cloverhook.gateway.broadcast import Broadcast
 from cloverhook.gateway.counters import Counters
-from cloverhook.gateway.event_log import EventLog, Kind
-from cloverhook.gateway.knowledge import Knowledge
-from cloverhook.gateway.peer_messages import RateLimitRow, RateLimitUpdate, encode
+from cloverhook.gateway.event_log import EventKind, EventLog
+from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.peer_messages import RateLimitEntry, RateLimitUpdate, encode
 from cloverhook.gateway.rate_limits import RateLimits
 
 __all__ = ["RateLimitUpdates"]
@@ -33,7 +33,7 @@
         own_vm: str,
         broadcast: Broadcast,
         limits: RateLimits,
-        knowledge: Knowledge,
+        knowledge: GatewayState,
         log: EventLog,
         counters: Counters,
     ) -> None:
@@ -47,14 +47,14 @@
         self._unsent: dict[str, None] = {}
         self._flush_timer: asyncio.TimerHandle | None = None
 
-    def answered(self, incarnation: str, per_s: float | None, at_ms: float) -> None:
+    def record_response(self, incarnation: str, per_s: float | None, at_ms: float) -> None:
         """Process the limit in an endpoint's answer to a request; None means that it has none."""
         if per_s is None:
-            if self.limits.not_named(incarnation, at_ms):
+            if self.limits.record_no_limit(incarnation, at_ms):
                 self._record_end(incarnation, "answer")
                 self._schedule_send(incarnation)
             return
-        if self.limits.named(incarnation, per_s, at_ms):
+        if self.limits.record_limit(incarnation, per_s, at_ms):
             self._record_change(incarnation, "answer")
         elif at_ms - self._sent_ms.get(incarnation, -REPEAT_MS) < REPEAT_MS:
             return
@@ -68,9 +68,9 @@
             self._sent_ms[row.incarnation] = now_ms
             at_ms = now_ms - row.age_ms
             if row.per_s is None:
-                if self.limits.not_named(row.incarnation, at_ms):
+                if self.limits.record_no_limit(row.incarnation, at_ms):
                     self._record_end(row.incarnation, message.vm)
-            elif self.limits.named(row.incarnation, row.per_s, at_ms):
+            elif self.limits.record_limit(row.incarnation, row.per_s, at_ms):
                 self._record_change(row.incarnation, message.vm)
 
     def expire(self, now_ms: float) -> None:
@@ -85,11 +85,11 @@
 
     def _record_change(self, incarnation: str, source: str) -> None:
         limit = self.limits.get(incarnation)
-        self._log.note(Kind.RATE_LIMIT, server=incarnation, per_s=limit.per_s, source=source)
+        self._log.note(EventKind.RATE_LIMIT, server=incarnation, per_s=limit.per_s, source=source)
         self._counters.add("rate_limits_named")
 
     def _record_end(self, incarnation: str, source: str) -> None:
-        self._log.note(Kind.RATE_LIMIT, server=incarnation, per_s=None, source=source)
+        self._log.note(EventKind.RATE_LIMIT, server=incarnation, per_s=None, source=source)
 
     def _schedule_send(self, incarnation: str) -> None:
         self._unsent[incarnation] = None
@@ -104,11 +104,11 @@
         self._unsent.clear()
         for start in range(0, len(rows), ROWS_LIMIT):
             data = encode(RateLimitUpdate(self._own_vm, rows[start : start + ROWS_LIMIT]))
-            self._broadcast.to_audience(data, now_ms)
-            self._broadcast.far(data, now_ms, RELAY_COUNT)
+            self._broadcast.send_to_load_subscribers(data, now_ms)
+            self._broadcast.send_remote(data, now_ms, RELAY_COUNT)
 
-    def _row(self, incarnation: str, now_ms: float) -> RateLimitRow:
+    def _row(self, incarnation: str, now_ms: float) -> RateLimitEntry:
         limit = self.limits.get(incarnation)
         if limit is None:
-            return RateLimitRow(incarnation, None, 0.0)
-        return RateLimitRow(incarnation, limit.per_s, max(0.0, now_ms - limit.last_ms))
+            return RateLimitEntry(incarnation, None, 0.0)
+        return RateLimitEntry(incarnation, limit.per_s, max(0.0, now_ms - limit.last_ms))
--- a/cloverhook/gateway/refusal_updates.py
+++ b/cloverhook/gateway/refusal_updates.py
@@ -10,7 +10,7 @@
 
 from cloverhook.clock import monotonic_ms
 from cloverhook.gateway.broadcast import Broadcast
-from cloverhook.gateway.load import LoadBoard
+from cloverhook.gateway.load import LoadTable
 from cloverhook.gateway.peer_messages import Refusals, encode
 
 __all__ = ["RefusalUpdates"]
@@ -25,19 +25,19 @@
     """Sends the refusals of this VM's requests, and applies those that other VMs send."""
 
     def __init__(
-        self, own_vm: str, broadcast: Broadcast, board: LoadBoard, known: Callable[[str], object]
+        self, own_vm: str, broadcast: Broadcast, board: LoadTable, get_server: Callable[[str], object]
     ) -> None:
         """`known` returns what is registered for an incarnation, or None."""
         self._own_vm = own_vm
         self._broadcast = broadcast
         self._board = board
-        self._known = known
+        self._known = get_server
         self._unsent: list[str] = []
         self._flush_timer: asyncio.TimerHandle | None = None
 
-    def refused(self, incarnation: str) -> None:
+    def record_refusal(self, incarnation: str) -> None:
         """Record that an endpoint has refused a request of this VM, and send this soon."""
-        self._board.of(incarnation).refused(monotonic_ms())
+        self._board.get_or_create(incarnation).record_refusal(monotonic_ms())
         self._unsent.append(incarnation)
         if self._flush_timer is None:
             self._flush_timer = asyncio.get_running_loop().call_later(FLUSH_MS / 1000, self._flush)
@@ -46,12 +46,12 @@
         """Apply the refusals that another VM has sent."""
         for incarnation in message.incarnations[:ROWS_LIMIT]:
             if self._known(incarnation) is not None:
-                self._board.of(incarnation).refused(now_ms)
+                self._board.get_or_create(incarnation).record_refusal(now_ms)
 
     def _flush(self) -> None:
         self._flush_timer = None
         now_ms = monotonic_ms()
         for start in range(0, len(self._unsent), ROWS_LIMIT):
             data = encode(Refusals(self._own_vm, self._unsent[start : start + ROWS_LIMIT]))
-            self._broadcast.to_audience(data, now_ms)
+            self._broadcast.send_to_load_subscribers(data, now_ms)
         self._unsent.clear()
--- a/cloverhook/gateway/state_fetch.py
+++ b/cloverhook/gateway/state_fetch.py
@@ -19,14 +19,14 @@
 from cloverhook.gateway.config_codec import EncodedConfig
 from cloverhook.gateway.counters import Counters
 from cloverhook.gateway.evacuation import Evacuations
-from cloverhook.gateway.event_log import EventLog, Kind
-from cloverhook.gateway.knowledge import Knowledge
+from cloverhook.gateway.event_log import EventKind, EventLog
+from cloverhook.gateway.knowledge import GatewayState
 from cloverhook.gateway.members import KnownVersions, Member, Members
-from cloverhook.gateway.peer_messages import IS_REGISTRY_DOCUMENT
+from cloverhook.gateway.peer_messages import is_registry_document
 from cloverhook.gateway.registry import Registry
 from cloverhook.gateway.routes import GatewayConfig
 
-__all__ = ["Part", "StateFetch", "state_for"]
+__all__ = ["StatePart", "StateFetcher", "build_state_reply"]
 
 NEIGHBOUR_FIRST_MS = 300.0
 """How long a neighbour may take to fetch a state from another data centre and to announce it."""
@@ -45,7 +45,7 @@
 State = dict[str, Any]
 
 
-class Part(Enum):
+class StatePart(Enum):
     """A part of the state that is fetched separately.
 
     `SERVERS` comprises the backend servers and the evacuations.
@@ -55,19 +55,19 @@
     SERVERS = "servers"
 
 
-class StateFetch:
+class StateFetcher:
     """Fetches newer state, with at most one fetch of each part at a time."""
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        knowledge: GatewayState,
         members: Members,
         log: EventLog,
         counters: Counters,
         own_address: str,
         fetch: Callable[[str, State], Awaitable[State]],
         on_fetched: Callable[[str], None],
-        on_garbage: Callable[[str, MessageError], None],
+        on_invalid_message: Callable[[str, MessageError], None],
     ) -> None:
         """Set up without any fetch.
 
@@ -83,18 +83,18 @@
         self._own_address = own_address
         self._fetch = fetch
         self._on_fetched = on_fetched
-        self._on_garbage = on_garbage
-        self._tasks: dict[Part, asyncio.Task[None]] = {}
-        self._behind_since_ms: dict[Part, float] = {}
+        self._on_invalid_message = on_invalid_message
+        self._tasks: dict[StatePart, asyncio.Task[None]] = {}
+        self._behind_since_ms: dict[StatePart, float] = {}
 
     def is_behind(self, other: KnownVersions) -> bool:
         """Return whether another VM's versions are newer than this VM's in any part."""
-        return any(self._lacks(part, other) for part in Part)
+        return any(self._lacks(part, other) for part in StatePart)
 
-    def _lacks(self, part: Part, other: KnownVersions) -> bool:
+    def _lacks(self, part: StatePart, other: KnownVersions) -> bool:
         """Return whether another VM's version of a part is newer."""
         knowledge = self._knowledge
-        if part is Part.CONFIG:
+        if part is StatePart.CONFIG:
             lacks = other.config_version > knowledge.config_version
         else:
             lacks = (
@@ -105,14 +105,14 @@
             self._behind_since_ms.setdefault(part, monotonic_ms())
         return lacks
 
-    def catch_up(self, vm: str, at_once: bool) -> None:
+    def schedule_fetch(self, vm: str, immediately: bool) -> None:
         """Fetch newer state of a peer soon.
 
         Without `at_once`, neighbours are given time to fetch it first.  It is set if none of them
         can be expected to do so; then only a data centre with many VMs adds a short random delay.
         """
-        wait_ms = 0.0 if at_once else NEIGHBOUR_FIRST_MS
-        if at_once and self._members.crowded():
+        wait_ms = 0.0 if immediately else NEIGHBOUR_FIRST_MS
+        if immediately and self._members.in_large_data_center():
             wait_ms = random.uniform(0.0, REQUEST_SPREAD_MS)
         if not wait_ms:
             self._fetch_if_behind(vm)
@@ -125,12 +125,12 @@
         member = self._members.get(vm)
         if member is None:
             return
-        for part in Part:
+        for part in StatePart:
             task = self._tasks.get(part)
             if (task is None or task.done()) and self._lacks(part, member):
                 self._tasks[part] = asyncio.create_task(self._fetch_part(part, member))
 
-    async def _fetch_part(self, part: Part, member: Member) -> None:
+    async def _fetch_part(self, part: StatePart, member: Member) -> None:
         """Fetch a part; after each success, repeat this while a live VM has a newer version."""
         ahead: Member | None = member
         while ahead is not None and await self._fetch_from_holders(part, ahead):
@@ -138,7 +138,7 @@
             alive = self._members.alive(monotonic_ms())
             ahead = next((item for item in alive if self._lacks(part, item)), None)
 
-    async def _fetch_from_holders(self, part: Part, member: Member) -> bool:
+    async def _fetch_from_holders(self, part: StatePart, member: Member) -> bool:
         """Request a part from a few holders in turn, and return whether it has been received.
 
         A holder that is gone or has a slow link does not answer.
@@ -164,24 +164,24 @@
             address = None
         return False
 
-    def _holder_of(self, part: Part, wanted: Member) -> str:
+    def _holder_of(self, part: StatePart, wanted: Member) -> str:
         """Return the address of a VM that has the wanted versions, if possible a neighbour."""
-        if part is Part.CONFIG:
-            holders = self._members.holders(
+        if part is StatePart.CONFIG:
+            holders = self._members.members_with_state(
                 lambda item: item.config_version >= wanted.config_version, monotonic_ms()
             )
         else:
-            holders = self._members.holders(
+            holders = self._members.members_with_state(
                 lambda item: item.registry_as_of >= wanted.registry_version
                 and item.evacuation_version >= wanted.evacuation_version,
                 monotonic_ms(),
             )
         return (random.choice(holders) if holders else wanted).peer_address
 
-    async def _request(self, part: Part, address: str) -> State | None:
+    async def _request(self, part: StatePart, address: str) -> State | None:
         """Request a part; return None if no valid answer is received."""
         knowledge = self._knowledge
-        if part is Part.CONFIG:
+        if part is StatePart.CONFIG:
             request: State = {
                 "config": knowledge.config_version,
                 "peer_address": self._own_address,
@@ -196,12 +196,12 @@
         try:
             state = await self._fetch(address, request)
         except MessageError as error:
-            self._log.note(Kind.MEMBER, member=address, state="no-answer", error=str(error))
+            self._log.note(EventKind.MEMBER, member=address, state="no-answer", error=str(error))
             return None
         now_ms = monotonic_ms()
         self._counters.observe("fetch", now_ms - started_ms, part=part.value)
         self._log.note(
-            Kind.FETCH,
+            EventKind.FETCH,
             state="referred" if "refer" in state else "received",
             source=address,
             asked=request,
@@ -211,14 +211,14 @@
         )
         return state
 
-    async def _apply(self, part: Part, state: State, address: str) -> None:
+    async def _apply(self, part: StatePart, state: State, address: str) -> None:
         try:
-            if part is Part.CONFIG:
+            if part is StatePart.CONFIG:
                 await self._apply_config(state, address)
             else:
                 self._apply_servers(state, address)
         except MessageError as error:
-            self._on_garbage(address, error)
+            self._on_invalid_message(address, error)
 
     async def _apply_config(self, state: State, address: str) -> None:
         """Put a received configuration in force; it is offered to peers before it is decoded."""
@@ -231,17 +231,17 @@
         if version <= knowledge.config_version:
             return
         encoded = EncodedConfig(version, data)
-        knowledge.offer_config(encoded)
+        knowledge.relay_config(encoded)
         config: GatewayConfig | None = None
         try:
             for step in encoded.decode():
                 config = step
                 await asyncio.sleep(0)
         except MessageError:
-            knowledge.withdraw_config(encoded)
+            knowledge.stop_relaying_config(encoded)
             raise
-        if config is not None and knowledge.take_config(config, monotonic_ms()):
-            self._log.note(Kind.CONFIG, version=version, source=address)
+        if config is not None and knowledge.apply_config(config, monotonic_ms()):
+            self._log.note(EventKind.CONFIG, version=version, source=address)
             self._on_fetched(address)
 
     def _apply_servers(self, state: State, address: str) -> None:
@@ -249,13 +249,13 @@
         knowledge, now_ms = self._knowledge, monotonic_ms()
         registry, evacuations = state.get("registry"), state.get("evacuations")
         left = Evacuations.from_document(evacuations) if evacuations else None
-        if registry and not IS_REGISTRY_DOCUMENT(registry):
+        if registry and not is_registry_document(registry):
             raise MessageError("state with an invalid registry")
-        if left is not None and knowledge.take_evacuations(left, now_ms):
-            self._log.note(Kind.EVACUATION, **left.to_document(), source=address)
+        if left is not None and knowledge.apply_evacuations(left, now_ms):
+            self._log.note(EventKind.EVACUATION, **left.to_document(), source=address)
         if registry and knowledge.registry.adopt(registry, now_ms):
             self._log.note(
-                Kind.SERVER,
+                EventKind.SERVER,
                 source=address,
                 version=knowledge.registry.version,
                 whole=registry["whole"],
@@ -265,16 +265,16 @@
             self._on_fetched(address)
 
 
-def state_for(asked: State, knowledge: Knowledge, members: Members, now_ms: float) -> State:
+def build_state_reply(request: State, knowledge: GatewayState, members: Members, now_ms: float) -> State:
     """Return the state that is newer than the versions in `asked`, or the requested addresses."""
-    if "addresses" in asked:
+    if "addresses" in request:
         alive = members.alive(now_ms)
-        found = [item for item in alive if item.data_center == asked["addresses"]]
+        found = [item for item in alive if item.data_center == request["addresses"]]
         return {"addresses": [item.peer_address for item in found]}
     state: State = {}
-    if knowledge.registry.position.claimed_version > asked.get("registry", -1):
-        state["registry"] = _registry_since(knowledge.registry, asked.get("registry", -1), now_ms)
-    if knowledge.evacuations.version > asked.get("evacuations", -1):
+    if knowledge.registry.position.advertised_version > request.get("registry", -1):
+        state["registry"] = _registry_since(knowledge.registry, request.get("registry", -1), now_ms)
+    if knowledge.evacuations.version > request.get("evacuations", -1):
         state["evacuations"] = knowledge.evacuations.to_document()
     return state
 
--- a/cloverhook/gateway/transfer_queue.py
+++ b/cloverhook/gateway/transfer_queue.py
@@ -16,7 +16,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["Asker", "Refer", "Send", "TransferQueue"]
+__all__ = ["Requester", "Refer", "Send", "TransferQueue"]
 
 CONCURRENT_SENDS = 3
 """How many transfers run at once: a VM that is slow or gone must not hold up the others."""
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Asker:
+class Requester:
     """A VM that requests the state: the address at which it serves peers, and its data centre."""
 
     peer_address: str
@@ -38,14 +38,14 @@
 class Send:
     """An action: send the state to a VM, and report the end to `TransferQueue.ended`."""
 
-    to: Asker
+    requester: Requester
 
 
 @dataclass(frozen=True, slots=True)
 class Refer:
     """An action: refer a VM to another holder; without an address it asks any VM again."""
 
-    to: Asker
+    requester: Requester
     peer_address: str | None
 
 
@@ -54,12 +54,12 @@
 
     def __init__(self, data_center: str) -> None:
         self._data_center = data_center
-        self._waiting: list[Asker] = []
-        self._sending: set[Asker] = set()
-        self._received: dict[str, list[Asker]] = {}
-        self._referred: set[Asker] = set()
+        self._waiting: list[Requester] = []
+        self._sending: set[Requester] = set()
+        self._received: dict[str, list[Requester]] = {}
+        self._referred: set[Requester] = set()
 
-    def ask(self, asker: Asker) -> list[Send | Refer]:
+    def request_transfer(self, asker: Requester) -> list[Send | Refer]:
         """Add a request and return the actions due now; its own may come with a later call.
 
         A VM that asks again after a referral did not get the state there, so it is served here.
@@ -71,12 +71,12 @@
         self._waiting.append(asker)
         return self._send_next()
 
-    def withdraw(self, asker: Asker) -> Refer:
+    def withdraw(self, asker: Requester) -> Refer:
         """Remove a VM that has waited for too long, and refer it to another holder."""
         self._waiting.remove(asker)
         return self._refer(asker)
 
-    def ended(self, asker: Asker, received: bool) -> list[Send | Refer]:
+    def transfer_ended(self, asker: Requester, received: bool) -> list[Send | Refer]:
         """Record the end of a transfer, and whether the VM has received the whole state."""
         self._sending.discard(asker)
         actions: list[Send | Refer] = []
@@ -85,7 +85,7 @@
             actions += self._hand_over(asker)
         return actions + self._send_next()
 
-    def _hand_over(self, receiver: Asker) -> list[Send | Refer]:
+    def _hand_over(self, receiver: Requester) -> list[Send | Refer]:
         """Refer every second waiting VM of the receiver's data centre to the receiver.
 
         All of them are referred if that data centre has enough copies.
@@ -102,7 +102,7 @@
         copies = len(self._received.get(data_center, ()))
         return data_center != self._data_center and copies >= REMOTE_COPIES
 
-    def _refer(self, asker: Asker) -> Refer:
+    def _refer(self, asker: Requester) -> Refer:
         """Refer a VM to the VM of its data centre that has received the state last."""
         self._referred.add(asker)
         received = self._received.get(asker.data_center, ())
