--- a/cloverhook/gateway/peer_messages.py
+++ b/cloverhook/gateway/peer_messages.py
@@ -5,7 +5,7 @@
 anything that is not a complete message with fields of the right types, so that code behind `decode`
 never has to handle malformed input, whatever reaches the port.
 
->>> decode(encode(InFlightCounts("vm-1", {"i-7": 2}))).counts
+>>> decode(encode(InFlight("vm-1", {"i-7": 2}))).counts
 {'i-7': 2}
 """
 
--- a/cloverhook/gateway/transfer_queue.py
+++ b/cloverhook/gateway/transfer_queue.py
@@ -7,10 +7,10 @@
 its VMs pass them on.
 
 >>> queue = TransferQueue("papine")
->>> askers = [Requester(f"10.1.0.{number}:1", "papine") for number in range(7)]
->>> [[type(action).__name__ for action in queue.request_transfer(asker)] for asker in askers]
+>>> askers = [Asker(f"10.1.0.{number}:1", "papine") for number in range(7)]
+>>> [[type(action).__name__ for action in queue.ask(asker)] for asker in askers]
 [['Send'], ['Send'], ['Send'], [], [], [], []]
->>> [type(action).__name__ for action in queue.transfer_ended(askers[0], received=True)]
+>>> [type(action).__name__ for action in queue.ended(askers[0], received=True)]
 ['Refer', 'Refer', 'Send']
 """
 
