--- a/cloverhook/gateway/broadcast.py
+++ b/cloverhook/gateway/broadcast.py
@@ -1,8 +1,8 @@
 """Sends messages to many VMs with little traffic between data centres.
 
-Layer: transport.  Each VM of the own data centre is sent a datagram of its own.  In each other data
-centre one VM receives the message and relays it to its neighbours.  The relaying VM is chosen in
-round-robin order for each message, so that a VM that is dead but not yet detected as dead loses
+Layer: transport.  Each VM of the local data centre is sent a datagram of its own.  In each remote
+data centre one VM receives the message and relays it to its neighbours.  The relaying VM is chosen
+in round-robin order for each message, so that a VM that is dead but not yet detected as dead loses
 only a small part of the messages.
 """
 
@@ -35,15 +35,17 @@
             self._link.send_encoded(member.peer_address, data)
 
     def send_local(self, data: bytes, now_ms: float) -> None:
-        """Send an encoded message to every live VM of the own data centre."""
-        self.send_to((item for item in self._members.local_members() if item.is_alive(now_ms)), data)
+        """Send an encoded message to every live VM of the local data centre."""
+        self.send_to(
+            (item for item in self._members.local_members() if item.is_alive(now_ms)), data
+        )
 
     def send_to_load_subscribers(self, data: bytes, now_ms: float) -> None:
-        """Send to the VMs of the own data centre that dispatch requests now or may do so soon."""
+        """Send to the local VMs that dispatch requests now or may do so soon."""
         self.send_to(self._members.live_load_subscribers(now_ms), data)
 
     def send_remote(self, data: bytes, now_ms: float, relay_count: int = 1) -> None:
-        """Send to `relays` VMs of each other data centre, which relay it to their neighbours.
+        """Send to `relay_count` VMs of each remote data centre, which relay it to their neighbours.
 
         If a data centre has fewer VMs, all of them get it.
         """
@@ -56,9 +58,9 @@
                 self._link.send_encoded(members[index % len(members)].peer_address, wrapped)
 
     def relay(self, message: Relay, now_ms: float, load_subscribers_only: bool = False) -> None:
-        """Pass a received message on to the neighbours.
+        """Relay a received message to the neighbours.
 
-        With `audience_only`, only the neighbours that receive load reports get it.
+        With `load_subscribers_only`, only the neighbours that receive load reports get it.
         """
         if now_ms < self._relay_resume_ms:
             return
--- a/cloverhook/gateway/count_updates.py
+++ b/cloverhook/gateway/count_updates.py
@@ -1,10 +1,10 @@
 """Exchanges with other VMs how many requests each VM has in flight at each endpoint.
 
 Layer: transport.  Two VMs that do not know of each other's requests choose the same last free slot,
-so the VMs of a data centre send each other every change at once.  VMs of other data centres
+so the VMs of a data centre send each other every change at once.  VMs of remote data centres
 dispatch requests in their own data centre and receive no counts, until a data centre can't serve
 itself.  Then all VMs dispatch requests to the same few endpoints, and every change is sent to the
-other data centres too.  The number of these datagrams that a VM receives is bounded: the more VMs
+remote data centres too.  The number of these datagrams that a VM receives is bounded: the more VMs
 dispatch requests, the more changes each of them collects in one datagram.
 """
 
@@ -24,8 +24,8 @@
 REPEAT_MS = 250.0
 REMOTE_DELAY_MS = 5.0
 REMOTE_RECEIVE_LIMIT_PER_S = 1_500.0
-"""How many datagrams about changes in other data centres a VM receives at most, so that it has time
-left for requests."""
+"""How many datagrams about changes in remote data centres a VM receives at most, so that it has
+time left for requests."""
 
 
 class CountUpdates:
@@ -39,7 +39,7 @@
         knowledge: GatewayState,
         on_in_flight_counts: Callable[[], None],
     ) -> None:
-        """`on_counts` is called when counts of another VM have arrived."""
+        """`on_in_flight_counts` is called when counts of another VM have arrived."""
         self._own_vm = own_vm
         self._broadcast = broadcast
         self._members = members
@@ -77,26 +77,26 @@
 
     def received(self, message: InFlightCounts, now_ms: float) -> None:
         """Apply all counts of another VM; endpoints that are missing have no requests in flight."""
-        board, vm = self._knowledge.load_table, message.vm
+        table, vm = self._knowledge.load_table, message.vm
         if message.counts:
             self._members.record_count_sender(vm, now_ms)
         before = self._counted_endpoints.get(vm, frozenset())
         self._counted_endpoints[vm] = frozenset(message.counts)
         for incarnation in before - message.counts.keys():
-            board.get_or_create(incarnation).set_peer_in_flight(vm, 0, now_ms)
+            table.get_or_create(incarnation).set_peer_in_flight(vm, 0, now_ms)
         for incarnation, count in message.counts.items():
-            board.get_or_create(incarnation).set_peer_in_flight(vm, count, now_ms)
+            table.get_or_create(incarnation).set_peer_in_flight(vm, count, now_ms)
         self._on_in_flight_counts()
 
     def received_changes(self, message: InFlightCountChanges, now_ms: float) -> None:
         """Apply the counts of another VM that have changed."""
-        board, vm = self._knowledge.load_table, message.vm
+        table, vm = self._knowledge.load_table, message.vm
         self._members.record_count_sender(vm, now_ms)
         self._counted_endpoints[vm] = (
             self._counted_endpoints.get(vm, frozenset()) | message.counts.keys()
         )
         for incarnation, count in message.counts.items():
-            board.get_or_create(incarnation).set_peer_in_flight(vm, count, now_ms)
+            table.get_or_create(incarnation).set_peer_in_flight(vm, count, now_ms)
         self._on_in_flight_counts()
 
     def _send_local(self) -> None:
--- a/cloverhook/gateway/datagram_port.py
+++ b/cloverhook/gateway/datagram_port.py
@@ -25,8 +25,8 @@
 class DatagramPort:
     """Passes each received datagram to `on_datagram`, with the sender's address.
 
-    After a read, the next read follows `together_ms()` milliseconds later at the earliest and takes
-    all datagrams that have arrived meanwhile.  With 0, each datagram is read when it arrives.
+    After a read, the next read follows `receive_batch_ms()` milliseconds later at the earliest and
+    takes all datagrams that have arrived meanwhile.  With 0, each datagram is read on arrival.
     """
 
     def __init__(
@@ -119,7 +119,7 @@
             loop.add_reader(self._socket, self._read)
 
     def _take_all(self) -> int:
-        """Pass on the datagrams that have arrived, up to the limit, and return their number."""
+        """Handle the datagrams that have arrived, up to `READS_LIMIT`, and return their number."""
         for count in range(READS_LIMIT):
             if self._socket is None:
                 return 0
--- a/cloverhook/gateway/failure_updates.py
+++ b/cloverhook/gateway/failure_updates.py
@@ -32,7 +32,7 @@
         self._broadcast = broadcast
         self._knowledge = knowledge
         self._log = log
-        self._accusations = FailureReportFilter()
+        self._report_filter = FailureReportFilter()
         self._unsent: list[tuple[str, float, bool]] = []
         self._flush_timer: asyncio.TimerHandle | None = None
 
@@ -45,9 +45,9 @@
         now_ms = monotonic_ms()
         if self._knowledge.registry.get(incarnation) is None:
             return
-        trust = self._knowledge.load_table.get_or_create(incarnation).circuit_breaker
-        answered = trust.answered_since(now_ms - RECENT_ANSWER_MS)
-        if trust.record_failure(now_ms, began_ms):
+        breaker = self._knowledge.load_table.get_or_create(incarnation).circuit_breaker
+        answered = breaker.answered_since(now_ms - RECENT_ANSWER_MS)
+        if breaker.record_failure(now_ms, began_ms):
             self._log_suspension(incarnation, self._own_vm)
         if not self._is_credible(self._own_vm, incarnation, now_ms):
             return
@@ -65,17 +65,17 @@
             known = self._knowledge.registry.get(incarnation) is not None
             if not known or not self._is_credible(message.vm, incarnation, now_ms):
                 continue
-            trust = self._knowledge.load_table.get_or_create(incarnation).circuit_breaker
-            if trust.record_peer_failure(now_ms, now_ms - age_ms, answered):
+            breaker = self._knowledge.load_table.get_or_create(incarnation).circuit_breaker
+            if breaker.record_peer_failure(now_ms, now_ms - age_ms, answered):
                 self._log_suspension(incarnation, message.vm)
 
     def forget(self, now_ms: float) -> None:
         """Drop the failures that are too old to count."""
-        self._accusations.forget(now_ms)
+        self._report_filter.forget(now_ms)
 
     def _is_credible(self, vm: str, incarnation: str, now_ms: float) -> bool:
         endpoints = len(self._knowledge.registry)
-        return self._accusations.accept(vm, incarnation, endpoints, now_ms)
+        return self._report_filter.accept(vm, incarnation, endpoints, now_ms)
 
     def _log_suspension(self, incarnation: str, source: str) -> None:
         self._log.note(EventKind.ENDPOINT, server=incarnation, suspended=True, source=source)
--- a/cloverhook/gateway/load_updates.py
+++ b/cloverhook/gateway/load_updates.py
@@ -1,10 +1,10 @@
 """Sends the load reports that this VM has measured to other VMs.
 
 Layer: transport.  Probes are sent together, so their answers arrive together, and the reports of a
-few milliseconds share a datagram.  VMs of the own data centre receive every report.  Other data
-centres receive changes, as traffic to them costs money, and every report once a second.  While a
-data centre can't serve itself, its VMs dispatch their requests to other data centres, and receive
-each change of load there soon.
+few milliseconds share a datagram.  VMs of the local data centre receive every report.  Remote
+data centres receive changes, as traffic to them costs money, and every report once a second.  While
+a data centre can't serve itself, its VMs dispatch their requests to remote data centres, and
+receive each change of load there soon.
 """
 
 import asyncio
@@ -19,25 +19,25 @@
 
 FLUSH_MS = 4.0
 """Answers to probes that were sent together arrive within about this time."""
-LARGE_REMOTE_FLUSH_MS = 250.0
-"""Between data centres with many VMs, a datagram is relayed to 20 VMs, so changes within this time
-share one.  Requests go to another data centre only if their own has no room.  A pace that changes
-several times a second is outdated by then; it is sent once a second, with everything else."""
+LARGE_DATA_CENTER_FLUSH_MS = 250.0
+"""Between large data centres, each datagram is relayed to 20 VMs, so changes within this time share
+one.  Requests go to a remote data centre only if the local one has no room.  A slowdown that
+changes several times a second is outdated by then; it is sent once a second, with the rest."""
 ROWS_LIMIT = 40
 """How many rows of up to 30 bytes a datagram has at most, so that it fits into one packet."""
 REMOTE_LOAD_MS = 150.0
 REMOTE_LOAD_STEP = 2
-"""A load that has changed by this many requests is sent to other data centres, `REMOTE_LOAD_MS`
+"""A load that has changed by this many requests is sent to remote data centres, `REMOTE_LOAD_MS`
 after the last report at the earliest."""
-SPILLOVER_FLUSH_MS = 20.0
-SPILLOVER_REPORT_MS = 60.0
-"""A VM that dispatches requests to another data centre knows of the requests of the VMs there from
-load reports, not from their counts.  Without frequent reports it would fill endpoints that have no
-slot left."""
+REMOTE_CAPACITY_FLUSH_MS = 20.0
+REMOTE_CAPACITY_REPORT_MS = 60.0
+"""A VM that dispatches requests to a remote data centre learns of the requests of the VMs there
+from load reports, not from their counts.  Without frequent reports it would fill endpoints that
+have no slot left."""
 REMOTE_REPORT_MS = 1_000.0
-REMOTE_PACE_RATIO = 1.5
-"""A pace that has changed by this factor is sent to other data centres; any other one is sent after
-a second."""
+REMOTE_SLOWDOWN_RATIO = 1.5
+"""A slowdown that has changed by this factor is sent to remote data centres; any other one is sent
+after a second."""
 
 MeasuredReports = dict[str, tuple[LoadReport, float]]
 
@@ -52,14 +52,14 @@
         in_large_data_center: Callable[[], bool] = lambda: False,
         needs_remote_capacity: Callable[[float], bool] = lambda now_ms: False,
     ) -> None:
-        """`crowded` returns whether the own data centre has many VMs.
+        """`in_large_data_center` returns whether the local data centre has many VMs.
 
-        `crossing` returns whether some data centre can't serve itself, so that its VMs have to
-        dispatch their requests to other data centres.
+        `needs_remote_capacity` returns whether some data centre can't serve itself, so that its VMs
+        have to dispatch their requests to remote data centres.
         """
-        self._crossing = needs_remote_capacity
+        self._needs_remote_capacity = needs_remote_capacity
         self._own_vm = own_vm
-        self._crowded = in_large_data_center
+        self._in_large_data_center = in_large_data_center
         self._broadcast = broadcast
         self._local_unsent: MeasuredReports = {}
         self._remote_unsent: MeasuredReports = {}
@@ -81,9 +81,13 @@
             )
 
     def _remote_delay_ms(self, now_ms: float) -> float:
-        if not self._crowded():
+        if not self._in_large_data_center():
             return FLUSH_MS
-        return SPILLOVER_FLUSH_MS if self._crossing(now_ms) else LARGE_REMOTE_FLUSH_MS
+        return (
+            REMOTE_CAPACITY_FLUSH_MS
+            if self._needs_remote_capacity(now_ms)
+            else LARGE_DATA_CENTER_FLUSH_MS
+        )
 
     def forget(self, incarnation: str) -> None:
         """Drop the record of the last report sent of an incarnation that is gone."""
@@ -104,19 +108,19 @@
         self._remote_unsent.clear()
 
     def _datagrams(self, measured: MeasuredReports, now_ms: float) -> list[bytes]:
-        rows = [(name, figure, now_ms - at_ms) for name, (figure, at_ms) in measured.items()]
+        rows = [(name, report, now_ms - at_ms) for name, (report, at_ms) in measured.items()]
         return [
             encode(LoadReports(self._own_vm, tuple(rows[start : start + ROWS_LIMIT])))
             for start in range(0, len(rows), ROWS_LIMIT)
         ]
 
-    def _is_remote_change(self, incarnation: str, figure: LoadReport, at_ms: float) -> bool:
-        sent, sent_ms = self._remote_sent.get(incarnation, (figure, -1e12))
-        ratio = max(figure.slowdown, sent.slowdown) / max(min(figure.slowdown, sent.slowdown), 0.01)
-        step = abs(figure.running + figure.waiting - sent.running - sent.waiting)
-        changed = figure.reachable != sent.reachable
-        if self._crossing(at_ms) and at_ms - sent_ms >= SPILLOVER_REPORT_MS:
-            changed |= step > 0 or ratio >= REMOTE_PACE_RATIO
-        changed |= ratio >= REMOTE_PACE_RATIO and not self._crowded()
+    def _is_remote_change(self, incarnation: str, report: LoadReport, at_ms: float) -> bool:
+        sent, sent_ms = self._remote_sent.get(incarnation, (report, -1e12))
+        ratio = max(report.slowdown, sent.slowdown) / max(min(report.slowdown, sent.slowdown), 0.01)
+        step = abs(report.running + report.waiting - sent.running - sent.waiting)
+        changed = report.reachable != sent.reachable
+        if self._needs_remote_capacity(at_ms) and at_ms - sent_ms >= REMOTE_CAPACITY_REPORT_MS:
+            changed |= step > 0 or ratio >= REMOTE_SLOWDOWN_RATIO
+        changed |= ratio >= REMOTE_SLOWDOWN_RATIO and not self._in_large_data_center()
         changed |= step >= REMOTE_LOAD_STEP and at_ms - sent_ms >= REMOTE_LOAD_MS
         return changed or at_ms - sent_ms >= REMOTE_REPORT_MS
--- a/cloverhook/gateway/peer_link.py
+++ b/cloverhook/gateway/peer_link.py
@@ -55,7 +55,8 @@
 class StateReply:
     """A state for a peer.
 
-    After the transfer `on_end` is called with True if the peer has acknowledged the whole state.
+    After the transfer `on_transfer_end` is called, with True if the peer has acknowledged the whole
+    state.
     """
 
     state: dict[str, Any]
@@ -76,10 +77,10 @@
         """Set up the link; `open` opens the sockets.
 
         `fleet` is a string that all VMs of a fleet share and that no other fleet uses.
-        `on_message` is called with each message and its sender's address, and `on_garbage` with a
-        sender and an error for data that is not a valid message or request.  `answer` returns the
-        reply to a peer's state request.  Datagrams that arrive within `together_ms()` of each other
-        are read in one batch.
+        `on_message` is called with each message and its sender's address, and `on_invalid_message`
+        with a sender and an error for data that is not a valid message or request.  `answer`
+        returns the reply to a peer's state request.  Datagrams that arrive within
+        `receive_batch_ms()` of each other are read in one batch.
         """
         self._fleet_tag = FLEET_TAG.pack(xxhash.xxh32_intdigest(fleet.encode()))
         self._on_message = on_message
@@ -147,16 +148,16 @@
         return data[FLEET_TAG.size :]
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        answer: StateReply | None = None
+        reply: StateReply | None = None
         received = False
         try:
             request = cbor2.loads(self._without_fleet_tag(await _read_frame(reader)))
             if faults_of(STATE_REQUEST, "", request):
                 raise MessageError("invalid state request")
-            answer = await self._answer(request)
-            data = zlib.compress(cbor2.dumps(answer.state))
+            reply = await self._answer(request)
+            data = zlib.compress(cbor2.dumps(reply.state))
             _write_frame(writer, data)
-            if answer.on_transfer_end is not None:
+            if reply.on_transfer_end is not None:
                 received = await self._is_acknowledged(reader, len(data))
         except (
             OSError,
@@ -172,8 +173,8 @@
             pass
         finally:
             writer.close()
-            if answer is not None and answer.on_transfer_end is not None:
-                answer.on_transfer_end(received)
+            if reply is not None and reply.on_transfer_end is not None:
+                reply.on_transfer_end(received)
 
     async def _is_acknowledged(self, reader: asyncio.StreamReader, size_bytes: int) -> bool:
         """Return whether a peer acknowledges the state within the time that a slow link needs."""
--- a/cloverhook/gateway/peer_messages.py
+++ b/cloverhook/gateway/peer_messages.py
@@ -5,7 +5,7 @@
 anything that is not a complete message with fields of the right types, so that code behind `decode`
 never has to handle malformed input, whatever reaches the port.
 
->>> decode(encode(InFlight("vm-1", {"i-7": 2}))).counts
+>>> decode(encode(InFlightCounts("vm-1", {"i-7": 2}))).counts
 {'i-7': 2}
 """
 
@@ -67,9 +67,10 @@
     `reading` tells whether the sender follows the store now.  `every_ms` is the interval at which
     the receiver gets heartbeats from the sender.  `wants_answer` asks for a heartbeat in return.
     `requests_per_s` is the rate of requests that callers send to the VM.  `near_vms` is the number
-    of VMs that the sender knows in its data centre, itself included.  `evacuation_version` is the
-    log offset up to which it knows the evacuated data centres.  Up to the two `as_of` positions it
-    knows everything in the store's logs; the versions are those of the last changes before them.
+    of VMs that the sender has recorded in its data centre, itself included.  `evacuation_version`
+    is the log offset up to which it has the evacuated data centres.  Up to `registry_as_of` and
+    `config_as_of` it has everything in the store's logs; the versions are those of the last changes
+    before these positions.
     """
 
     vm: str
@@ -121,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InFlightCountChanges:
-    """The counts of `InFlight` that have changed; all others are unchanged."""
+    """The counts of `InFlightCounts` that have changed; all others are unchanged."""
 
     vm: str
     counts: dict[str, int]
@@ -151,9 +152,9 @@
 class CrashRecord:
     """The number of consecutive endpoint crashes while running a request, identified by its key.
 
-    Other VMs must not send the request for `held_ms`.  If `claimed`, the sender of this message
-    sends a copy of the request during that time.  With 0 crashes the request has been answered
-    successfully, and is no longer suspected.
+    Other VMs must not send the request for `hold_ms`.  If `is_claim`, the sender of this record has
+    the lease on the single trial copy, and sends it during that time.  With 0 crashes the request
+    has been answered successfully, and its record is cleared.
     """
 
     key: int
@@ -162,14 +163,14 @@
     is_claim: bool = False
 
     @classmethod
-    def from_row(cls, key: int, crashes: int, held_ms: float, claimed: bool) -> "CrashRecord":
-        """Build a suspicion from a datagram's row.  Raises `TypeError` or `ValueError`."""
-        has_types = type(key) is type(crashes) is int and isinstance(claimed, bool)
-        if not has_types or type(held_ms) not in (int, float):
-            raise TypeError("suspicion with fields of the wrong type")
-        if not 0 <= key < KEY_LIMIT or crashes < 0 or not 0 <= held_ms < inf:
-            raise ValueError("suspicion with a value out of range")
-        return cls(key, crashes, float(held_ms), claimed)
+    def from_row(cls, key: int, crashes: int, hold_ms: float, is_claim: bool) -> "CrashRecord":
+        """Build a crash record from a datagram's row.  Raises `TypeError` or `ValueError`."""
+        has_types = type(key) is type(crashes) is int and isinstance(is_claim, bool)
+        if not has_types or type(hold_ms) not in (int, float):
+            raise TypeError("crash record with fields of the wrong type")
+        if not 0 <= key < KEY_LIMIT or crashes < 0 or not 0 <= hold_ms < inf:
+            raise ValueError("crash record with a value out of range")
+        return cls(key, crashes, float(hold_ms), is_claim)
 
     def to_row(self) -> list[Any]:
         """Return the row for a datagram."""
@@ -178,7 +179,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashRecords:
-    """A VM's suspicions about some requests."""
+    """The crash records of a VM for some requests."""
 
     vm: str
     rows: tuple[CrashRecord, ...]
@@ -186,9 +187,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimitEntry:
-    """The rate limit that an endpoint has announced, in requests per second, and its age in ms.
+    """The rate limit that an endpoint has advertised, in requests per second, and its age in ms.
 
-    If `per_s` is None, the endpoint no longer announces a limit.
+    If `per_s` is None, the endpoint no longer advertises a limit.
     """
 
     incarnation: str
@@ -331,23 +332,37 @@
     return isinstance(incarnation, str) and has_age and isinstance(answered, bool)
 
 
-def _report_row(incarnation: str, figure: LoadReport, age_ms: float) -> list[Any]:
-    # In a datagram a pace of -1 marks an unreachable endpoint.
-    pace = round(figure.slowdown * 100) if figure.reachable else -1
-    row = [incarnation, figure.running, figure.waiting, pace, round(age_ms)]
-    return [*row, round(figure.cold_for_ms)] if figure.cold_for_ms else row
+def _report_row(incarnation: str, report: LoadReport, age_ms: float) -> list[Any]:
+    # In a datagram a slowdown of -1 marks an unreachable endpoint.
+    scaled_slowdown = round(report.slowdown * 100) if report.reachable else -1
+    row = [incarnation, report.running, report.waiting, scaled_slowdown, round(age_ms)]
+    return [*row, round(report.cold_for_ms)] if report.cold_for_ms else row
 
 
 def _report_of_row(
-    incarnation: str, running: int, waiting: int, pace: int, age_ms: float, cold_ms: float = 0
+    incarnation: str,
+    running: int,
+    waiting: int,
+    scaled_slowdown: int,
+    age_ms: float,
+    cold_for_ms: float = 0,
 ) -> tuple[str, LoadReport, float]:
-    if not (type(running) is type(waiting) is type(pace) is int and isinstance(incarnation, str)):
+    if not (
+        type(running) is type(waiting) is type(scaled_slowdown) is int
+        and isinstance(incarnation, str)
+    ):
         raise TypeError("load report with fields of the wrong type")
-    if running < 0 or waiting < 0 or not 0 <= age_ms < inf or not 0 <= cold_ms < inf:
+    if running < 0 or waiting < 0 or not 0 <= age_ms < inf or not 0 <= cold_for_ms < inf:
         raise ValueError("load report with a value out of range")
-    reachable = pace >= 0
+    reachable = scaled_slowdown >= 0
     return (
         incarnation,
-        LoadReport(running, waiting, pace / 100 if reachable else 1.0, reachable, float(cold_ms)),
+        LoadReport(
+            running,
+            waiting,
+            scaled_slowdown / 100 if reachable else 1.0,
+            reachable,
+            float(cold_for_ms),
+        ),
         age_ms,
     )
--- a/cloverhook/gateway/peering.py
+++ b/cloverhook/gateway/peering.py
@@ -3,8 +3,8 @@
 Layer: transport.  Each heartbeat carries the versions of the sender's state.  A receiver whose
 versions are older fetches the state from the sender (anti-entropy).  In this way changes spread to
 every VM from the one that reads the store, and a VM that cannot reach the store works with the
-state that its peers hold.  A state fetched from another data centre is announced to the VMs of the
-own data centre at once, so that they do not have to fetch it from there too.
+state that its peers hold.  A state fetched from a remote data centre is announced to the VMs of the
+local data centre at once, so that they do not have to fetch it from there too.
 """
 
 import asyncio
@@ -65,18 +65,25 @@
 repeats.  Of two VMs that start at the same time, the one that asks later learns of the other.  The
 further requests make up for lost messages."""
 ANNOUNCE_LIMIT = 8
-"""In a data centre with many VMs, a VM that has fetched a state from a neighbour announces it to
-this many neighbours, which may then fetch the state from it."""
+"""In a large data centre, a VM that has fetched a state from a neighbour announces it to this
+many neighbours, which may then fetch the state from it."""
 REMOTE_CONTACTS_AT_ONCE = 2
 """How many addresses are contacted at a time in a data centre where no VM is known to be alive."""
 DATAGRAM_LIMIT_BYTES = 1_200
 """A datagram should fit into one packet.  Registry changes that are larger than this are not sent;
 peers fetch them over TCP."""
 ADDRESSES = Items(Address())
-DISPATCHER_MESSAGES = (LoadReports, Failures, Refusals, InFlightCounts, InFlightCountChanges, RateLimitUpdate)
-"""Messages that are needed only by VMs that dispatch requests."""
+LOAD_SUBSCRIBER_MESSAGES = (
+    LoadReports,
+    Failures,
+    Refusals,
+    InFlightCounts,
+    InFlightCountChanges,
+    RateLimitUpdate,
+)
+"""Messages that are needed only by VMs that dispatch requests, now or soon."""
 CHANGE_RELAY_COUNT = 3
-"""Number of VMs in each other data centre that relay a registry change.  A third of a fleet may be
+"""Number of VMs in each remote data centre that relay a registry change.  A third of a fleet may be
 unreachable before this is detected.  With a single relay, every third change would then be lost,
 and endpoints would be used after they have left."""
 
@@ -98,10 +105,10 @@
     ) -> None:
         """Set up the exchange; the sockets are opened by `link.open`.
 
-        `on_figure` is called with the incarnation of a backend server for which a load report has
-        arrived, and `on_counts` when another VM's counts of requests in flight have arrived.
-        `fleet` is described at `PeerLink`.  `requests_per_s` returns the rate at which callers
-        send requests to this VM, given the current time.
+        `on_load_report` is called with the incarnation of a backend server for which a load report
+        has arrived, and `on_in_flight_counts` when another VM's counts of requests in flight have
+        arrived.  `fleet` is described at `PeerLink`.  `requests_per_s` returns the rate at which
+        callers send requests to this VM, given the current time.
         """
         self._identity = identity
         self._on_load_report = on_load_report
@@ -110,23 +117,39 @@
         self._log = log
         self._counters = counters
         self.link = PeerLink(
-            self._on_message, self._answer, self._on_garbage, fleet, self._receive_batch_ms
+            self._on_message,
+            self._reply_to,
+            self._on_invalid_message,
+            fleet,
+            self._receive_batch_ms,
         )
         self._config_sender = ConfigSender(identity.data_center)
         self.broadcast = Broadcast(identity.vm, self.link, members)
-        self.load_updates = LoadUpdates(identity.vm, self.broadcast, members.in_large_data_center, knowledge.needs_remote_capacity)
+        self.load_updates = LoadUpdates(
+            identity.vm,
+            self.broadcast,
+            members.in_large_data_center,
+            knowledge.needs_remote_capacity,
+        )
         self.failure_updates = FailureUpdates(identity.vm, self.broadcast, knowledge, log)
-        self.count_updates = CountUpdates(identity.vm, self.broadcast, members, knowledge, on_in_flight_counts)
+        self.count_updates = CountUpdates(
+            identity.vm, self.broadcast, members, knowledge, on_in_flight_counts
+        )
         self.refusal_updates = RefusalUpdates(
             identity.vm, self.broadcast, knowledge.load_table, knowledge.registry.get
         )
         self.quarantine_updates = QuarantineUpdates(identity.vm, self.broadcast, members, log)
         self.rate_limit_updates = RateLimitUpdates(
-            identity.vm, self.broadcast, RateLimits(identity.vm, members.dispatching_vms), knowledge, log, counters
+            identity.vm,
+            self.broadcast,
+            RateLimits(identity.vm, members.dispatching_vms),
+            knowledge,
+            log,
+            counters,
         )
         self._started_ms = monotonic_ms()
         self._requests_per_s = requests_per_s
-        self._heartbeat_interval = HeartbeatIntervals(members)
+        self._heartbeat_intervals = HeartbeatIntervals(members)
         self._addresses: dict[str, str | None] = {}
         self._contacted_since_ms: dict[str, float] = {}
         self._local_heartbeat_due_ms = 0.0
@@ -140,9 +163,9 @@
             log,
             counters,
             identity.peer_address,
-            lambda address, asked: self.link.fetch(address, asked),
-            self._fetched,
-            self._on_garbage,
+            lambda address, request: self.link.fetch(address, request),
+            self._announce_state,
+            self._on_invalid_message,
         )
         self._address_task: asyncio.Task[None] | None = None
         self._address_requests = 0
@@ -169,19 +192,19 @@
             self._contact_due_ms = now_ms + (
                 STARTUP_CONTACT_INTERVAL_MS if is_startup else CONTACT_INTERVAL_MS
             )
-            self._contact_unheard(now_ms)
+            self._send_discovery_requests(now_ms)
         self.count_updates.resend_all(now_ms)
         if now_ms >= self._local_heartbeat_due_ms:
-            every_ms = self._heartbeat_interval.local_interval_ms(self.reading, now_ms)
+            every_ms = self._heartbeat_intervals.local_interval_ms(self.reading, now_ms)
             self._local_heartbeat_due_ms = now_ms + every_ms
             self.broadcast.send_local(encode(self._heartbeat(every_ms)), now_ms)
         if now_ms >= self._remote_heartbeat_due_ms:
-            every_ms = self._heartbeat_interval.remote_interval_ms(self.reading, now_ms)
+            every_ms = self._heartbeat_intervals.remote_interval_ms(self.reading, now_ms)
             self._remote_heartbeat_due_ms = now_ms + every_ms
             data = encode(self._heartbeat(every_ms))
             relay_count, self._relay_count = self._relay_count, 1
             has_update, self._has_update = self._has_update, False
-            if has_update or self._heartbeat_interval.sends_to_remote(self.reading, now_ms):
+            if has_update or self._heartbeat_intervals.sends_to_remote(self.reading, now_ms):
                 self.broadcast.send_remote(data, now_ms, relay_count)
             silent = (item for item in self._members.local_members() if not item.is_alive(now_ms))
             self.broadcast.send_to(silent, data)
@@ -189,7 +212,7 @@
     def send_heartbeat(self, has_update: bool = False) -> None:
         """Send a heartbeat at the next tick.
 
-        With `has_update` this VM has newer state to announce, and the heartbeat goes to the other
+        With `has_update` this VM has newer state to announce, and the heartbeat goes to the remote
         data centres in any case.
         """
         self._local_heartbeat_due_ms = self._remote_heartbeat_due_ms = 0.0
@@ -201,7 +224,7 @@
         """Send registry changes to all VMs, or a heartbeat if they do not fit into a datagram.
 
         `base_version` is the registry's version before the change.  A receiver with an older
-        version lacks more than the entries in `touched`.
+        version lacks more than the entries in `changed_names`.
         """
         now_ms = monotonic_ms()
         document = self._knowledge.registry.to_document(now_ms, changed_names)
@@ -216,13 +239,15 @@
         """Return a heartbeat.
 
         `every_ms` is the time until the next heartbeat to the same receivers.  Without it, the
-        heartbeat is sent out of turn and is valid until the next regular one: the longer one of
-        the two heartbeat intervals is used.
+        heartbeat is sent ahead of schedule and is valid until the next regular one: it carries the
+        longer one of the two heartbeat intervals.
         """
         own, knowledge, now_ms = self._identity, self._knowledge, monotonic_ms()
         if every_ms is None:
-            near_ms = self._heartbeat_interval.local_interval_ms(self.reading, now_ms)
-            every_ms = max(near_ms, self._heartbeat_interval.remote_interval_ms(self.reading, now_ms))
+            near_ms = self._heartbeat_intervals.local_interval_ms(self.reading, now_ms)
+            every_ms = max(
+                near_ms, self._heartbeat_intervals.remote_interval_ms(self.reading, now_ms)
+            )
         return Heartbeat(
             own.vm,
             own.incarnation,
@@ -245,14 +270,14 @@
 
     def _receive_batch_ms(self) -> float:
         """Return for how long received datagrams may wait to be read in one batch."""
-        return self._heartbeat_interval.receive_batch_ms(
+        return self._heartbeat_intervals.receive_batch_ms(
             self._knowledge.load_table.has_requests(), monotonic_ms()
         )
 
-    def _contact_unheard(self, now_ms: float) -> None:
+    def _send_discovery_requests(self, now_ms: float) -> None:
         """Request a heartbeat from the addresses that have never sent one.
 
-        For another data centre in which no VM is alive, its silent VMs are asked too.
+        If no VM of a remote data centre is alive, its silent VMs are asked too.
         """
         known_addresses = {item.peer_address for item in self._members.all()}
         self._drop_unanswered(known_addresses, now_ms)
@@ -292,7 +317,7 @@
                 del self._addresses[address], self._contacted_since_ms[address]
 
     def request_peer_addresses(self, now_ms: float) -> None:
-        """If it is due, ask a peer for the addresses in the own data centre.
+        """If it is due, ask a peer for the addresses in the local data centre.
 
         The addresses are added to those that are contacted.
         """
@@ -308,15 +333,15 @@
         self._address_task = asyncio.create_task(self._fetch_addresses(random.choice(alive)))
 
     async def _fetch_addresses(self, member: Member) -> None:
-        asked = {"addresses": self._identity.data_center}
+        request = {"addresses": self._identity.data_center}
         try:
-            state = await self.link.fetch(member.peer_address, asked)
+            state = await self.link.fetch(member.peer_address, request)
         except MessageError as error:
             self._log.note(EventKind.MEMBER, member=member.vm, state="no-answer", error=str(error))
             return
         addresses = state.get("addresses", [])
         if faults_of(ADDRESSES, "", addresses):
-            self._on_garbage(
+            self._on_invalid_message(
                 member.peer_address, MessageError("reply with an invalid list of addresses")
             )
             return
@@ -332,8 +357,10 @@
             case Heartbeat():
                 self._on_heartbeat(message, now_ms, relayed)
             case LoadReports():
-                for incarnation, figure, age_ms in message.reports:
-                    self._knowledge.load_table.get_or_create(incarnation).update_from_probe(figure, now_ms - age_ms)
+                for incarnation, report, age_ms in message.reports:
+                    self._knowledge.load_table.get_or_create(incarnation).update_from_probe(
+                        report, now_ms - age_ms
+                    )
                     self._on_load_report(incarnation)
             case InFlightCounts():
                 self.count_updates.received(message, now_ms)
@@ -356,23 +383,25 @@
         try:
             inner = decode(message.data)
         except MessageError as error:
-            self._on_garbage(sender, error)
+            self._on_invalid_message(sender, error)
             return
         if isinstance(inner, Relay):
-            self._on_garbage(sender, MessageError("relay message inside a relay message"))
+            self._on_invalid_message(sender, MessageError("relay message inside a relay message"))
             return
-        self.broadcast.relay(message, now_ms, load_subscribers_only=isinstance(inner, DISPATCHER_MESSAGES))
+        self.broadcast.relay(
+            message, now_ms, load_subscribers_only=isinstance(inner, LOAD_SUBSCRIBER_MESSAGES)
+        )
         self._on_message(inner, sender, relayed=True)
 
     def _on_heartbeat(self, heartbeat: Heartbeat, now_ms: float, relayed: bool) -> None:
-        returned = self._members.record_heartbeat(heartbeat, now_ms)
+        joined = self._members.record_heartbeat(heartbeat, now_ms)
         is_local = heartbeat.data_center == self._identity.data_center
-        if returned:
+        if joined:
             self._log.note(
                 EventKind.MEMBER, member=heartbeat.vm, state="joined", at=heartbeat.peer_address
             )
             self.quarantine_updates.send_records_to(self._members.get(heartbeat.vm), now_ms)
-        if heartbeat.wants_answer or (returned and is_local):
+        if heartbeat.wants_answer or (joined and is_local):
             self.link.send_encoded(heartbeat.peer_address, encode(self._heartbeat()))
         if self._state_fetch.is_behind(heartbeat):
             self._state_fetch.schedule_fetch(heartbeat.vm, is_local or relayed)
@@ -384,7 +413,9 @@
         A sender that reads the store also confirms its registry version as current.
         """
         knowledge = self._knowledge
-        knowledge.registry.position.advance_from_peer(heartbeat.registry_version, heartbeat.registry_as_of)
+        knowledge.registry.position.advance_from_peer(
+            heartbeat.registry_version, heartbeat.registry_as_of
+        )
         if heartbeat.reading:
             knowledge.registry.position.confirm_current(heartbeat.registry_version, now_ms)
         knowledge.confirm_config_as_of(
@@ -409,11 +440,11 @@
                 digest=registry.digest(),
             )
 
-    def _fetched(self, address: str) -> None:
+    def _announce_state(self, address: str) -> None:
         """Announce to neighbours that may wait for a fetched state that this VM has it now.
 
-        After a fetch from another data centre all neighbours get a heartbeat at the next tick.
-        After a fetch from a neighbour a few of them get one, if the data centre has many VMs.
+        After a fetch from a remote data centre all neighbours get a heartbeat at the next tick.
+        After a fetch from a neighbour a few of them get one, if the data centre is large.
         """
         if not any(item.peer_address == address for item in self._members.local_members()):
             self._local_heartbeat_due_ms = 0.0
@@ -422,33 +453,35 @@
             receivers = random.sample(neighbours, min(ANNOUNCE_LIMIT, len(neighbours)))
             self.broadcast.send_to(receivers, encode(self._heartbeat()))
 
-    async def _answer(self, asked: dict[str, Any]) -> StateReply:
+    async def _reply_to(self, request: dict[str, Any]) -> StateReply:
         """Return the reply to a peer's state request.
 
         A request for the configuration may wait until a transfer slot is free, or be referred to
         another VM.
         """
-        if "config" not in asked:
-            return StateReply(self._state_for(asked))
+        if "config" not in request:
+            return StateReply(self._state_for(request))
         encoded = self._knowledge.encoded_config()
-        if encoded is None or encoded.version <= asked["config"]:
+        if encoded is None or encoded.version <= request["config"]:
             return StateReply({})
-        asker = Requester(asked.get("peer_address", ""), asked.get("data_center", ""))
-        turn = await self._config_sender.wait_for_turn(asker, encoded.version)
-        if isinstance(turn, Refer):
-            return StateReply({"refer": turn.peer_address or ""})
+        requester = Requester(request.get("peer_address", ""), request.get("data_center", ""))
+        action = await self._config_sender.wait_for_turn(requester, encoded.version)
+        if isinstance(action, Refer):
+            return StateReply({"refer": action.peer_address or ""})
         self._counters.add("states_sent")
-        self._log.note(EventKind.FETCH, state="sent", asked=asked, to=asker.peer_address)
-        ended = partial(self._config_sender.transfer_ended, asker, encoded.version)
-        return StateReply({"config_version": encoded.version, "config": encoded.data}, ended)
+        self._log.note(EventKind.FETCH, state="sent", asked=request, to=requester.peer_address)
+        on_end = partial(self._config_sender.transfer_ended, requester, encoded.version)
+        return StateReply({"config_version": encoded.version, "config": encoded.data}, on_end)
 
-    def _state_for(self, asked: dict[str, Any]) -> dict[str, Any]:
+    def _state_for(self, request: dict[str, Any]) -> dict[str, Any]:
         started_ms = monotonic_ms()
-        state = build_state_reply(asked, self._knowledge, self._members, started_ms)
+        state = build_state_reply(request, self._knowledge, self._members, started_ms)
         self._counters.add("states_sent")
         took_ms = round(monotonic_ms() - started_ms, 1)
-        self._log.note(EventKind.FETCH, state="sent", asked=asked, parts=list(state), took_ms=took_ms)
+        self._log.note(
+            EventKind.FETCH, state="sent", asked=request, parts=list(state), took_ms=took_ms
+        )
         return state
 
-    def _on_garbage(self, sender: str, error: MessageError) -> None:
+    def _on_invalid_message(self, sender: str, error: MessageError) -> None:
         self._log.note(EventKind.MEMBER, member=sender, state="garbage", error=str(error))
--- a/cloverhook/gateway/quarantine_updates.py
+++ b/cloverhook/gateway/quarantine_updates.py
@@ -1,7 +1,7 @@
 """Checks requests against the quarantine before they are sent, and shares it with other VMs.
 
-Layer: transport.  Suspicions are sent to all live VMs, not only to those that dispatch requests
-now, as a request that crashes endpoints may reach any VM next.
+Layer: transport.  Crash records are sent to all live VMs, not only to those that dispatch
+requests now, as a request that crashes endpoints may reach any VM next.
 """
 
 import asyncio
@@ -19,21 +19,21 @@
 __all__ = ["QuarantineUpdates"]
 
 FLUSH_MS = 1.0
-"""Requests that were cut off by the same crash share a datagram."""
+"""Requests that were interrupted by the same crash share a datagram."""
 UNSENT_LIMIT = 400
 POLL_MS = 5.0
-"""How often a request that waits for another VM's copy checks for the outcome of that copy."""
+"""How often a request that waits for another VM's trial copy checks for the outcome."""
 REPEAT_DELAYS_MS = (100.0, 1_000.0)
 """A quarantine is sent again after these delays, as a datagram may be lost."""
 RELAY_COUNT = 3
-"""How many VMs of each other data centre relay a message: one of them may be cut off before this is
-detected."""
+"""How many VMs of each remote data centre relay a message: one of them may be isolated before this
+is detected."""
 JOIN_SENDERS = 3
-"""How many neighbours send their suspicions to a VM that has just joined."""
+"""How many neighbours send their crash records to a VM that has just joined."""
 
 
 class QuarantineUpdates:
-    """Admits this VM's requests by the quarantine, and exchanges suspicions with other VMs."""
+    """Admits this VM's requests by the quarantine, and exchanges crash records with other VMs."""
 
     def __init__(self, own_vm: str, broadcast: Broadcast, members: Members, log: EventLog) -> None:
         self.on_change: Callable[[], None] = lambda: None
@@ -49,28 +49,28 @@
     async def admit(self, keys: RequestKeys, give_up_ms: float) -> bool:
         """Return whether a request may proceed.
 
-        Waits while another VM's copy of the request is under way, until `give_up_ms`.
+        Waits while another VM has the lease on the trial copy of the request, until `give_up_ms`.
         """
         quarantine = self.quarantine
         while True:
             now_ms = monotonic_ms()
-            standing = quarantine.send_permission(keys, now_ms)
+            permission = quarantine.send_permission(keys, now_ms)
             wait_ms = POLL_MS
-            if standing is SendPermission.CLEAR:
+            if permission is SendPermission.CLEAR:
                 return True
-            if standing is SendPermission.LEASE_FREE:
+            if permission is SendPermission.LEASE_FREE:
                 self._schedule_send(quarantine.claim(keys, now_ms))
                 continue
-            if standing is SendPermission.OWN_LEASE:
+            if permission is SendPermission.OWN_LEASE:
                 wait_ms = quarantine.claim_settled_ms(keys) - now_ms
                 if wait_ms <= 0.0:
                     return True
-            elif standing is SendPermission.QUARANTINED or now_ms >= give_up_ms:
+            elif permission is SendPermission.QUARANTINED or now_ms >= give_up_ms:
                 return False
             await asyncio.sleep(wait_ms / 1000)
 
     def try_begin_send(self, keys: RequestKeys) -> bool:
-        """Return whether a request may be sent now; claim the right to send it if that is free."""
+        """Return whether a request may be sent now; claim the lease on the trial copy if free."""
         now_ms = monotonic_ms()
         self._schedule_send(self.quarantine.claim(keys, now_ms))
         return self.quarantine.try_begin_send(keys, now_ms)
@@ -80,11 +80,11 @@
 
         `known` are the numbers of crashes known for each key when the request was sent.
         """
-        suspicions = self.quarantine.record_crash(keys, known, monotonic_ms())
-        for suspicion in suspicions:
-            self._note(suspicion, self._own_vm, server=server)
-        self._schedule_send(suspicions)
-        if any(suspicion.crashes > 1 for suspicion in suspicions):
+        records = self.quarantine.record_crash(keys, known, monotonic_ms())
+        for record in records:
+            self._note(record, self._own_vm, server=server)
+        self._schedule_send(records)
+        if any(record.crashes > 1 for record in records):
             self.on_change()
             for delay_ms in REPEAT_DELAYS_MS:
                 asyncio.get_running_loop().call_later(delay_ms / 1000, self._repeat, keys)
@@ -95,43 +95,43 @@
         cleared = self.quarantine.record_success(keys, monotonic_ms())
         if max(before) > 1:
             self.on_change()
-        for suspicion in cleared:
-            self._note(suspicion, self._own_vm)
+        for record in cleared:
+            self._note(record, self._own_vm)
         self._schedule_send(cleared)
 
     def received(self, message: CrashRecords, now_ms: float) -> None:
-        """Apply the suspicions of another VM, and reply with those about which it knows less."""
-        answers = []
-        for suspicion in message.rows[:CRASH_RECORDS_PER_DATAGRAM]:
-            before = self.quarantine.crash_counts((suspicion.key,))
-            answer, pass_on = self.quarantine.apply_update(message.vm, suspicion, now_ms)
-            if pass_on is not None:
-                self._schedule_send([pass_on])
-            if answer is not None:
-                answers.append(answer)
+        """Apply another VM's crash records, and reply with those that are newer here."""
+        replies = []
+        for record in message.rows[:CRASH_RECORDS_PER_DATAGRAM]:
+            before = self.quarantine.crash_counts((record.key,))
+            reply, relay = self.quarantine.apply_update(message.vm, record, now_ms)
+            if relay is not None:
+                self._schedule_send([relay])
+            if reply is not None:
+                replies.append(reply)
             elif (
-                max(suspicion.crashes, *before) > 1
-                and self.quarantine.crash_counts((suspicion.key,)) != before
+                max(record.crashes, *before) > 1
+                and self.quarantine.crash_counts((record.key,)) != before
             ):
-                self._note(suspicion, message.vm)  # A first crash is logged by the VM that saw it.
+                self._note(record, message.vm)  # A first crash is logged by the VM that saw it.
         member = self._members.get(message.vm)
-        if answers and member is not None:
-            self._broadcast.send_to([member], encode(CrashRecords(self._own_vm, tuple(answers))))
+        if replies and member is not None:
+            self._broadcast.send_to([member], encode(CrashRecords(self._own_vm, tuple(replies))))
 
     def send_records_to(self, member: Member, now_ms: float) -> None:
-        """Send the suspicions to a VM that has just joined or returned."""
+        """Send the crash records to a VM that has just joined or returned."""
         if not len(self.quarantine) or not self._is_join_sender(member, now_ms):
             return
         rows = tuple(self.quarantine.suspicions(now_ms))
         self._broadcast.send_to([member], encode(CrashRecords(self._own_vm, rows)))
 
     def remove_expired(self, now_ms: float) -> None:
-        """Drop the suspicions that are too old to count."""
+        """Drop the crash records that are too old to count."""
         for key in self.quarantine.remove_expired(now_ms):
             self._log.note(EventKind.QUARANTINE, key=f"{key:016x}", crashes=0, source="age")
 
     def _is_join_sender(self, member: Member, now_ms: float) -> bool:
-        """Return whether this VM is among the few that send suspicions to a VM that has joined."""
+        """Return whether this VM is among the few that send crash records to a joined VM."""
         others = (item for item in self._members.local_members() if item.is_alive(now_ms))
         before = (item.vm for item in others if item.vm != member.vm)
         return rendezvous_rank(member.vm, self._own_vm, before) < JOIN_SENDERS
@@ -141,9 +141,9 @@
         known = {item.key: item for item in self.quarantine.suspicions(monotonic_ms())}
         self._schedule_send(known[key] for key in keys if key in known and known[key].crashes > 1)
 
-    def _schedule_send(self, suspicions: Iterable[CrashRecord]) -> None:
-        """Send suspicions soon; those that exceed the limit of waiting ones are dropped."""
-        self._unsent += suspicions
+    def _schedule_send(self, records: Iterable[CrashRecord]) -> None:
+        """Send crash records soon; those beyond the limit of unsent ones are dropped."""
+        self._unsent += records
         del self._unsent[UNSENT_LIMIT:]
         if self._unsent and self._flush_timer is None:
             loop = asyncio.get_running_loop()
@@ -154,16 +154,18 @@
         now_ms = monotonic_ms()
         rows, self._unsent = self._unsent, []
         for start in range(0, len(rows), CRASH_RECORDS_PER_DATAGRAM):
-            data = encode(CrashRecords(self._own_vm, tuple(rows[start : start + CRASH_RECORDS_PER_DATAGRAM])))
+            data = encode(
+                CrashRecords(self._own_vm, tuple(rows[start : start + CRASH_RECORDS_PER_DATAGRAM]))
+            )
             self._broadcast.send_local(data, now_ms)
             self._broadcast.send_remote(data, now_ms, RELAY_COUNT)
 
-    def _note(self, suspicion: CrashRecord, source: str, **fields: str) -> None:
+    def _note(self, record: CrashRecord, source: str, **fields: str) -> None:
         self._log.note(
             EventKind.QUARANTINE,
-            key=f"{suspicion.key:016x}",
-            crashes=suspicion.crashes,
-            held_ms=round(suspicion.hold_ms),
+            key=f"{record.key:016x}",
+            crashes=record.crashes,
+            held_ms=round(record.hold_ms),
             source=source,
             **fields,
         )
--- a/cloverhook/gateway/rate_limit_updates.py
+++ b/cloverhook/gateway/rate_limit_updates.py
@@ -1,6 +1,6 @@
-"""Exchanges with other VMs the rate limits that endpoints announce in their answers.
+"""Exchanges with other VMs the rate limits that endpoints advertise in their answers.
 
-Layer: transport.  A new or changed limit is sent at once.  While an endpoint keeps announcing its
+Layer: transport.  A new or changed limit is sent at once.  While an endpoint keeps advertising its
 limit, the limit is sent again once a second, by the VM that gets the first answer after that time.
 In this way a VM that has just started learns of it too.
 """
@@ -26,7 +26,7 @@
 
 
 class RateLimitUpdates:
-    """Sends the rate limits that endpoints announce to this VM, and applies other VMs' limits."""
+    """Sends the rate limits that endpoints advertise to this VM, and applies other VMs' limits."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
                 self._record_change(row.incarnation, message.vm)
 
     def expire(self, now_ms: float) -> None:
-        """End the limits that have not been announced for long."""
+        """End the limits that have not been advertised for long."""
         for incarnation in self.limits.expire(now_ms):
             self._record_end(incarnation, "age")
 
--- a/cloverhook/gateway/refusal_updates.py
+++ b/cloverhook/gateway/refusal_updates.py
@@ -1,6 +1,6 @@
 """Exchanges with other VMs which endpoints rejected requests although they had free slots.
 
-Layer: transport.  A single refusal says nothing about the next request, but the share of refused
+Layer: transport.  A single refusal says nothing about the next request, but the share of rejected
 requests does.  A VM of a large fleet sends requests to an endpoint too seldom to learn this share
 by itself.
 """
@@ -25,19 +25,23 @@
     """Sends the refusals of this VM's requests, and applies those that other VMs send."""
 
     def __init__(
-        self, own_vm: str, broadcast: Broadcast, board: LoadTable, get_server: Callable[[str], object]
+        self,
+        own_vm: str,
+        broadcast: Broadcast,
+        load_table: LoadTable,
+        get_server: Callable[[str], object],
     ) -> None:
-        """`known` returns what is registered for an incarnation, or None."""
+        """`get_server` returns what is registered for an incarnation, or None."""
         self._own_vm = own_vm
         self._broadcast = broadcast
-        self._board = board
-        self._known = get_server
+        self._load_table = load_table
+        self._get_server = get_server
         self._unsent: list[str] = []
         self._flush_timer: asyncio.TimerHandle | None = None
 
     def record_refusal(self, incarnation: str) -> None:
-        """Record that an endpoint has refused a request of this VM, and send this soon."""
-        self._board.get_or_create(incarnation).record_refusal(monotonic_ms())
+        """Record that an endpoint has rejected a request of this VM, and send this soon."""
+        self._load_table.get_or_create(incarnation).record_refusal(monotonic_ms())
         self._unsent.append(incarnation)
         if self._flush_timer is None:
             self._flush_timer = asyncio.get_running_loop().call_later(FLUSH_MS / 1000, self._flush)
@@ -45,8 +49,8 @@
     def received(self, message: Refusals, now_ms: float) -> None:
         """Apply the refusals that another VM has sent."""
         for incarnation in message.incarnations[:ROWS_LIMIT]:
-            if self._known(incarnation) is not None:
-                self._board.get_or_create(incarnation).record_refusal(now_ms)
+            if self._get_server(incarnation) is not None:
+                self._load_table.get_or_create(incarnation).record_refusal(now_ms)
 
     def _flush(self) -> None:
         self._flush_timer = None
--- a/cloverhook/gateway/state_fetch.py
+++ b/cloverhook/gateway/state_fetch.py
@@ -1,10 +1,10 @@
 """Fetches newer state from peers, the configuration separately from everything else.
 
 Layer: transport.  A VM that learns of newer versions fetches the state.  In the sender's data
-centre each VM does so at once.  In another data centre one VM does so, and its neighbours fetch the
-state from that VM.  In a data centre with many VMs the requests are spread over time and over the
-VMs that already have the state.  The transfer of a large configuration may take seconds.  Small
-state, such as changes of backend servers, is fetched separately and does not wait for it.
+centre each VM does so at once.  In a remote data centre one VM does so, and its neighbours fetch
+the state from that VM.  In a large data centre the requests are spread over time and over the VMs
+that already have the state.  The transfer of a large configuration may take seconds.  Small state,
+such as changes of backend servers, is fetched separately and does not wait for it.
 """
 
 import asyncio
@@ -29,9 +29,9 @@
 __all__ = ["StatePart", "StateFetcher", "build_state_reply"]
 
 NEIGHBOUR_FIRST_MS = 300.0
-"""How long a neighbour may take to fetch a state from another data centre and to announce it."""
+"""How long a neighbour may take to fetch a state from a remote data centre and to announce it."""
 REQUEST_SPREAD_MS = 50.0
-"""In a data centre with many VMs their requests are spread over this time."""
+"""In a large data centre the requests of its VMs are spread over this time."""
 CHANGES_SHARE = 0.5
 """Changes of up to this share of a registry are sent without the rest: checking 3,000 rows blocks a
 small VM for long."""
@@ -72,9 +72,9 @@
         """Set up without any fetch.
 
         `fetch` requests a state from an address.  `on_fetched` is called with the address from
-        which a state has been received, and `on_garbage` with the address of a peer that has sent
-        an invalid one, and an error.  Other VMs may request the configuration at `own_address` once
-        this VM has it.
+        which a state has been received, and `on_invalid_message` with the address of a peer that
+        has sent an invalid one, and an error.  Other VMs may request the configuration at
+        `own_address` once this VM has it.
         """
         self._knowledge = knowledge
         self._members = members
@@ -108,8 +108,8 @@
     def schedule_fetch(self, vm: str, immediately: bool) -> None:
         """Fetch newer state of a peer soon.
 
-        Without `at_once`, neighbours are given time to fetch it first.  It is set if none of them
-        can be expected to do so; then only a data centre with many VMs adds a short random delay.
+        Without `immediately`, neighbours are given time to fetch it first.  It is set if none of
+        them can be expected to do so; then only a large data centre adds a short random delay.
         """
         wait_ms = 0.0 if immediately else NEIGHBOUR_FIRST_MS
         if immediately and self._members.in_large_data_center():
@@ -265,8 +265,10 @@
             self._on_fetched(address)
 
 
-def build_state_reply(request: State, knowledge: GatewayState, members: Members, now_ms: float) -> State:
-    """Return the state that is newer than the versions in `asked`, or the requested addresses."""
+def build_state_reply(
+    request: State, knowledge: GatewayState, members: Members, now_ms: float
+) -> State:
+    """Return the state that is newer than the versions in `request`, or the requested addresses."""
     if "addresses" in request:
         alive = members.alive(now_ms)
         found = [item for item in alive if item.data_center == request["addresses"]]
