--- a/cloverhook/gateway/backend_pool.py
+++ b/cloverhook/gateway/backend_pool.py
@@ -1,9 +1,10 @@
-"""Connections to backend servers, kept for one incarnation each.
+"""A pool of connections to backend servers, kept separately for each incarnation.
 
-Layer: transport.  A connection never serves another incarnation than the one it was made for: its
-address may belong to another service by then.  The connection used last is used first.  Nothing
-shows that an idle connection has gone silent, so one request without a byte of an answer ends all
-connections that were idle before it.
+Layer: transport.  A connection is only used for the incarnation that it was opened for, because
+the address may belong to another service by the time a later incarnation uses it.  The most
+recently used connection is reused first.  An idle connection shows no sign when its peer has
+stopped answering, so one request that gets no byte of a response closes all connections that have
+been idle since before that request.
 """
 
 import asyncio
@@ -18,67 +19,77 @@
 __all__ = ["BackendPool"]
 
 CONNECT_TIMEOUT_MS = 120.0
-"""Many times the way between data centres, below the time a short request has for two tries."""
-KEEP_DEFAULT_MS = 3_000.0
-"""How long an idle connection is kept where the backend server does not say."""
-KEEP_MARGIN_MS = 1_000.0
-"""A connection is given up this long before the backend server would close it."""
-KEEP_PREFIX = b"timeout="
+"""Many times the network latency between data centres, and less than the time that a short request
+has for two attempts."""
+DEFAULT_KEEP_ALIVE_MS = 3_000.0
+"""How long an idle connection is kept if the backend server sends no keep-alive timeout."""
+KEEP_ALIVE_MARGIN_MS = 1_000.0
+"""An idle connection is closed this long before the backend server would close it."""
+TIMEOUT_PREFIX = b"timeout="
 IDLE_LIMIT_MS = 60_000.0
-IDLE_FLOOR_MS = 400.0
-FORGOTTEN_IDLE_MS = 800.0
-"""A reset after less idle time has another cause, such as a backend server that is full."""
-IDLE_CUT = 0.5
-"""A service whose connections are reset after some idle time keeps them for half of that."""
-UNSAFE_IDLE_MS = 2_000.0
-"""A request that must not run twice takes no connection that was idle for longer."""
+MIN_IDLE_LIMIT_MS = 400.0
+MIN_IDLE_BEFORE_RESET_MS = 800.0
+"""A reset after a shorter idle time has another cause, such as an overloaded backend server."""
+IDLE_LIMIT_FACTOR = 0.5
+"""When a connection is reset after some idle time, the connections of its service are from then on
+kept idle for at most this fraction of that time."""
+NON_IDEMPOTENT_IDLE_LIMIT_MS = 2_000.0
+"""A request that must not run twice never uses a connection that was idle for longer than this."""
 
 
 class BackendPool:
-    """Idle connections by incarnation."""
+    """Idle connections to backend servers, by incarnation.
+
+    `connects` counts the connection attempts.
+    """
 
     def __init__(self) -> None:
         self._idle: dict[str, deque[tuple[UpstreamConnection, float]]] = {}
         self._open: dict[str, int] = {}
         self._idle_limit_ms: dict[str, float] = {}
-        self._looks: dict[str, asyncio.Task[bool]] = {}
+        self._listening_checks: dict[str, asyncio.Task[bool]] = {}
         self.connects = 0
 
     async def acquire(
         self, server: BackendServer, limit: int, idempotent: bool, connect_ms: float
     ) -> UpstreamConnection:
-        """Return a connection that no other exchange uses.
+        """Return a connection that no other exchange uses, an idle one if possible.
 
-        Raises `UpstreamError` with `sent` False when none can be made.
+        `limit` is the largest number of open connections to this incarnation.  `connect_ms` bounds
+        the time to open a new connection.
+        Raises `UpstreamError` with `sent` False when no connection is available.
         """
         idle = self._idle.get(server.incarnation)
         now_ms = monotonic_ms()
         limit_ms = self._idle_limit_ms.get(server.service, IDLE_LIMIT_MS)
         if not idempotent:
-            limit_ms = min(limit_ms, UNSAFE_IDLE_MS)
+            limit_ms = min(limit_ms, NON_IDEMPOTENT_IDLE_LIMIT_MS)
         while idle:
-            connection, good_until_ms = idle.pop()
-            fresh = now_ms - connection.idle_since_ms < limit_ms and now_ms < good_until_ms
-            if connection.usable and fresh and not connection.has_input:
+            connection, expires_ms = idle.pop()
+            not_expired = now_ms - connection.idle_since_ms < limit_ms and now_ms < expires_ms
+            if connection.usable and not_expired and not connection.has_input:
                 return connection
             connection.close()
         if self._open.get(server.incarnation, 0) >= limit:
-            raise UpstreamError(f"{limit} connections to {server.address} are in use", sent=False)
+            raise UpstreamError(
+                f"all {limit} connections to {server.address} are in use", sent=False
+            )
         return await self._connect(server, min(connect_ms, CONNECT_TIMEOUT_MS))
 
     async def has_ended(self, server: BackendServer) -> bool:
-        """Return whether a backend server that has cut a connection listens no more.
+        """Return whether a backend server that broke off a connection has stopped listening.
 
-        Those who ask at the same time share the answer.  One that can't be reached may live.
+        This opens a connection as a test; concurrent calls share one test.  Only a refused
+        connection counts: a backend server that can't be reached may still be running.
         """
-        look = self._looks.get(server.incarnation)
-        if look is None:
-            look = asyncio.get_running_loop().create_task(self._refuses(server))
-            self._looks[server.incarnation] = look
-            look.add_done_callback(lambda _: self._looks.pop(server.incarnation))
-        return await asyncio.shield(look)
-
-    async def _refuses(self, server: BackendServer) -> bool:
+        check = self._listening_checks.get(server.incarnation)
+        if check is None:
+            check = asyncio.get_running_loop().create_task(self._refuses_connection(server))
+            self._listening_checks[server.incarnation] = check
+            check.add_done_callback(lambda _: self._listening_checks.pop(server.incarnation))
+        return await asyncio.shield(check)
+
+    async def _refuses_connection(self, server: BackendServer) -> bool:
         try:
             connection = await self._connect(server, CONNECT_TIMEOUT_MS)
         except UpstreamError as error:
@@ -87,42 +98,48 @@
         return False
 
     def has_idle(self, incarnation: str) -> bool:
-        """Return whether a connection to a backend server waits for use."""
+        """Return whether there is an idle connection to this incarnation."""
         return bool(self._idle.get(incarnation))
 
     def release(
         self, server: BackendServer, connection: UpstreamConnection, head: AnswerHead | None
     ) -> None:
-        """Give a connection back; it is kept only after a whole exchange."""
+        """Return a connection to the pool; it is kept only if its exchange was complete.
+
+        `head` is the response head that may state a keep-alive timeout, or None if there is none.
+        """
         connection.stop_sending()
-        keep_ms = _keep_ms(head) if head is not None and connection.usable else 0.0
-        if keep_ms <= 0.0:
+        keep_alive_ms = _keep_alive_ms(head) if head is not None and connection.usable else 0.0
+        if keep_alive_ms <= 0.0:
             connection.close()
             return
         now_ms = monotonic_ms()
         connection.idle_since_ms = now_ms
         kept = self._idle.setdefault(server.incarnation, deque())
-        kept.append((connection, now_ms + keep_ms))
+        kept.append((connection, now_ms + keep_alive_ms))
 
     def was_forgotten(self, server: BackendServer, connection: UpstreamConnection) -> None:
-        """Keep idle connections of a service for less time: one was reset when used again."""
+        """Lower the idle limit of a service after a reused idle connection was reset."""
         if not connection.idle_since_ms:
             return
         idle_ms = monotonic_ms() - connection.idle_since_ms
-        if idle_ms < FORGOTTEN_IDLE_MS:
+        if idle_ms < MIN_IDLE_BEFORE_RESET_MS:
             return
-        known_ms = self._idle_limit_ms.get(server.service, IDLE_LIMIT_MS)
-        limit_ms = max(IDLE_FLOOR_MS, min(known_ms, idle_ms * IDLE_CUT))
+        current_ms = self._idle_limit_ms.get(server.service, IDLE_LIMIT_MS)
+        limit_ms = max(MIN_IDLE_LIMIT_MS, min(current_ms, idle_ms * IDLE_LIMIT_FACTOR))
         self._idle_limit_ms[server.service] = limit_ms
 
     def went_silent(self, server: BackendServer, since_ms: float) -> None:
-        """Close what has been idle since before a request that got no byte of an answer."""
+        """Close the connections that have been idle since before `since_ms`.
+
+        Called with the start of a request that got no byte of a response.
+        """
         idle = self._idle.get(server.incarnation)
         while idle and idle[0][0].idle_since_ms < since_ms:
             idle.popleft()[0].close()
 
     def sweep(self) -> None:
-        """Close the connections that have been idle for too long."""
+        """Close the idle connections that have expired or are no longer usable."""
         now_ms = monotonic_ms()
         for incarnation, idle in tuple(self._idle.items()):
             while idle and (idle[0][1] <= now_ms or not idle[0][0].usable):
@@ -131,7 +148,7 @@
                 del self._idle[incarnation]
 
     def forget(self, incarnation: str) -> None:
-        """Close the idle connections to an incarnation that is gone."""
+        """Close the idle connections to an incarnation that no longer exists."""
         for connection, _ in self._idle.pop(incarnation, ()):
             connection.close()
 
@@ -146,34 +163,34 @@
         incarnation = server.incarnation
         self._open[incarnation] = self._open.get(incarnation, 0) + 1
         self.connects += 1
-        connection = UpstreamConnection(on_closed=lambda: self._count_closed(incarnation))
+        connection = UpstreamConnection(on_closed=lambda: self._on_connection_closed(incarnation))
         try:
             async with asyncio.timeout(timeout_ms / 1000):
                 await loop.create_connection(lambda: connection, host, int(port))
         except (OSError, TimeoutError) as error:
             connection.close()
-            reason = f"no connection to {server.address}: {error!r}"
+            reason = f"could not connect to {server.address}: {error!r}"
             raise UpstreamError(reason, sent=False) from error
         except asyncio.CancelledError:
             connection.close()
             raise
         return connection
 
-    def _count_closed(self, incarnation: str) -> None:
-        left = self._open.get(incarnation, 0) - 1
-        if left > 0:
-            self._open[incarnation] = left
+    def _on_connection_closed(self, incarnation: str) -> None:
+        remaining = self._open.get(incarnation, 0) - 1
+        if remaining > 0:
+            self._open[incarnation] = remaining
         else:
             self._open.pop(incarnation, None)
 
 
-def _keep_ms(head: AnswerHead) -> float:
-    """Return how long the connection may be idle after an answer."""
+def _keep_alive_ms(head: AnswerHead) -> float:
+    """Return how long the connection may stay idle after this response."""
     value = find(head.headers, b"keep-alive")
     if value is None:
-        return KEEP_DEFAULT_MS
+        return DEFAULT_KEEP_ALIVE_MS
     for part in value.split(b","):
         part = part.strip()
-        if part.startswith(KEEP_PREFIX) and part[len(KEEP_PREFIX) :].isdigit():
-            return int(part[len(KEEP_PREFIX) :]) * 1000.0 - KEEP_MARGIN_MS
-    return KEEP_DEFAULT_MS
+        if part.startswith(TIMEOUT_PREFIX) and part[len(TIMEOUT_PREFIX) :].isdigit():
+            return int(part[len(TIMEOUT_PREFIX) :]) * 1000.0 - KEEP_ALIVE_MARGIN_MS
+    return DEFAULT_KEEP_ALIVE_MS
--- a/cloverhook/gateway/ingress.py
+++ b/cloverhook/gateway/ingress.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 towards callers: one answer to each request, in order.
+"""The HTTP/1.1 server for callers: it answers each request of a connection in order.
 
-Layer: transport.  A request is read whole before it is served, within the limits in force.  A
-caller that goes away cancels the work on its request; an answer that breaks off resets the
-connection, so that no part is taken for the whole.
+Layer: transport.  A request is read completely before it is served, within the configured limits.
+If the caller disconnects, the work on its request is cancelled.  If a response fails midway, the
+connection is reset, so that the caller can't take a partial response for a complete one.
 """
 
 import asyncio
@@ -24,22 +24,26 @@
 
 BACKLOG = 1_024
 HEADER_FRAMING_BYTES = 4
-IDLE_SLACK_MS = 1_000.0
-"""An idle connection is kept this much longer than callers were told: none is cut in use."""
-HEAD_SLACK_MS = 250.0
-LINGER_MS = 1_000.0
+IDLE_TIMEOUT_MARGIN_MS = 1_000.0
+"""An idle connection is kept this much longer than the idle timeout that callers were told, so
+that it is never closed while a caller is still using it."""
+HEADER_TIMEOUT_MARGIN_MS = 250.0
+REFUSAL_LINGER_MS = 1_000.0
 HELD_LIMIT_BYTES = 65_536
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 BODILESS_STATUSES = frozenset((204, 304))
 
 
-class _RefusedError(Exception):
-    """Stops the parser; the connection has noted the error kind."""
+class _RequestRefusedError(Exception):
+    """Makes the parser stop; the connection has already stored the error kind."""
 
 
 class Ingress:
-    """A listening address, the connections to it and the handler behind it."""
+    """An HTTP listener with its open connections and the handler that serves their requests.
+
+    `limits` is called for the limits in force; `accepted` counts the connections accepted.
+    """
 
     def __init__(
         self, handler: Handler, limits: Callable[[], IngressLimits] = IngressLimits
@@ -52,7 +56,7 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self, address: str) -> None:
-        """Open the listener."""
+        """Start to listen on `address`, an `ip:port`."""
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
@@ -60,27 +64,27 @@
         )
 
     def close_listener(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections; open ones stay open."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
     def leave(self) -> None:
-        """Ask each caller to go elsewhere with its next answer."""
+        """Close each connection with its next response, so that callers connect elsewhere."""
         self.leaving = True
 
     def close_idle(self) -> None:
-        """Close the connections that no request is on."""
+        """Close the connections that have no request in progress."""
         for connection in tuple(self.connections):
             connection.close_if_idle()
 
     def in_flight(self) -> int:
-        """Return how many requests are being read or served."""
+        """Return how many connections have a request being read or served."""
         return sum(1 for item in self.connections if item.busy)
 
 
 class _CallerConnection(asyncio.Protocol):
-    """One caller's connection."""
+    """One connection from a caller; the transport and the HTTP parser call its methods."""
 
     def __init__(self, ingress: Ingress) -> None:
         self._ingress = ingress
@@ -94,48 +98,51 @@
         self._can_write = asyncio.Event()
         self._can_write.set()
         self._refusal: ErrorKind | None = None
-        self._deaf = False
+        self._ignore_input = False
         self._in_message = False
-        self._begin_message()
+        self._reset_message()
 
     @property
     def busy(self) -> bool:
-        """Whether a request is being read or served here."""
+        """Whether a request is being read or served on this connection."""
         return self._task is not None or self._in_message or bool(self._requests)
 
-    # What the transport calls.
+    # Methods that the transport calls.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the connection."""
+        """Register the connection and start its idle timer."""
         self._transport = transport
         self._ingress.connections.add(self)
         self._ingress.accepted += 1
         self._caller = transport.get_extra_info("peername")[0]
         transport.get_extra_info("socket").setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._watch_idle()
+        self._start_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel what runs: the caller has gone."""
+        """Cancel the request in progress, because the caller has disconnected."""
         self._ingress.connections.discard(self)
         self._stop_timer()
         self._can_write.set()
         self._requests.clear()
-        self._deaf = True
+        self._ignore_input = True
         self._parser = None
         if self._task is not None:
             self._task.cancel()
 
     def pause_writing(self) -> None:
-        """Make the sender of an answer wait."""
+        """Make the sender of a response wait until the transport can take more."""
         self._can_write.clear()
 
     def resume_writing(self) -> None:
-        """Let the sender of an answer go on."""
+        """Let the sender of a response continue."""
         self._can_write.set()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come; after a refusal nothing is read any more."""
-        if self._deaf:
+        """Parse received bytes; after a request was refused, further input is ignored.
+
+        Reading pauses while a request is served and part of the next one has arrived.
+        """
+        if self._ignore_input:
             return
         try:
             self._parser.feed_data(data)
@@ -143,62 +150,66 @@
             self._refuse(ErrorKind.BAD_REQUEST)
         except httptools.HttpParserError:
             self._refuse(self._refusal or ErrorKind.BAD_REQUEST)
-        if self._task is not None and self._in_message and not self._deaf:
+        if self._task is not None and self._in_message and not self._ignore_input:
             self._transport.pause_reading()
 
-    # What the parser calls.
+    # Methods that the parser calls.
 
     def on_message_begin(self) -> None:
-        """Start a request."""
-        self._begin_message()
+        """Start a request and its header timer."""
+        self._reset_message()
         self._in_message = True
         self._stop_timer()
-        delay_ms = self._ingress.limits().header_timeout_ms + HEAD_SLACK_MS
-        self._timer = self._loop.call_later(delay_ms / 1000, self._head_timed_out)
+        delay_ms = self._ingress.limits().header_timeout_ms + HEADER_TIMEOUT_MARGIN_MS
+        self._timer = self._loop.call_later(delay_ms / 1000, self._on_header_timeout)
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the target."""
+        """Append a part of the request target."""
         self._url += url
-        self._count_head(len(url))
+        self._count_header_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header; those after the body are dropped."""
-        self._count_head(len(name) + len(value) + HEADER_FRAMING_BYTES)
-        if not self._head_done:
+        """Store a header; trailers, which follow the body, are dropped."""
+        self._count_header_bytes(len(name) + len(value) + HEADER_FRAMING_BYTES)
+        if not self._headers_complete:
             self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Check the head."""
-        self._head_done = True
+        """Check the request head, and send 100 Continue if the caller expects it.
+
+        A request is refused unless it has exactly one host, at most one way to tell where its body
+        ends, no transfer coding but chunked, and version 1.0 or 1.1 of HTTP.
+        """
+        self._headers_complete = True
         self._stop_timer()
-        framing = [name for name, _ in self._headers if name == b"content-length"]
+        lengths = [name for name, _ in self._headers if name == b"content-length"]
         codings = [value for name, value in self._headers if name == b"transfer-encoding"]
         hosts = sum(1 for name, _ in self._headers if name == b"host")
         chunked = bool(codings)
-        if hosts != 1 or len(framing) > 1 or (chunked and framing) or not self._url:
-            self._stop(ErrorKind.BAD_REQUEST)
+        if hosts != 1 or len(lengths) > 1 or (chunked and lengths) or not self._url:
+            self._abort_parsing(ErrorKind.BAD_REQUEST)
         if chunked and (len(codings) > 1 or codings[0].lower() != b"chunked"):
-            self._stop(ErrorKind.BAD_REQUEST)
+            self._abort_parsing(ErrorKind.BAD_REQUEST)
         if self._parser.get_http_version() not in ("1.0", "1.1"):
-            self._stop(ErrorKind.BAD_REQUEST)
-        self._has_body = chunked or bool(framing)
+            self._abort_parsing(ErrorKind.BAD_REQUEST)
+        self._has_body = chunked or bool(lengths)
         for name, value in self._headers:
             if name == b"expect" and value.lower() == b"100-continue":
                 self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Append a part of the body, up to the size limit."""
         self._body_bytes += len(body)
         if self._body_bytes > self._ingress.limits().body_bytes:
-            self._stop(ErrorKind.BODY_TOO_LARGE)
+            self._abort_parsing(ErrorKind.BODY_TOO_LARGE)
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Queue the request, or start it."""
+        """Queue the complete request, and serve it at once if none is being served."""
         self._in_message = False
         target = self._url
         if not target.startswith(b"/"):
-            self._stop(ErrorKind.BAD_REQUEST)
+            self._abort_parsing(ErrorKind.BAD_REQUEST)
         host = next(value for name, value in self._headers if name == b"host")
         path = target.partition(b"?")[0].decode("latin-1")
         request = CallerRequest(
@@ -216,7 +227,7 @@
         if self._task is None:
             self._serve_next()
 
-    # Serving.
+    # Serving of requests.
 
     def _serve_next(self) -> None:
         request, keep_alive = self._requests.popleft()
@@ -225,18 +236,18 @@
     async def _serve(self, request: CallerRequest, keep_alive: bool) -> None:
         try:
             answer = await self._ingress.handler(request)
-            keep_alive = keep_alive and not self._ingress.leaving and not self._deaf
+            keep_alive = keep_alive and not self._ingress.leaving and not self._ignore_input
             await self._write(request, answer, keep_alive)
         except asyncio.CancelledError:
-            self._break_off()
+            self._reset_connection()
             raise
         except Exception:
-            self._break_off()
+            self._reset_connection()
             raise
         self._task = None
-        self._after_answer(keep_alive)
+        self._after_response(keep_alive)
 
-    def _after_answer(self, keep_alive: bool) -> None:
+    def _after_response(self, keep_alive: bool) -> None:
         if self._transport.is_closing():
             return
         if self._refusal is not None and not self._requests:
@@ -248,7 +259,7 @@
         else:
             self._transport.resume_reading()
             if not self._in_message:
-                self._watch_idle()
+                self._start_idle_timer()
 
     async def _write(self, request: CallerRequest, answer: CallerAnswer, keep_alive: bool) -> None:
         bodiless = request.method == b"HEAD" or answer.status in BODILESS_STATUSES
@@ -278,7 +289,7 @@
         if chunked:
             self._transport.write(b"0\r\n\r\n")
 
-    def _break_off(self) -> None:
+    def _reset_connection(self) -> None:
         if self._transport.is_closing():
             return
         sock = self._transport.get_extra_info("socket")
@@ -286,33 +297,33 @@
         self._transport.abort()
 
     def close_if_idle(self) -> None:
-        """Close the connection unless a request is on it."""
+        """Close the connection unless it has a request in progress."""
         if not self.busy:
             self._transport.close()
 
     # Limits.
 
-    def _begin_message(self) -> None:
+    def _reset_message(self) -> None:
         self._url = b""
         self._headers: HeaderList = []
         self._body: list[bytes] = []
         self._body_bytes = 0
-        self._head_bytes = 0
-        self._head_done = False
+        self._header_bytes = 0
+        self._headers_complete = False
         self._has_body = False
 
-    def _count_head(self, size_bytes: int) -> None:
-        self._head_bytes += size_bytes
-        if self._head_bytes > self._ingress.limits().header_bytes:
-            self._stop(ErrorKind.HEADERS_TOO_LARGE)
+    def _count_header_bytes(self, size_bytes: int) -> None:
+        self._header_bytes += size_bytes
+        if self._header_bytes > self._ingress.limits().header_bytes:
+            self._abort_parsing(ErrorKind.HEADERS_TOO_LARGE)
 
-    def _stop(self, kind: ErrorKind) -> None:
+    def _abort_parsing(self, kind: ErrorKind) -> None:
         self._refusal = kind
-        raise _RefusedError(kind.value)
+        raise _RequestRefusedError(kind.value)
 
     def _refuse(self, kind: ErrorKind) -> None:
-        """Read no more and answer with an error after the requests that came before."""
-        self._deaf = True
+        """Stop reading, and answer with an error once all earlier requests are answered."""
+        self._ignore_input = True
         self._in_message = False
         self._refusal = kind
         self._stop_timer()
@@ -328,15 +339,15 @@
         self._transport.write(b"".join(lines))
         if self._transport.can_write_eof():
             self._transport.write_eof()
-        self._timer = self._loop.call_later(LINGER_MS / 1000, self._transport.abort)
+        self._timer = self._loop.call_later(REFUSAL_LINGER_MS / 1000, self._transport.abort)
 
-    def _head_timed_out(self) -> None:
+    def _on_header_timeout(self) -> None:
         self._timer = None
         self._refuse(ErrorKind.HEADERS_TIMED_OUT)
 
-    def _watch_idle(self) -> None:
+    def _start_idle_timer(self) -> None:
         self._stop_timer()
-        delay_ms = self._ingress.limits().idle_timeout_ms + IDLE_SLACK_MS
+        delay_ms = self._ingress.limits().idle_timeout_ms + IDLE_TIMEOUT_MARGIN_MS
         self._timer = self._loop.call_later(delay_ms / 1000, self.close_if_idle)
 
     def _stop_timer(self) -> None:
