--- a/cloverhook/gateway/daemon.py
+++ b/cloverhook/gateway/daemon.py
@@ -1,7 +1,7 @@
-"""The gateway's program: one event loop that serves callers, follows the store and its peers.
+"""The gateway daemon: one event loop that serves callers and follows the store and the peers.
 
-Layer: transport.  `Gateway` only wires the parts together; each decision is made in a part of its
-own.
+Layer: transport.  `Gateway` only connects the components; each decision is made in a component of
+its own.
 """
 
 import asyncio
@@ -46,18 +46,20 @@
 
 TICK_MS = 50.0
 STANDBY_TICK_MS = 100.0
-"""A VM that no callers are sent to and that measures nothing has little to see to."""
+"""The interval on a VM that gets no callers and measures nothing: it has little to do."""
 SWEEP_MS = 1_000.0
-ACCEPT_SHARE = 0.55
-"""The part of a planned stop for which callers with old answers are still taken."""
-GOODBYE_MS = 800.0
-"""What is left of a planned stop when the last requests are given up: a slow VM needs it to end."""
+ACCEPT_FRACTION = 0.55
+"""The fraction of a planned stop during which callers that still use an older directory response
+are accepted."""
+SHUTDOWN_RESERVE_MS = 800.0
+"""Requests that still run this long before the end of a planned stop are abandoned: a slow VM
+needs this time to exit."""
 
 DirectoryHandler = Callable[[CallerRequest, list[str], float], CallerAnswer]
 
 
 def write_to_stdout(data: bytes) -> int:
-    """Write what standard output takes now and return how much that was."""
+    """Write as much as standard output accepts without blocking; return the number of bytes."""
     try:
         return os.write(1, data)
     except BlockingIOError:
@@ -65,7 +67,7 @@
 
 
 class Gateway:
-    """One gateway on one VM."""
+    """The gateway of one VM, with its listeners, its background tasks and its components."""
 
     def __init__(
         self,
@@ -84,7 +86,7 @@
         self._knowledge = Knowledge(settings.drain_s * 1000)
         self._members = Members(settings.vm, settings.data_center, now_ms)
         self._discovery = Discovery(settings.vm, self._members, now_ms)
-        own = Identity(
+        identity = Identity(
             settings.vm,
             time.time_ns() // 1_000_000,
             settings.data_center,
@@ -95,7 +97,7 @@
             settings.retry_ratio, settings.retry_extra, settings.retry_window_s * 1000
         )
         self._peering = Peering(
-            own,
+            identity,
             self._knowledge,
             self._members,
             self._log,
@@ -108,11 +110,11 @@
         quarantine_updates = self._peering.quarantine_updates
         self._keeper = QuarantineKeeper(store, quarantine_updates.quarantine, self._log)
         quarantine_updates.on_change = self._keeper.changed
-        record = MemberRecord(
+        member_record = MemberRecord(
             settings.vm, settings.data_center, settings.caller_address, settings.peer_address
         )
         self._announcer = Announcer(
-            record, store, self._discovery, self._peering.add_members, self._log
+            member_record, store, self._discovery, self._peering.add_members, self._log
         )
         self._follower = StoreFollower(
             store, self._knowledge, self._on_change, self._log, self._counters
@@ -169,15 +171,15 @@
         self._directory = Ingress(self._serve_directory)
         self._metrics = Ingress(self._serve_metrics)
         self._sweep_due_ms = 0.0
-        self._leaving = False
-        self._was_ready = False
-        self._was_cut_off = False
+        self._stopping = False
+        self._published_ready = False
+        self._logged_cut_off = False
         self._written_era = 0
         self._stopped = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Open the listeners and start to follow and to talk."""
+        """Open the listeners, and start to follow the store and to exchange messages with peers."""
         settings = self._settings
         await self._peering.link.open(settings.peer_address)
         await self._callers.listen(settings.caller_address)
@@ -196,10 +198,11 @@
             work = keep_running(self._keeper.read, "reading the quarantine", self._log)
             self._tasks.append(asyncio.create_task(work))
         self._log.note(Kind.STARTED, pid=os.getpid(), data_center=settings.data_center)
-        self._follow_or_not(monotonic_ms())  # A tick later would be 50 ms without an answer.
+        # Waiting for the first tick would leave callers without a response for 50 ms more.
+        self._update_store_following(monotonic_ms())
 
     async def run_until_stopped(self) -> None:
-        """Serve until a planned stop has ended."""
+        """Serve until a planned stop has ended, and then release all resources."""
         await self._stopped.wait()
         for task in self._tasks:
             task.cancel()
@@ -212,48 +215,52 @@
         self._log.flush()
 
     def leave(self) -> None:
-        """Begin a planned stop; a second call changes nothing."""
-        if not self._leaving:
-            self._leaving = self._announcer.leaving = True
+        """Begin a planned stop; a second call has no effect."""
+        if not self._stopping:
+            self._stopping = self._announcer.leaving = True
             self._log.note(Kind.STOPPING, in_flight=self._callers.in_flight())
-            self._tasks.append(asyncio.create_task(self._leave()))
+            self._tasks.append(asyncio.create_task(self._shut_down()))
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Take changed settings; addresses stay as they were until the next start."""
+        """Apply changed settings; changed addresses take effect at the next start."""
         self._settings = settings
         self._add_seeds()
         self._log.note(Kind.RELOADED)
 
     def start_failed(self, error: OSError) -> None:
-        """Say why the process ends at its start."""
+        """Log why the process ends during its start."""
         self._log.note(Kind.FAULT, part="start", error=str(error))
         self._log.flush()
 
     def reload_failed(self, error: SettingsError) -> None:
-        """Keep the settings in force and say why."""
+        """Log why changed settings were rejected; the settings in force stay."""
         self._log.note(Kind.RELOADED, error=str(error))
 
-    async def _leave(self) -> None:
-        """Send callers elsewhere, serve those who still come, and end when all is answered."""
+    async def _shut_down(self) -> None:
+        """Send callers to other VMs, serve those that still come, and stop once all are answered.
+
+        The listener stays open for `ACCEPT_FRACTION` of the planned stop.  Requests that still run
+        `SHUTDOWN_RESERVE_MS` before its end are abandoned.
+        """
         stop_ms = self._settings.stop_s * 1000
-        begun_ms = monotonic_ms()
+        started_ms = monotonic_ms()
         self._callers.leave()
         self._peering.leaving = True
         self._peering.ready = False
         self._peering.send_heartbeat()
-        accept_ms = begun_ms + stop_ms * ACCEPT_SHARE
+        accept_ms = started_ms + stop_ms * ACCEPT_FRACTION
         while monotonic_ms() < accept_ms:
             await asyncio.sleep(TICK_MS / 1000)
         self._callers.close_listener()
         self._callers.close_idle()
-        end_ms = begun_ms + stop_ms - GOODBYE_MS
+        end_ms = started_ms + stop_ms - SHUTDOWN_RESERVE_MS
         while self._callers.in_flight() and monotonic_ms() < end_ms:
             await asyncio.sleep(TICK_MS / 1000)
             self._callers.close_idle()
         self._stopped.set()
 
     def _add_seeds(self) -> None:
-        """Look for peers on the seeds' hosts; peers have the same port everywhere."""
+        """Add the hosts of the seeds as peers; the peer port is the same on all VMs."""
         own_address = self._settings.peer_address
         port = own_address.rpartition(":")[2]
         for seed in self._settings.seed_addresses:
@@ -276,11 +283,11 @@
 
     async def _serve_directory(self, request: CallerRequest) -> CallerAnswer:
         now_ms = monotonic_ms()
-        asks_in_vain = self._follower.active and not self._follower.reading
-        addresses = self._members.caller_addresses(now_ms, reaches_nobody=asks_in_vain)
+        store_unreachable = self._follower.active and not self._follower.reading
+        addresses = self._members.caller_addresses(now_ms, reaches_nobody=store_unreachable)
         if self._is_ready() and (not addresses or self._members.names_itself(now_ms)):
             addresses.append(self._settings.caller_address)
-        random.shuffle(addresses)  # An answer may hold a part of them: each VM gets callers.
+        random.shuffle(addresses)  # A response may hold only some, and each VM should get callers.
         return self._answer_directory(request, addresses, self._settings.address_ttl_s * 1000)
 
     async def _serve_metrics(self, request: CallerRequest) -> CallerAnswer:
@@ -308,33 +315,33 @@
         return CallerAnswer(200, headers, counters.page())
 
     def _is_ready(self) -> bool:
-        return self._knowledge.complete and not self._leaving
+        return self._knowledge.complete and not self._stopping
 
-    # What goes on without requests.
+    # Background work.
 
     async def _tick(self) -> None:
-        watch = PauseWatch(monotonic_ms())
+        pause_watch = PauseWatch(monotonic_ms())
         while True:
             await asyncio.sleep(self._tick_ms() / 1000)
             now_ms = monotonic_ms()
-            if watch.observe(now_ms):
+            if pause_watch.observe(now_ms):
                 self._log.note(Kind.PAUSED)
                 self._peering.broadcast.paused(now_ms)
             try:
-                self._do_what_is_due(now_ms)
+                self._run_periodic_work(now_ms)
             except Exception:
                 self._log.note(Kind.FAULT, part="tick", error=traceback.format_exc())
             self._log.flush()
 
     def _tick_ms(self) -> float:
-        """Return the time to the next tick: less often where nobody waits for what it does."""
+        """Return the time to the next tick, which is longer when no request depends on it."""
         busy = self._knowledge.board.has_requests() or len(self._forwarder.admission)
         if busy or self._members.is_informed(monotonic_ms()):
             return TICK_MS
         return STANDBY_TICK_MS
 
-    def _do_what_is_due(self, now_ms: float) -> None:
-        self._follow_or_not(now_ms)
+    def _run_periodic_work(self, now_ms: float) -> None:
+        self._update_store_following(now_ms)
         evacuated = self._knowledge.evacuated()
         ended = self._knowledge.expire(now_ms)
         if self._knowledge.evacuated() != evacuated:
@@ -352,7 +359,7 @@
                 gone=incarnation,
                 digest=self._knowledge.registry.digest(),
             )
-        self._tell_readiness()
+        self._publish_readiness()
         self._probe(now_ms)
         if self._peering.reading != self._follower.reading:
             self._peering.reading = self._follower.reading
@@ -365,8 +372,8 @@
         self._forwarder.admission.look_at_all()
 
     def _sweep(self, now_ms: float) -> None:
-        self._write_again_in_new_era()
-        self._tell_cut_off(now_ms)
+        self._rewrite_after_store_restore()
+        self._log_cut_off(now_ms)
         self._pool.sweep()
         known = self._knowledge.registry.get
         self._prober.sweep(known)
@@ -376,8 +383,11 @@
         self._peering.quarantine_updates.forget(now_ms)
         self._peering.rate_limit_updates.expire(now_ms)
 
-    def _write_again_in_new_era(self) -> None:
-        """Write again what this VM wrote, once the store has come back without it."""
+    def _rewrite_after_store_restore(self) -> None:
+        """Write this VM's records again after the store was restored from an older copy.
+
+        The copy may lack them; a new store era shows that it was restored.
+        """
         era = self._knowledge.store_era
         if era == self._written_era:
             return
@@ -387,18 +397,18 @@
                 self._keeper.changed()
         self._written_era = era
 
-    def _tell_cut_off(self, now_ms: float) -> None:
+    def _log_cut_off(self, now_ms: float) -> None:
         cut_off = self._members.is_cut_off(now_ms)
-        if cut_off != self._was_cut_off:
-            self._was_cut_off = cut_off
+        if cut_off != self._logged_cut_off:
+            self._logged_cut_off = cut_off
             alive = len(self._members.alive(now_ms))
             self._log.note(Kind.CUT_OFF, cut_off=cut_off, alive=alive, known=len(self._members))
 
-    def _tell_readiness(self) -> None:
+    def _publish_readiness(self) -> None:
         ready = self._is_ready()
         self._peering.ready = ready
-        if ready != self._was_ready:
-            self._was_ready = ready
+        if ready != self._published_ready:
+            self._published_ready = ready
             self._log.note(
                 Kind.READY,
                 ready=ready,
@@ -407,21 +417,25 @@
             )
             self._peering.send_heartbeat()
 
-    def _follow_or_not(self, now_ms: float) -> None:
+    def _update_store_following(self, now_ms: float) -> None:
         wanted = self._members.reads_store(self._follower.reading, now_ms)
-        if not self._follower.active and wanted and not self._leaving:
+        if not self._follower.active and wanted and not self._stopping:
             self._follower.start()
         elif not self._knowledge.complete and not self._settings.first_start:
             self._follower.read_first()
-        elif self._follower.active and not wanted and self._others_read(now_ms):
-            self._follower.stop("others read")
+        elif self._follower.active and not wanted and self._enough_others_read(now_ms):
+            self._follower.stop("enough other VMs read the store")
 
-    def _others_read(self, now_ms: float) -> bool:
+    def _enough_others_read(self, now_ms: float) -> bool:
         alive = self._members.alive(now_ms)
         return sum(1 for member in alive if member.reading) >= READERS
 
     def _on_change(self, touched: tuple[str, ...], base_version: int) -> None:
-        """Pass on what the store has told; the registry's version was `base_version` before."""
+        """Send changes read from the store to the peers.
+
+        `touched` names the changed backend servers, and `base_version` is the version of the
+        registry before the change.
+        """
         knowledge = self._knowledge
         if not touched:
             self._peering.send_heartbeat(has_update=True)
@@ -439,7 +453,7 @@
     def _probe(self, now_ms: float) -> None:
         """Start the probes that are due."""
         config = self._knowledge.config
-        if config is None or self._leaving:
+        if config is None or self._stopping:
             return
         self._prober.probe(
             (server, config.services[server.service].health_path)
--- a/cloverhook/gateway/program.py
+++ b/cloverhook/gateway/program.py
@@ -1,4 +1,4 @@
-"""Runs a gateway as a process: its signals, its start and its exit code.
+"""Runs a gateway as a process: handles its signals, its start and its exit code.
 
 Layer: transport.
 """
@@ -20,7 +20,10 @@
 
 
 async def serve(gateway: Gateway, read_settings: Callable[[], GatewaySettings]) -> int:
-    """Run a gateway until it is told to stop, and return the process's exit code."""
+    """Run a gateway until SIGTERM or SIGINT stops it, and return the exit code of the process.
+
+    SIGHUP reloads the settings with `read_settings`; invalid ones are logged and ignored.
+    """
     loop = asyncio.get_running_loop()
     with contextlib.suppress(OSError):
         os.set_blocking(1, False)
