--- a/cloverhook/gateway/discovery.py
+++ b/cloverhook/gateway/discovery.py
@@ -1,9 +1,9 @@
-"""Decides when a VM looks for the others in the store, and writes itself down there.
+"""Decides when a VM announces itself in the store and looks there for other VMs.
 
-Layer: coordination.  Who starts greets the seeds of its settings and asks them who else is there,
-so most VMs need no call to the store, which is paid for.  Where a seed is missing, the store is the
-way in: the newcomer writes itself down and reads who else has done so, and a few of those that have
-been there before keep themselves written down for it.
+Layer: coordination.  A VM that starts contacts the seeds in its settings and asks them for the
+other members, so most VMs need no call to the store.  Such calls are billed.  If a seed doesn't
+answer, members find each other through the store: the new VM announces itself and reads the
+announcements of others, and a few of the older members keep themselves announced for new VMs.
 """
 
 from cloverhook.gateway.members import Members
@@ -11,48 +11,56 @@
 
 __all__ = ["Discovery"]
 
-PATIENCE_MS = 1_500.0
-"""Seeds that start with the rest of the fleet are heard within this time."""
-ANNOUNCERS = 3
-"""One VM that lives is enough for a newcomer to learn of all."""
+SEED_TIMEOUT_MS = 1_500.0
+"""A seed that starts together with the rest of the fleet sends its first message within this
+time."""
+MAX_ANNOUNCERS = 3
+"""How many members keep themselves announced: a new VM learns of all others from a single live
+one."""
 
 
 class Discovery:
-    """This VM's way to be found, and to find the others."""
+    """Decides whether this VM has to use the store to find other VMs and to be found by them."""
 
     def __init__(self, own_vm: str, members: Members, now_ms: float) -> None:
         self._own_vm = own_vm
         self._members = members
         self._started_ms = now_ms
         self._seeds: set[str] = set()
-        self._met_all = False
+        self._has_heard_all_seeds = False
         self._announced = False
 
     def add_seed(self, peer_address: str) -> None:
-        """Take the address of a VM that is meant to be there from the start."""
+        """Add the peer address of a VM that the settings name as a seed."""
         self._seeds.add(peer_address)
 
     def needs_store(self, now_ms: float) -> bool:
-        """Return whether this VM should announce itself in the store and read who is there."""
+        """Return whether this VM should announce itself in the store and read the announcements.
+
+        A VM without seeds announces itself at once.  A VM for which never all seeds were alive at
+        the same time does so after `SEED_TIMEOUT_MS`.  If a seed falls silent later, only the first
+        `MAX_ANNOUNCERS` live VMs announce themselves.  While an announcement is in the store, it
+        isn't repeated.
+        """
         if self._announced:
             return False
         if not self._seeds:
             return True
         alive = self._members.alive(now_ms)
         if self._seeds <= {item.peer_address for item in alive}:
-            self._met_all = True
+            self._has_heard_all_seeds = True
             return False
-        if now_ms - self._started_ms < PATIENCE_MS:
+        if now_ms - self._started_ms < SEED_TIMEOUT_MS:
             return False
-        if not self._met_all:
+        if not self._has_heard_all_seeds:
             return True
         place = place_in_order("announce", self._own_vm, (item.vm for item in alive))
-        return place < ANNOUNCERS
+        return place < MAX_ANNOUNCERS
 
     def announcement_lost(self) -> None:
-        """Note that the store has forgotten what this VM wrote down."""
+        """Record that the store has lost this VM's announcement."""
         self._announced = False
 
     def announced(self) -> None:
-        """Note that the store has answered."""
+        """Record that the store has accepted this VM's announcement."""
         self._announced = True
--- a/cloverhook/gateway/settings.py
+++ b/cloverhook/gateway/settings.py
@@ -1,7 +1,7 @@
-"""A gateway's settings: a TOML file, checked whole.
+"""The settings of a gateway: a TOML file that is validated as a whole.
 
-Layer: state.  Unlike the settings of `cloverhookd`, they say nothing of brands or endpoints: the
-gateway reads both from the platform's store.
+Layer: state.  Unlike the settings of `cloverhookd`, they contain no brands or endpoints, because
+the gateway reads both from the platform's store.
 """
 
 from collections.abc import Mapping
@@ -16,26 +16,26 @@
 __all__ = ["GatewaySettings"]
 
 ADDRESS = Address()
-PLACE = Text("a name", r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}")
+NAME = Text("a name", r"[A-Za-z0-9][A-Za-z0-9._-]{0,127}")
 HOUR_S = 3_600
 
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """What a gateway has to know before it starts.
+    """The settings that a gateway needs at its start.
 
-    Addresses are `ip:port`.  `seed_addresses` names peers to ask while the store is away;
-    `drain_s` is how soon a backend server that leaves must get no more work, `stop_s` how long a
-    planned stop may take.  At the `first_start` of a whole fleet there is time to let one VM read
-    the store for all; at a later start each reads it once.  Over `retry_window_s`, all
-    gateways together may repeat `retry_ratio` of a service's requests and `retry_extra` more.  In a
+    Addresses are `ip:port`.  `seed_addresses` lists peers to ask while the store is unavailable.
+    A backend server that is leaving must get no more work `drain_s` later.  A planned stop may take
+    up to `stop_s`.  At the `first_start` of a whole fleet there is time to let one VM read the store for
+    all; at a later start each VM reads it once.  Within `retry_window_s`, all gateways together may
+    retry the fraction `retry_ratio` of a service's requests and `retry_extra` requests more.  In a
     second, a cold backend server gets at most `cold_over` times the rate that its service states,
-    and `cold_slack` requests more.  `regions` tells the region of each data centre; a route that
-    names regions is served by the data centres there alone.
+    and `cold_slack` requests more.  `regions` maps each data centre to its region; a route that
+    lists regions is served only by data centres in those regions.
     """
 
-    vm: str = kind(PLACE)
-    data_center: str = kind(PLACE)
+    vm: str = kind(NAME)
+    data_center: str = kind(NAME)
     caller_address: str = kind(ADDRESS)
     ready_address: str = kind(ADDRESS)
     directory_address: str = kind(ADDRESS)
@@ -57,12 +57,12 @@
 
     @classmethod
     def from_file(cls, path: str) -> "GatewaySettings":
-        """Read settings from a TOML file.  Raises `SettingsError` with every fault."""
+        """Read settings from a TOML file.  Raises `SettingsError` that lists every fault."""
         return cls.from_document(read_toml(path, SettingsError))
 
     @classmethod
     def from_document(cls, document: Mapping[str, Any]) -> "GatewaySettings":
-        """Build settings from parsed TOML.  Raises `SettingsError` with every fault."""
+        """Build settings from parsed TOML.  Raises `SettingsError` that lists every fault."""
         faults = faults_of(table_of(cls), "", document)
         if faults:
             raise SettingsError(faults)
--- a/cloverhook/gateway/supervision.py
+++ b/cloverhook/gateway/supervision.py
@@ -1,7 +1,8 @@
-"""Keeps a task of the gateway going.
+"""Restarts a background task of the gateway after a failure.
 
-Layer: coordination.  A task that ended by a fault would leave a gateway that looks well and no
-longer reads the store, or tells others of itself.  Its fault is logged and it begins again.
+Layer: coordination.  If a task ended by an exception, the gateway would look healthy while it no
+longer reads the store or announces itself to other VMs.  So the exception is logged and the task is
+started again.
 """
 
 import asyncio
@@ -12,16 +13,20 @@
 
 __all__ = ["keep_running"]
 
-RESTART_MS = 500.0
-"""A fault that comes back at once may cost two lines a second and no noticeable time."""
+RESTART_DELAY_MS = 500.0
+"""With this delay, a task that fails at once each time writes only two log lines a second and takes
+no noticeable time."""
 
 
 async def keep_running(work: Callable[[], Awaitable[None]], part: str, log: EventLog) -> None:
-    """Run `work` until it returns; after a fault, log its trace and run it again."""
+    """Run `work` until it returns; after an exception, log its traceback and run it again.
+
+    `part` names the task in the log.
+    """
     while True:
         try:
             await work()
             return
         except Exception:
             log.note(Kind.FAULT, part=part, error=traceback.format_exc())
-        await asyncio.sleep(RESTART_MS / 1000)
+        await asyncio.sleep(RESTART_DELAY_MS / 1000)
