--- a/cloverhook/gateway/__init__.py
+++ b/cloverhook/gateway/__init__.py
@@ -1,5 +1,5 @@
-"""The gateway: the daemon for fleets whose backend servers come and go at run time.
+"""The gateway: the daemon for fleets whose backend servers register themselves at run time.
 
-Each module names its layer in its docstring, like the modules of the package above.  The gateway
-imports little, because the memory of every process is paid for on every VM.
+Each module states its layer in its docstring, like the modules of the parent package.  The gateway
+imports few modules, because the memory that a process uses is paid for on every VM.
 """
--- a/cloverhook/gateway/config_codec.py
+++ b/cloverhook/gateway/config_codec.py
@@ -1,7 +1,8 @@
-"""The form in which peers hand on a configuration: bytes that are made once and passed on as is.
+"""The encoded configuration that peers exchange: encoded once and forwarded unchanged.
 
-Layer: state.  A VM that has received a configuration sends the same bytes to others, also while
-it still decodes them itself.  Decoding goes in steps, so that a loop that also serves is not held.
+Layer: state.  A VM that has received a configuration forwards the same bytes to others, even while
+it is still decoding them itself.  Decoding runs in steps, so that it doesn't block an event loop
+that also serves requests.
 
 >>> config = GatewayConfig.from_document({"version": 4, "routes": []})
 >>> encoded = EncodedConfig.from_config(config)
@@ -20,13 +21,13 @@
 
 __all__ = ["EncodedConfig"]
 
-LARGEST_BYTES = 256 * 1024 * 1024
-"""A few bytes could else be unpacked to fill the memory."""
+MAX_DECODED_BYTES = 256 * 1024 * 1024
+"""Without this limit, a few bytes could decompress to so many that memory runs out."""
 
 
 @dataclass(frozen=True, slots=True)
 class EncodedConfig:
-    """A configuration of a version, as bytes."""
+    """An encoded configuration (compressed CBOR) and its version."""
 
     version: int
     data: bytes
@@ -37,17 +38,17 @@
         return cls(config.version, zlib.compress(cbor2.dumps(config.to_document())))
 
     def decode(self) -> Iterator[GatewayConfig | None]:
-        """Decode step by step: yields None after each step, and at the end the configuration.
+        """Decode in steps: yield None after each step, and the configuration as the last item.
 
-        Raises `MessageError` for what is none, or of another version.
+        Raises `MessageError` if the bytes are no valid configuration, or one of another version.
         """
         try:
-            unpacker = zlib.decompressobj()
-            document = cbor2.loads(unpacker.decompress(self.data, LARGEST_BYTES))
+            decompressor = zlib.decompressobj()
+            document = cbor2.loads(decompressor.decompress(self.data, MAX_DECODED_BYTES))
         except (zlib.error, cbor2.CBORError, RecursionError) as error:
-            raise MessageError(f"a configuration: {error!r}") from error
+            raise MessageError(f"configuration can't be decoded: {error!r}") from error
         yield None
         for config in GatewayConfig.steps_from_document(document):
             if config is not None and config.version != self.version:
-                raise MessageError(f"a configuration of version {config.version}")
+                raise MessageError(f"configuration has an unexpected version: {config.version}")
             yield config
--- a/cloverhook/gateway/config_sender.py
+++ b/cloverhook/gateway/config_sender.py
@@ -1,4 +1,4 @@
-"""Hands out the configuration to peers that ask, as `TransferQueue` decides.
+"""Sends the configuration to peers that request it, in the order that `TransferQueue` decides.
 
 Layer: transport.
 """
@@ -10,11 +10,11 @@
 __all__ = ["ConfigSender"]
 
 WAIT_S = 0.6
-"""An asker gives up without a word after a second."""
+"""Less than the one second after which a requester that gets no reply gives up."""
 
 
 class ConfigSender:
-    """The peers that wait for the configuration of the newest version that was asked for."""
+    """The peers that wait for the newest version of the configuration that was requested."""
 
     def __init__(self, data_center: str) -> None:
         self._data_center = data_center
@@ -23,17 +23,17 @@
         self._turns: dict[Asker, asyncio.Future[Send | Refer]] = {}
 
     async def turn(self, asker: Asker, version: int) -> Send | Refer:
-        """Wait until a peer is to be sent this version, or is to ask elsewhere.
+        """Wait until this version can be sent to a peer, or until the peer should ask elsewhere.
 
-        Every `Send` has to be followed by a call of `ended`.
+        The wait is limited to `WAIT_S`.  After each `Send`, the caller must call `ended`.
         """
         if version != self._version:
-            self._begin(version)
+            self._start_version(version)
         if asker in self._turns:
             return Refer(asker, None)
         turn: asyncio.Future[Send | Refer] = asyncio.get_running_loop().create_future()
         self._turns[asker] = turn
-        self._act(self._queue.ask(asker))
+        self._apply(self._queue.ask(asker))
         done, _ = await asyncio.wait([turn], timeout=WAIT_S)
         self._turns.pop(asker, None)
         if done:
@@ -41,17 +41,17 @@
         return self._queue.withdraw(asker) if version == self._version else Refer(asker, None)
 
     def ended(self, asker: Asker, version: int, received: bool) -> None:
-        """Note the end of a transfer."""
+        """Record the end of a transfer, and whether the peer received all of it."""
         if version == self._version:
-            self._act(self._queue.ended(asker, received))
+            self._apply(self._queue.ended(asker, received))
 
-    def _begin(self, version: int) -> None:
-        """Have those that wait for an older version ask again."""
+    def _start_version(self, version: int) -> None:
+        """Start a queue for a new version, and have peers that wait for an older one ask again."""
         self._version = version
         self._queue = TransferQueue(self._data_center)
-        self._act([Refer(asker, None) for asker in self._turns])
+        self._apply([Refer(asker, None) for asker in self._turns])
 
-    def _act(self, actions: list[Send | Refer]) -> None:
+    def _apply(self, actions: list[Send | Refer]) -> None:
         for action in actions:
             turn = self._turns.get(action.to)
             if turn is not None and not turn.done():
--- a/cloverhook/gateway/counters.py
+++ b/cloverhook/gateway/counters.py
@@ -1,8 +1,8 @@
-"""Counters and latency histograms, as plain numbers, and the page that shows them.
+"""Counters, gauges and latency histograms, and their output in the Prometheus text format.
 
-Layer: state.  The page is in the Prometheus text format.  The library that the house names for it
-keeps a label dictionary for each count, which costs memory on every VM; here a count is a tuple
-key in one dictionary.
+Layer: state.  The metrics library that is otherwise standard here keeps a dictionary of labels for
+each count, which costs memory on every VM.  Here, a count is an entry of a single dictionary with a
+tuple as its key.
 """
 
 from bisect import bisect_left
@@ -42,44 +42,44 @@
 
 
 class Counters:
-    """Counts by name and labels."""
+    """Counters, gauges and latency histograms, each by its name and its labels."""
 
     def __init__(self) -> None:
         self._counts: dict[tuple[str, tuple[tuple[str, str], ...]], float] = {}
         self._histograms: dict[tuple[str, tuple[tuple[str, str], ...]], list[float]] = {}
 
     def add(self, name: str, amount: float = 1, **labels: str) -> None:
-        """Count something."""
+        """Add `amount` to a counter."""
         key = (name, tuple(labels.items()))
         self._counts[key] = self._counts.get(key, 0) + amount
 
     def set(self, name: str, value: float, **labels: str) -> None:
-        """Set a gauge."""
+        """Set a gauge to a value."""
         self._counts[name, tuple(labels.items())] = value
 
     def observe(self, name: str, value_ms: float, **labels: str) -> None:
-        """Count a latency."""
+        """Add a latency to a histogram."""
         key = (name, tuple(labels.items()))
-        row = self._histograms.get(key)
-        if row is None:
-            row = self._histograms[key] = [0.0] * (len(BUCKETS_MS) + 2)
-        row[bisect_left(BUCKETS_MS, value_ms)] += 1
-        row[-1] += value_ms
+        histogram = self._histograms.get(key)
+        if histogram is None:
+            histogram = self._histograms[key] = [0.0] * (len(BUCKETS_MS) + 2)
+        histogram[bisect_left(BUCKETS_MS, value_ms)] += 1
+        histogram[-1] += value_ms
 
     def page(self) -> bytes:
-        """Return all counts as text."""
+        """Return all metrics in the Prometheus text format."""
         lines = [
             f"{PREFIX}{name}{_labels(labels)} {value:g}"
             for (name, labels), value in sorted(self._counts.items())
         ]
-        for (name, labels), row in sorted(self._histograms.items()):
+        for (name, labels), histogram in sorted(self._histograms.items()):
             total = 0.0
-            for bound, count in zip((*BUCKETS_MS, "+Inf"), row[:-1], strict=True):
+            for bound, count in zip((*BUCKETS_MS, "+Inf"), histogram[:-1], strict=True):
                 total += count
                 bucket = _labels((*labels, ("le", str(bound))))
                 lines.append(f"{PREFIX}{name}_ms_bucket{bucket} {total:g}")
             lines.append(f"{PREFIX}{name}_ms_count{_labels(labels)} {total:g}")
-            lines.append(f"{PREFIX}{name}_ms_sum{_labels(labels)} {row[-1]:g}")
+            lines.append(f"{PREFIX}{name}_ms_sum{_labels(labels)} {histogram[-1]:g}")
         return ("\n".join(lines) + "\n").encode()
 
 
--- a/cloverhook/gateway/event_log.py
+++ b/cloverhook/gateway/event_log.py
@@ -1,9 +1,9 @@
-"""Structured log lines: one JSON object each, bounded, never waited for.
+"""Structured logging: one JSON object a line, within rate and size limits and without blocking.
 
-Layer: state.  Each kind of line has a budget a second.  Lines of one request are kept or
-dropped together: whether an ordinary request is logged depends on a hash of its identifier alone,
-so that all processes keep the same ones; failures go before it.  When nobody reads, lines are
-dropped and counted; a line `log-dropped` says how many.
+Layer: state.  Each kind of line has a budget for each second.  All lines of one request are kept or
+dropped together: whether an ordinary request is logged depends only on a hash of its identifier, so
+that all processes log the same requests; failures are logged whatever the hash is.  If the output
+isn't read, lines are dropped and counted; a line of the kind `log-dropped` gives the numbers.
 """
 
 import json
@@ -17,19 +17,19 @@
 __all__ = ["EventLog", "Kind"]
 
 SAMPLE_HASH_RANGE = 256
-SAMPLED = 8
-"""Of 256 ordinary requests, as many are logged whole."""
+SAMPLED_HASHES = 8
+"""Of 256 ordinary requests, this many are logged completely."""
 BUFFER_LIMIT_BYTES = 256 * 1024
-WINDOW_MS = 1_000.0
+BUDGET_WINDOW_MS = 1_000.0
 
 
 class Kind(StrEnum):
-    """The kinds of lines, and how many of each may be written in a second."""
+    """The kinds of log lines, each with the number of lines that may be written in a second."""
 
     lines_per_s: int
 
     def __new__(cls, value: str, lines_per_s: int) -> "Kind":
-        """Return a member with its budget."""
+        """Return a member that also holds its budget of lines a second."""
         member = str.__new__(cls, value)
         member._value_ = value
         member.lines_per_s = lines_per_s
@@ -60,26 +60,29 @@
 
 
 class EventLog:
-    """Hands lines to `write`, which returns how many bytes its reader took, and never waits."""
+    """Buffers log lines and passes them to `write`.
+
+    `write` must not block; it returns how many bytes were accepted.
+    """
 
     def __init__(self, vm: str, write: Callable[[bytes], int]) -> None:
         self._vm = vm
         self._write = write
         self._buffer = bytearray()
-        self._window_ms = 0.0
+        self._window_start_ms = 0.0
         self._counts: dict[Kind, int] = {}
         self._dropped: dict[str, int] = {}
         self.dropped_total = 0
 
     def sampled(self, request_id: str) -> bool:
         """Return whether an ordinary request with this identifier is logged."""
-        return zlib.crc32(request_id.encode()) % SAMPLE_HASH_RANGE < SAMPLED
+        return zlib.crc32(request_id.encode()) % SAMPLE_HASH_RANGE < SAMPLED_HASHES
 
     def note(self, kind: Kind, **fields: Any) -> None:
-        """Write a line, unless this kind has had its share of the present second."""
+        """Log a line, or drop and count it if the budget of its kind or the buffer is used up."""
         now_ms = monotonic_ms()
-        if now_ms - self._window_ms >= WINDOW_MS:
-            self._next_window(now_ms)
+        if now_ms - self._window_start_ms >= BUDGET_WINDOW_MS:
+            self._start_window(now_ms)
         count = self._counts.get(kind, 0)
         if count >= kind.lines_per_s or len(self._buffer) > BUFFER_LIMIT_BYTES:
             self._dropped[kind.value] = self._dropped.get(kind.value, 0) + 1
@@ -89,14 +92,14 @@
         self._append(kind, fields)
 
     def flush(self) -> None:
-        """Hand over what is buffered, as far as the reader takes it now."""
+        """Write the buffered lines, as far as the output accepts them now."""
         if not self._buffer:
             return
         written = self._write(bytes(self._buffer))
         del self._buffer[:written]
 
-    def _next_window(self, now_ms: float) -> None:
-        self._window_ms = now_ms
+    def _start_window(self, now_ms: float) -> None:
+        self._window_start_ms = now_ms
         self._counts.clear()
         if self._dropped and len(self._buffer) <= BUFFER_LIMIT_BYTES:
             dropped, self._dropped = self._dropped, {}
--- a/cloverhook/gateway/settings.py
+++ b/cloverhook/gateway/settings.py
@@ -25,13 +25,14 @@
     """The settings that a gateway needs at its start.
 
     Addresses are `ip:port`.  `seed_addresses` lists peers to ask while the store is unavailable.
-    A backend server that is leaving must get no more work `drain_s` later.  A planned stop may take
-    up to `stop_s`.  At the `first_start` of a whole fleet there is time to let one VM read the store for
-    all; at a later start each VM reads it once.  Within `retry_window_s`, all gateways together may
-    retry the fraction `retry_ratio` of a service's requests and `retry_extra` requests more.  In a
-    second, a cold backend server gets at most `cold_over` times the rate that its service states,
-    and `cold_slack` requests more.  `regions` maps each data centre to its region; a route that
-    lists regions is served only by data centres in those regions.
+    `drain_s` is the time after which a leaving backend server must get no more work, and `stop_s`
+    the longest time for a planned stop.  At the `first_start` of a whole fleet there is time to let
+    one VM read the store for all; at a later start each VM reads it once.  Within `retry_window_s`,
+    all gateways together may retry the fraction `retry_ratio` of a service's requests and
+    `retry_extra` requests more.  In a second, a cold backend server gets at most `cold_over` times
+    the rate that its service states, and `cold_slack` requests more.  `regions` maps each data
+    centre to its region; a route that lists regions is served only by data centres in those
+    regions.
     """
 
     vm: str = kind(NAME)
