--- a/cloverhook/gateway/discovery.py
+++ b/cloverhook/gateway/discovery.py
@@ -37,10 +37,10 @@
     def needs_store(self, now_ms: float) -> bool:
         """Return whether this VM should announce itself in the store and read the announcements.
 
-        A VM without seeds announces itself at once.  A VM for which never all seeds were alive at
+        A VM without seeds announces itself at once.  A VM that never saw all its seeds alive at
         the same time does so after `SEED_TIMEOUT_MS`.  If a seed falls silent later, only the first
-        `MAX_ANNOUNCERS` live VMs announce themselves.  While an announcement is in the store, it
-        isn't repeated.
+        `MAX_ANNOUNCERS` live VMs announce themselves.  A VM whose announcement is in the store
+        doesn't announce itself again.
         """
         if self._announced:
             return False
