--- a/cloverhook/gateway/backend_pool.py
+++ b/cloverhook/gateway/backend_pool.py
@@ -76,7 +76,7 @@
             )
         return await self._connect(server, min(connect_ms, CONNECT_TIMEOUT_MS))
 
-    async def has_ended(self, server: BackendServer) -> bool:
+    async def has_stopped_listening(self, server: BackendServer) -> bool:
         """Return whether a backend server that broke off a connection has stopped listening.
 
         This opens a connection as a test; concurrent calls share one test.  Only a refused
@@ -118,7 +118,7 @@
         kept = self._idle.setdefault(server.incarnation, deque())
         kept.append((connection, now_ms + keep_alive_ms))
 
-    def was_forgotten(self, server: BackendServer, connection: UpstreamConnection) -> None:
+    def shorten_idle_limit(self, server: BackendServer, connection: UpstreamConnection) -> None:
         """Lower the idle limit of a service after a reused idle connection was reset."""
         if not connection.idle_since_ms:
             return
@@ -129,7 +129,7 @@
         limit_ms = max(MIN_IDLE_LIMIT_MS, min(current_ms, idle_ms * IDLE_LIMIT_FACTOR))
         self._idle_limit_ms[server.service] = limit_ms
 
-    def went_silent(self, server: BackendServer, since_ms: float) -> None:
+    def close_idle_since(self, server: BackendServer, since_ms: float) -> None:
         """Close the connections that have been idle since before `since_ms`.
 
         Called with the start of a request that got no byte of a response.
--- a/cloverhook/gateway/config_codec.py
+++ b/cloverhook/gateway/config_codec.py
@@ -48,7 +48,7 @@
         except (zlib.error, cbor2.CBORError, RecursionError) as error:
             raise MessageError(f"configuration can't be decoded: {error!r}") from error
         yield None
-        for config in GatewayConfig.steps_from_document(document):
+        for config in GatewayConfig.iter_from_document(document):
             if config is not None and config.version != self.version:
                 raise MessageError(f"configuration has an unexpected version: {config.version}")
             yield config
--- a/cloverhook/gateway/config_sender.py
+++ b/cloverhook/gateway/config_sender.py
@@ -5,7 +5,7 @@
 
 import asyncio
 
-from cloverhook.gateway.transfer_queue import Asker, Refer, Send, TransferQueue
+from cloverhook.gateway.transfer_queue import Refer, Requester, Send, TransferQueue
 
 __all__ = ["ConfigSender"]
 
@@ -20,30 +20,30 @@
         self._data_center = data_center
         self._version = -1
         self._queue = TransferQueue(data_center)
-        self._turns: dict[Asker, asyncio.Future[Send | Refer]] = {}
+        self._turns: dict[Requester, asyncio.Future[Send | Refer]] = {}
 
-    async def turn(self, asker: Asker, version: int) -> Send | Refer:
+    async def wait_for_turn(self, requester: Requester, version: int) -> Send | Refer:
         """Wait until this version can be sent to a peer, or until the peer should ask elsewhere.
 
         The wait is limited to `WAIT_S`.  After each `Send`, the caller must call `ended`.
         """
         if version != self._version:
             self._start_version(version)
-        if asker in self._turns:
-            return Refer(asker, None)
+        if requester in self._turns:
+            return Refer(requester, None)
         turn: asyncio.Future[Send | Refer] = asyncio.get_running_loop().create_future()
-        self._turns[asker] = turn
-        self._apply(self._queue.ask(asker))
+        self._turns[requester] = turn
+        self._apply(self._queue.request_transfer(requester))
         done, _ = await asyncio.wait([turn], timeout=WAIT_S)
-        self._turns.pop(asker, None)
+        self._turns.pop(requester, None)
         if done:
             return turn.result()
-        return self._queue.withdraw(asker) if version == self._version else Refer(asker, None)
+        return self._queue.withdraw(requester) if version == self._version else Refer(requester, None)
 
-    def ended(self, asker: Asker, version: int, received: bool) -> None:
+    def transfer_ended(self, requester: Requester, version: int, received: bool) -> None:
         """Record the end of a transfer, and whether the peer received all of it."""
         if version == self._version:
-            self._apply(self._queue.ended(asker, received))
+            self._apply(self._queue.transfer_ended(requester, received))
 
     def _start_version(self, version: int) -> None:
         """Start a queue for a new version, and have peers that wait for an older one ask again."""
@@ -53,8 +53,8 @@
 
     def _apply(self, actions: list[Send | Refer]) -> None:
         for action in actions:
-            turn = self._turns.get(action.to)
+            turn = self._turns.get(action.requester)
             if turn is not None and not turn.done():
                 turn.set_result(action)
             elif isinstance(action, Send):
-                self.ended(action.to, self._version, received=False)
+                self.transfer_ended(action.requester, self._version, received=False)
--- a/cloverhook/gateway/counters.py
+++ b/cloverhook/gateway/counters.py
@@ -66,7 +66,7 @@
         histogram[bisect_left(BUCKETS_MS, value_ms)] += 1
         histogram[-1] += value_ms
 
-    def page(self) -> bytes:
+    def to_prometheus_text(self) -> bytes:
         """Return all metrics in the Prometheus text format."""
         lines = [
             f"{PREFIX}{name}{_labels(labels)} {value:g}"
--- a/cloverhook/gateway/daemon.py
+++ b/cloverhook/gateway/daemon.py
@@ -20,27 +20,27 @@
 from cloverhook.gateway.call_headers import CallHeaders
 from cloverhook.gateway.calls import CallerAnswer, CallerRequest
 from cloverhook.gateway.choice import WorkEstimates
-from cloverhook.gateway.cold_limit import ColdBound, ColdLimit
+from cloverhook.gateway.cold_limit import ColdLimit, ColdRateBound
 from cloverhook.gateway.counters import Counters
 from cloverhook.gateway.discovery import Discovery
-from cloverhook.gateway.event_log import EventLog, Kind
+from cloverhook.gateway.event_log import EventKind, EventLog
 from cloverhook.gateway.forwarding import Forwarder
 from cloverhook.gateway.ingress import Ingress
-from cloverhook.gateway.knowledge import Knowledge
-from cloverhook.gateway.load import LoadFigure
-from cloverhook.gateway.measuring import GROUP_SIZE, LISTEN_MS, Measuring
+from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.load import LoadReport
+from cloverhook.gateway.measuring import GROUP_SIZE, STARTUP_DELAY_MS, ProbeSchedule
 from cloverhook.gateway.members import READERS, Members
 from cloverhook.gateway.peer_messages import Identity
 from cloverhook.gateway.peering import Peering
 from cloverhook.gateway.prober import Prober
-from cloverhook.gateway.quarantine_keeper import QuarantineKeeper
+from cloverhook.gateway.quarantine_keeper import QuarantinePersistence
 from cloverhook.gateway.request_report import RequestReport
-from cloverhook.gateway.retry_allowance import RetryAllowance
+from cloverhook.gateway.retry_allowance import RetryBudget
 from cloverhook.gateway.routes import IngressLimits
 from cloverhook.gateway.settings import GatewaySettings
 from cloverhook.gateway.store import MemberRecord, Store
 from cloverhook.gateway.store_follower import StoreFollower
-from cloverhook.gateway.supervision import keep_running
+from cloverhook.gateway.supervision import run_with_restarts
 
 __all__ = ["DirectoryHandler", "Gateway"]
 
@@ -83,7 +83,7 @@
         self._answer_directory = directory
         self._log = EventLog(settings.vm, write_log)
         self._counters = Counters()
-        self._knowledge = Knowledge(settings.drain_s * 1000)
+        self._knowledge = GatewayState(settings.drain_s * 1000)
         self._members = Members(settings.vm, settings.data_center, now_ms)
         self._discovery = Discovery(settings.vm, self._members, now_ms)
         identity = Identity(
@@ -93,7 +93,7 @@
             settings.caller_address,
             settings.peer_address,
         )
-        allowance = RetryAllowance(
+        allowance = RetryBudget(
             settings.retry_ratio, settings.retry_extra, settings.retry_window_s * 1000
         )
         self._peering = Peering(
@@ -101,20 +101,20 @@
             self._knowledge,
             self._members,
             self._log,
-            lambda incarnation: self._forwarder.pace_changed(incarnation),
-            lambda: self._forwarder.admission.look_soon(),
+            lambda incarnation: self._forwarder.slowdown_changed(incarnation),
+            lambda: self._forwarder.admission.schedule_admission(),
             self._counters,
             fleet=settings.store_address,
-            requests_per_s=allowance.all_requests_per_s,
+            requests_per_s=allowance.total_requests_per_s,
         )
         quarantine_updates = self._peering.quarantine_updates
-        self._keeper = QuarantineKeeper(store, quarantine_updates.quarantine, self._log)
-        quarantine_updates.on_change = self._keeper.changed
+        self._keeper = QuarantinePersistence(store, quarantine_updates.quarantine, self._log)
+        quarantine_updates.on_change = self._keeper.mark_changed
         member_record = MemberRecord(
             settings.vm, settings.data_center, settings.caller_address, settings.peer_address
         )
         self._announcer = Announcer(
-            member_record, store, self._discovery, self._peering.add_members, self._log
+            member_record, store, self._discovery, self._peering.add_member_addresses, self._log
         )
         self._follower = StoreFollower(
             store, self._knowledge, self._on_change, self._log, self._counters
@@ -124,13 +124,13 @@
         estimates = WorkEstimates()
         self._cold_limit = ColdLimit(
             settings.vm,
-            self._members.placing,
+            self._members.dispatching_vms,
             self._knowledge.cold_per_s,
-            ColdBound(settings.cold_over, settings.cold_slack),
+            ColdRateBound(settings.cold_over, settings.cold_slack),
         )
         balancer = Balancer(
             self._knowledge.registry,
-            self._knowledge.board,
+            self._knowledge.load_table,
             estimates,
             settings.data_center,
             random.Random(),
@@ -140,14 +140,14 @@
             (settings.regions or {}).get,
             self._peering.rate_limit_updates.limits,
         )
-        self._measuring = Measuring(
+        self._measuring = ProbeSchedule(
             settings.vm,
             self._members,
             self._knowledge.registry,
-            self._knowledge.board,
+            self._knowledge.load_table,
             settings.probes_per_s,
             allowance.requests_per_s,
-            now_ms + LISTEN_MS,
+            now_ms + STARTUP_DELAY_MS,
             0 if settings.first_start else GROUP_SIZE,
             self._knowledge.evacuated,
         )
@@ -158,18 +158,18 @@
             self._pool,
             allowance,
             headers,
-            self._members.count,
-            self._peering.count_updates.changed,
-            self._peering.failure_updates.failed,
-            self._peering.refusal_updates.refused,
+            self._members.estimated_fleet_size,
+            self._peering.count_updates.count_changed,
+            self._peering.failure_updates.record_failure,
+            self._peering.refusal_updates.record_refusal,
             quarantine_updates,
             self._peering.rate_limit_updates,
             RequestReport(self._knowledge, self._log, self._counters),
         )
-        self._callers = Ingress(self._serve_caller, self._limits)
-        self._ready = Ingress(self._answer_ready)
-        self._directory = Ingress(self._serve_directory)
-        self._metrics = Ingress(self._serve_metrics)
+        self._caller_ingress = Ingress(self._serve_caller, self._limits)
+        self._readiness_ingress = Ingress(self._answer_ready)
+        self._directory_ingress = Ingress(self._serve_directory)
+        self._metrics_ingress = Ingress(self._serve_metrics)
         self._sweep_due_ms = 0.0
         self._stopping = False
         self._published_ready = False
@@ -182,22 +182,22 @@
         """Open the listeners, and start to follow the store and to exchange messages with peers."""
         settings = self._settings
         await self._peering.link.open(settings.peer_address)
-        await self._callers.listen(settings.caller_address)
-        await self._ready.listen(settings.ready_address)
-        await self._directory.listen(settings.directory_address)
+        await self._caller_ingress.listen(settings.caller_address)
+        await self._readiness_ingress.listen(settings.ready_address)
+        await self._directory_ingress.listen(settings.directory_address)
         if settings.metrics_port:
             host = settings.caller_address.rpartition(":")[0]
-            await self._metrics.listen(f"{host}:{settings.metrics_port}")
+            await self._metrics_ingress.listen(f"{host}:{settings.metrics_port}")
         self._add_seeds()
         self._tasks = [
-            asyncio.create_task(keep_running(self._tick, "tick", self._log)),
-            asyncio.create_task(keep_running(self._announcer.run, "announce", self._log)),
-            asyncio.create_task(keep_running(self._keeper.write, "quarantine", self._log)),
+            asyncio.create_task(run_with_restarts(self._tick, "tick", self._log)),
+            asyncio.create_task(run_with_restarts(self._announcer.run, "announce", self._log)),
+            asyncio.create_task(run_with_restarts(self._keeper.write, "quarantine", self._log)),
         ]
         if not settings.first_start:
-            work = keep_running(self._keeper.read, "reading the quarantine", self._log)
+            work = run_with_restarts(self._keeper.read, "reading the quarantine", self._log)
             self._tasks.append(asyncio.create_task(work))
-        self._log.note(Kind.STARTED, pid=os.getpid(), data_center=settings.data_center)
+        self._log.note(EventKind.STARTED, pid=os.getpid(), data_center=settings.data_center)
         # Waiting for the first tick would leave callers without a response for 50 ms more.
         self._update_store_following(monotonic_ms())
 
@@ -211,30 +211,30 @@
         self._pool.close()
         self._peering.link.close()
         self._store.close()
-        self._log.note(Kind.STOPPED, in_flight=self._callers.in_flight())
+        self._log.note(EventKind.STOPPED, in_flight=self._caller_ingress.in_flight())
         self._log.flush()
 
-    def leave(self) -> None:
+    def begin_shutdown(self) -> None:
         """Begin a planned stop; a second call has no effect."""
         if not self._stopping:
             self._stopping = self._announcer.leaving = True
-            self._log.note(Kind.STOPPING, in_flight=self._callers.in_flight())
+            self._log.note(EventKind.STOPPING, in_flight=self._caller_ingress.in_flight())
             self._tasks.append(asyncio.create_task(self._shut_down()))
 
     def reload(self, settings: GatewaySettings) -> None:
         """Apply changed settings; changed addresses take effect at the next start."""
         self._settings = settings
         self._add_seeds()
-        self._log.note(Kind.RELOADED)
+        self._log.note(EventKind.RELOADED)
 
-    def start_failed(self, error: OSError) -> None:
+    def log_start_failure(self, error: OSError) -> None:
         """Log why the process ends during its start."""
-        self._log.note(Kind.FAULT, part="start", error=str(error))
+        self._log.note(EventKind.FAULT, part="start", error=str(error))
         self._log.flush()
 
-    def reload_failed(self, error: SettingsError) -> None:
+    def log_reload_failure(self, error: SettingsError) -> None:
         """Log why changed settings were rejected; the settings in force stay."""
-        self._log.note(Kind.RELOADED, error=str(error))
+        self._log.note(EventKind.RELOADED, error=str(error))
 
     async def _shut_down(self) -> None:
         """Send callers to other VMs, serve those that still come, and stop once all are answered.
@@ -244,19 +244,19 @@
         """
         stop_ms = self._settings.stop_s * 1000
         started_ms = monotonic_ms()
-        self._callers.leave()
+        self._caller_ingress.start_draining()
         self._peering.leaving = True
         self._peering.ready = False
         self._peering.send_heartbeat()
         accept_ms = started_ms + stop_ms * ACCEPT_FRACTION
         while monotonic_ms() < accept_ms:
             await asyncio.sleep(TICK_MS / 1000)
-        self._callers.close_listener()
-        self._callers.close_idle()
+        self._caller_ingress.close_listener()
+        self._caller_ingress.close_idle()
         end_ms = started_ms + stop_ms - SHUTDOWN_RESERVE_MS
-        while self._callers.in_flight() and monotonic_ms() < end_ms:
+        while self._caller_ingress.in_flight() and monotonic_ms() < end_ms:
             await asyncio.sleep(TICK_MS / 1000)
-            self._callers.close_idle()
+            self._caller_ingress.close_idle()
         self._stopped.set()
 
     def _add_seeds(self) -> None:
@@ -284,8 +284,8 @@
     async def _serve_directory(self, request: CallerRequest) -> CallerAnswer:
         now_ms = monotonic_ms()
         store_unreachable = self._follower.active and not self._follower.reading
-        addresses = self._members.caller_addresses(now_ms, reaches_nobody=store_unreachable)
-        if self._is_ready() and (not addresses or self._members.names_itself(now_ms)):
+        addresses = self._members.caller_addresses(now_ms, fully_isolated=store_unreachable)
+        if self._is_ready() and (not addresses or self._members.advertises_itself(now_ms)):
             addresses.append(self._settings.caller_address)
         random.shuffle(addresses)  # A response may hold only some, and each VM should get callers.
         return self._answer_directory(request, addresses, self._settings.address_ttl_s * 1000)
@@ -305,17 +305,17 @@
         counters.set("reading_store", int(self._follower.reading))
         quarantine = self._peering.quarantine_updates.quarantine
         counters.set("requests_suspected", len(quarantine))
-        counters.set("requests_quarantined", len(quarantine.barred(now_ms)))
+        counters.set("requests_quarantined", len(quarantine.quarantined(now_ms)))
         counters.set("rate_limits", len(self._peering.rate_limit_updates.limits))
         counters.set("waiting", len(self._forwarder.admission))
-        counters.set("probes", self._prober.probes)
+        counters.set("probes", self._prober.probe_count)
         counters.set("connects", self._pool.connects)
         counters.set("log_lines_dropped", self._log.dropped_total)
         headers = [(b"content-type", b"text/plain; version=0.0.4")]
-        return CallerAnswer(200, headers, counters.page())
+        return CallerAnswer(200, headers, counters.to_prometheus_text())
 
     def _is_ready(self) -> bool:
-        return self._knowledge.complete and not self._stopping
+        return self._knowledge.can_serve and not self._stopping
 
     # Background work.
 
@@ -325,18 +325,18 @@
             await asyncio.sleep(self._tick_ms() / 1000)
             now_ms = monotonic_ms()
             if pause_watch.observe(now_ms):
-                self._log.note(Kind.PAUSED)
-                self._peering.broadcast.paused(now_ms)
+                self._log.note(EventKind.PAUSED)
+                self._peering.broadcast.record_process_pause(now_ms)
             try:
                 self._run_periodic_work(now_ms)
             except Exception:
-                self._log.note(Kind.FAULT, part="tick", error=traceback.format_exc())
+                self._log.note(EventKind.FAULT, part="tick", error=traceback.format_exc())
             self._log.flush()
 
     def _tick_ms(self) -> float:
         """Return the time to the next tick, which is longer when no request depends on it."""
-        busy = self._knowledge.board.has_requests() or len(self._forwarder.admission)
-        if busy or self._members.is_informed(monotonic_ms()):
+        busy = self._knowledge.load_table.has_requests() or len(self._forwarder.admission)
+        if busy or self._members.is_load_subscriber(monotonic_ms()):
             return TICK_MS
         return STANDBY_TICK_MS
 
@@ -346,7 +346,7 @@
         ended = self._knowledge.expire(now_ms)
         if self._knowledge.evacuated() != evacuated:
             document = self._knowledge.evacuations.to_document()
-            self._log.note(Kind.EVACUATION, **document, source="hold time")
+            self._log.note(EventKind.EVACUATION, **document, source="hold time")
         for incarnation in ended:
             self._pool.forget(incarnation)
             self._peering.load_updates.forget(incarnation)
@@ -354,7 +354,7 @@
             self._cold_limit.forget(incarnation)
             self._peering.rate_limit_updates.forget(incarnation)
             self._log.note(
-                Kind.SERVER,
+                EventKind.SERVER,
                 source="hold time",
                 gone=incarnation,
                 digest=self._knowledge.registry.digest(),
@@ -365,11 +365,11 @@
             self._peering.reading = self._follower.reading
             self._peering.send_heartbeat()
         self._peering.tick(now_ms)
-        self._peering.ask_who_is_there(now_ms)
+        self._peering.request_peer_addresses(now_ms)
         if now_ms >= self._sweep_due_ms:
             self._sweep_due_ms = now_ms + SWEEP_MS
             self._sweep(now_ms)
-        self._forwarder.admission.look_at_all()
+        self._forwarder.admission.admit_all_ready()
 
     def _sweep(self, now_ms: float) -> None:
         self._rewrite_after_store_restore()
@@ -377,10 +377,10 @@
         self._pool.sweep()
         known = self._knowledge.registry.get
         self._prober.sweep(known)
-        self._knowledge.board.sweep(known)
+        self._knowledge.load_table.remove_unknown(known)
         self._members.forget(now_ms)
         self._peering.failure_updates.forget(now_ms)
-        self._peering.quarantine_updates.forget(now_ms)
+        self._peering.quarantine_updates.remove_expired(now_ms)
         self._peering.rate_limit_updates.expire(now_ms)
 
     def _rewrite_after_store_restore(self) -> None:
@@ -394,7 +394,7 @@
         if self._written_era:
             self._discovery.announcement_lost()
             if self._follower.active:
-                self._keeper.changed()
+                self._keeper.mark_changed()
         self._written_era = era
 
     def _log_cut_off(self, now_ms: float) -> None:
@@ -402,7 +402,7 @@
         if cut_off != self._logged_cut_off:
             self._logged_cut_off = cut_off
             alive = len(self._members.alive(now_ms))
-            self._log.note(Kind.CUT_OFF, cut_off=cut_off, alive=alive, known=len(self._members))
+            self._log.note(EventKind.CUT_OFF, cut_off=cut_off, alive=alive, known=len(self._members))
 
     def _publish_readiness(self) -> None:
         ready = self._is_ready()
@@ -410,7 +410,7 @@
         if ready != self._published_ready:
             self._published_ready = ready
             self._log.note(
-                Kind.READY,
+                EventKind.READY,
                 ready=ready,
                 config=self._knowledge.config_version,
                 servers=len(self._knowledge.registry),
@@ -418,11 +418,11 @@
             self._peering.send_heartbeat()
 
     def _update_store_following(self, now_ms: float) -> None:
-        wanted = self._members.reads_store(self._follower.reading, now_ms)
+        wanted = self._members.should_read_store(self._follower.reading, now_ms)
         if not self._follower.active and wanted and not self._stopping:
             self._follower.start()
-        elif not self._knowledge.complete and not self._settings.first_start:
-            self._follower.read_first()
+        elif not self._knowledge.can_serve and not self._settings.first_start:
+            self._follower.read_initial_state()
         elif self._follower.active and not wanted and self._enough_others_read(now_ms):
             self._follower.stop("enough other VMs read the store")
 
@@ -442,13 +442,13 @@
             return
         version = knowledge.registry.version
         self._log.note(
-            Kind.SERVER,
+            EventKind.SERVER,
             version=version,
             source="store",
             touched=touched[:8],
             digest=knowledge.registry.digest(),
         )
-        self._peering.broadcast_changes(base_version, touched)
+        self._peering.broadcast_registry_changes(base_version, touched)
 
     def _probe(self, now_ms: float) -> None:
         """Start the probes that are due."""
@@ -461,15 +461,15 @@
             if server.service in config.services
         )
 
-    def _on_figure(self, server: BackendServer, figure: LoadFigure, at_ms: float) -> None:
-        load = self._knowledge.board.of(server.incarnation)
-        before = load.figure
-        load.measured(figure, at_ms)
+    def _on_figure(self, server: BackendServer, figure: LoadReport, at_ms: float) -> None:
+        load = self._knowledge.load_table.get_or_create(server.incarnation)
+        before = load.latest_report
+        load.update_from_probe(figure, at_ms)
         self._peering.load_updates.add(server.incarnation, figure, at_ms)
-        self._forwarder.pace_changed(server.incarnation)
+        self._forwarder.slowdown_changed(server.incarnation)
         if before is None or before.reachable != figure.reachable:
             self._log.note(
-                Kind.ENDPOINT,
+                EventKind.ENDPOINT,
                 server=server.incarnation,
                 address=server.address,
                 reachable=figure.reachable,
--- a/cloverhook/gateway/discovery.py
+++ b/cloverhook/gateway/discovery.py
@@ -7,7 +7,7 @@
 """
 
 from cloverhook.gateway.members import Members
-from cloverhook.gateway.ranking import place_in_order
+from cloverhook.gateway.ranking import rendezvous_rank
 
 __all__ = ["Discovery"]
 
@@ -34,7 +34,7 @@
         """Add the peer address of a VM that the settings name as a seed."""
         self._seeds.add(peer_address)
 
-    def needs_store(self, now_ms: float) -> bool:
+    def should_announce(self, now_ms: float) -> bool:
         """Return whether this VM should announce itself in the store and read the announcements.
 
         A VM without seeds announces itself at once.  A VM that never saw all its seeds alive at
@@ -54,13 +54,13 @@
             return False
         if not self._has_heard_all_seeds:
             return True
-        place = place_in_order("announce", self._own_vm, (item.vm for item in alive))
+        place = rendezvous_rank("announce", self._own_vm, (item.vm for item in alive))
         return place < MAX_ANNOUNCERS
 
     def announcement_lost(self) -> None:
         """Record that the store has lost this VM's announcement."""
         self._announced = False
 
-    def announced(self) -> None:
+    def announcement_stored(self) -> None:
         """Record that the store has accepted this VM's announcement."""
         self._announced = True
--- a/cloverhook/gateway/event_log.py
+++ b/cloverhook/gateway/event_log.py
@@ -14,7 +14,7 @@
 
 from cloverhook.clock import monotonic_ms, wall_ms
 
-__all__ = ["EventLog", "Kind"]
+__all__ = ["EventLog", "EventKind"]
 
 SAMPLE_HASH_RANGE = 256
 SAMPLED_HASHES = 8
@@ -23,12 +23,12 @@
 BUDGET_WINDOW_MS = 1_000.0
 
 
-class Kind(StrEnum):
+class EventKind(StrEnum):
     """The kinds of log lines, each with the number of lines that may be written in a second."""
 
     lines_per_s: int
 
-    def __new__(cls, value: str, lines_per_s: int) -> "Kind":
+    def __new__(cls, value: str, lines_per_s: int) -> "EventKind":
         """Return a member that also holds its budget of lines a second."""
         member = str.__new__(cls, value)
         member._value_ = value
@@ -70,15 +70,15 @@
         self._write = write
         self._buffer = bytearray()
         self._window_start_ms = 0.0
-        self._counts: dict[Kind, int] = {}
+        self._counts: dict[EventKind, int] = {}
         self._dropped: dict[str, int] = {}
         self.dropped_total = 0
 
-    def sampled(self, request_id: str) -> bool:
+    def is_sampled(self, request_id: str) -> bool:
         """Return whether an ordinary request with this identifier is logged."""
         return zlib.crc32(request_id.encode()) % SAMPLE_HASH_RANGE < SAMPLED_HASHES
 
-    def note(self, kind: Kind, **fields: Any) -> None:
+    def note(self, kind: EventKind, **fields: Any) -> None:
         """Log a line, or drop and count it if the budget of its kind or the buffer is used up."""
         now_ms = monotonic_ms()
         if now_ms - self._window_start_ms >= BUDGET_WINDOW_MS:
@@ -103,8 +103,8 @@
         self._counts.clear()
         if self._dropped and len(self._buffer) <= BUFFER_LIMIT_BYTES:
             dropped, self._dropped = self._dropped, {}
-            self._append(Kind.DROPPED, {"lines": dropped})
+            self._append(EventKind.DROPPED, {"lines": dropped})
 
-    def _append(self, kind: Kind, fields: dict[str, Any]) -> None:
+    def _append(self, kind: EventKind, fields: dict[str, Any]) -> None:
         line = {"time_ms": round(wall_ms(), 1), "vm": self._vm, "kind": kind.value, **fields}
         self._buffer += json.dumps(line, separators=(",", ":"), default=str).encode() + b"\n"
--- a/cloverhook/gateway/ingress.py
+++ b/cloverhook/gateway/ingress.py
@@ -50,7 +50,7 @@
     ) -> None:
         self.handler = handler
         self.limits = limits
-        self.leaving = False
+        self.draining = False
         self.connections: set[_CallerConnection] = set()
         self.accepted = 0
         self._server: asyncio.Server | None = None
@@ -69,9 +69,9 @@
             self._server.close()
             self._server = None
 
-    def leave(self) -> None:
+    def start_draining(self) -> None:
         """Close each connection with its next response, so that callers connect elsewhere."""
-        self.leaving = True
+        self.draining = True
 
     def close_idle(self) -> None:
         """Close the connections that have no request in progress."""
@@ -236,7 +236,7 @@
     async def _serve(self, request: CallerRequest, keep_alive: bool) -> None:
         try:
             answer = await self._ingress.handler(request)
-            keep_alive = keep_alive and not self._ingress.leaving and not self._ignore_input
+            keep_alive = keep_alive and not self._ingress.draining and not self._ignore_input
             await self._write(request, answer, keep_alive)
         except asyncio.CancelledError:
             self._reset_connection()
@@ -263,8 +263,8 @@
 
     async def _write(self, request: CallerRequest, answer: CallerAnswer, keep_alive: bool) -> None:
         bodiless = request.method == b"HEAD" or answer.status in BODILESS_STATUSES
-        length = answer.length_bytes
-        if length is None and answer.rest is None:
+        length = answer.content_length
+        if length is None and answer.remaining_body is None:
             length = len(answer.body)
         chunked = length is None and not bodiless
         lines = _status_lines(answer.status, answer.headers)
@@ -281,9 +281,9 @@
             return
         lines.append(_chunk(answer.body) if chunked else answer.body)
         self._transport.write(b"".join(lines))
-        if answer.rest is None:
+        if answer.remaining_body is None:
             return
-        async for part in answer.rest:
+        async for part in answer.remaining_body:
             await self._can_write.wait()
             self._transport.write(_chunk(part) if chunked else part)
         if chunked:
--- a/cloverhook/gateway/program.py
+++ b/cloverhook/gateway/program.py
@@ -32,15 +32,15 @@
         try:
             gateway.reload(read_settings())
         except SettingsError as error:
-            gateway.reload_failed(error)
+            gateway.log_reload_failure(error)
 
-    loop.add_signal_handler(signal.SIGTERM, gateway.leave)
-    loop.add_signal_handler(signal.SIGINT, gateway.leave)
+    loop.add_signal_handler(signal.SIGTERM, gateway.begin_shutdown)
+    loop.add_signal_handler(signal.SIGINT, gateway.begin_shutdown)
     loop.add_signal_handler(signal.SIGHUP, reload)
     try:
         await gateway.start()
     except OSError as error:
-        gateway.start_failed(error)
+        gateway.log_start_failure(error)
         return EXIT_CANT_LISTEN
     gc.collect()
     gc.freeze()
--- a/cloverhook/gateway/supervision.py
+++ b/cloverhook/gateway/supervision.py
@@ -9,16 +9,16 @@
 import traceback
 from collections.abc import Awaitable, Callable
 
-from cloverhook.gateway.event_log import EventLog, Kind
+from cloverhook.gateway.event_log import EventKind, EventLog
 
-__all__ = ["keep_running"]
+__all__ = ["run_with_restarts"]
 
 RESTART_DELAY_MS = 500.0
 """With this delay, a task that fails at once each time writes only two log lines a second and takes
 no noticeable time."""
 
 
-async def keep_running(work: Callable[[], Awaitable[None]], part: str, log: EventLog) -> None:
+async def run_with_restarts(work: Callable[[], Awaitable[None]], part: str, log: EventLog) -> None:
     """Run `work` until it returns; after an exception, log its traceback and run it again.
 
     `part` names the task in the log.
@@ -28,5 +28,5 @@
             await work()
             return
         except Exception:
-            log.note(Kind.FAULT, part=part, error=traceback.format_exc())
+            log.note(EventKind.FAULT, part=part, error=traceback.format_exc())
         await asyncio.sleep(RESTART_DELAY_MS / 1000)
