--- a/cloverhook/gateway/config_sender.py
+++ b/cloverhook/gateway/config_sender.py
@@ -23,9 +23,9 @@
         self._turns: dict[Requester, asyncio.Future[Send | Refer]] = {}
 
     async def wait_for_turn(self, requester: Requester, version: int) -> Send | Refer:
-        """Wait until this version can be sent to a peer, or until the peer should ask elsewhere.
+        """Wait until this version can be sent to a peer, or until the peer should ask again elsewhere.
 
-        The wait is limited to `WAIT_S`.  After each `Send`, the caller must call `ended`.
+        The wait is limited to `WAIT_S`.  After each `Send`, the caller must call `transfer_ended`.
         """
         if version != self._version:
             self._start_version(version)
@@ -38,7 +38,9 @@
         self._turns.pop(requester, None)
         if done:
             return turn.result()
-        return self._queue.withdraw(requester) if version == self._version else Refer(requester, None)
+        return (
+            self._queue.withdraw(requester) if version == self._version else Refer(requester, None)
+        )
 
     def transfer_ended(self, requester: Requester, version: int, received: bool) -> None:
         """Record the end of a transfer, and whether the peer received all of it."""
@@ -49,7 +51,7 @@
         """Start a queue for a new version, and have peers that wait for an older one ask again."""
         self._version = version
         self._queue = TransferQueue(self._data_center)
-        self._apply([Refer(asker, None) for asker in self._turns])
+        self._apply([Refer(requester, None) for requester in self._turns])
 
     def _apply(self, actions: list[Send | Refer]) -> None:
         for action in actions:
--- a/cloverhook/gateway/daemon.py
+++ b/cloverhook/gateway/daemon.py
@@ -93,7 +93,7 @@
             settings.caller_address,
             settings.peer_address,
         )
-        allowance = RetryBudget(
+        retry_budget = RetryBudget(
             settings.retry_ratio, settings.retry_extra, settings.retry_window_s * 1000
         )
         self._peering = Peering(
@@ -105,11 +105,13 @@
             lambda: self._forwarder.admission.schedule_admission(),
             self._counters,
             fleet=settings.store_address,
-            requests_per_s=allowance.total_requests_per_s,
+            requests_per_s=retry_budget.total_requests_per_s,
         )
         quarantine_updates = self._peering.quarantine_updates
-        self._keeper = QuarantinePersistence(store, quarantine_updates.quarantine, self._log)
-        quarantine_updates.on_change = self._keeper.mark_changed
+        self._quarantine_persistence = QuarantinePersistence(
+            store, quarantine_updates.quarantine, self._log
+        )
+        quarantine_updates.on_change = self._quarantine_persistence.mark_changed
         member_record = MemberRecord(
             settings.vm, settings.data_center, settings.caller_address, settings.peer_address
         )
@@ -120,7 +122,7 @@
             store, self._knowledge, self._on_change, self._log, self._counters
         )
         self._pool = BackendPool()
-        self._prober = Prober(headers, self._on_figure)
+        self._prober = Prober(headers, self._on_load_report)
         estimates = WorkEstimates()
         self._cold_limit = ColdLimit(
             settings.vm,
@@ -140,13 +142,13 @@
             (settings.regions or {}).get,
             self._peering.rate_limit_updates.limits,
         )
-        self._measuring = ProbeSchedule(
+        self._probe_schedule = ProbeSchedule(
             settings.vm,
             self._members,
             self._knowledge.registry,
             self._knowledge.load_table,
             settings.probes_per_s,
-            allowance.requests_per_s,
+            retry_budget.requests_per_s,
             now_ms + STARTUP_DELAY_MS,
             0 if settings.first_start else GROUP_SIZE,
             self._knowledge.evacuated,
@@ -156,7 +158,7 @@
             balancer,
             estimates,
             self._pool,
-            allowance,
+            retry_budget,
             headers,
             self._members.estimated_fleet_size,
             self._peering.count_updates.count_changed,
@@ -192,10 +194,14 @@
         self._tasks = [
             asyncio.create_task(run_with_restarts(self._tick, "tick", self._log)),
             asyncio.create_task(run_with_restarts(self._announcer.run, "announce", self._log)),
-            asyncio.create_task(run_with_restarts(self._keeper.write, "quarantine", self._log)),
+            asyncio.create_task(
+                run_with_restarts(self._quarantine_persistence.write, "quarantine", self._log)
+            ),
         ]
         if not settings.first_start:
-            work = run_with_restarts(self._keeper.read, "reading the quarantine", self._log)
+            work = run_with_restarts(
+                self._quarantine_persistence.read, "reading the quarantine", self._log
+            )
             self._tasks.append(asyncio.create_task(work))
         self._log.note(EventKind.STARTED, pid=os.getpid(), data_center=settings.data_center)
         # Waiting for the first tick would leave callers without a response for 50 ms more.
@@ -346,16 +352,16 @@
         ended = self._knowledge.expire(now_ms)
         if self._knowledge.evacuated() != evacuated:
             document = self._knowledge.evacuations.to_document()
-            self._log.note(EventKind.EVACUATION, **document, source="hold time")
+            self._log.note(EventKind.EVACUATION, **document, source="grace period")
         for incarnation in ended:
             self._pool.forget(incarnation)
             self._peering.load_updates.forget(incarnation)
-            self._measuring.forget(incarnation)
+            self._probe_schedule.forget(incarnation)
             self._cold_limit.forget(incarnation)
             self._peering.rate_limit_updates.forget(incarnation)
             self._log.note(
                 EventKind.SERVER,
-                source="hold time",
+                source="grace period",
                 gone=incarnation,
                 digest=self._knowledge.registry.digest(),
             )
@@ -394,7 +400,7 @@
         if self._written_era:
             self._discovery.announcement_lost()
             if self._follower.active:
-                self._keeper.mark_changed()
+                self._quarantine_persistence.mark_changed()
         self._written_era = era
 
     def _log_cut_off(self, now_ms: float) -> None:
@@ -402,7 +408,9 @@
         if cut_off != self._logged_cut_off:
             self._logged_cut_off = cut_off
             alive = len(self._members.alive(now_ms))
-            self._log.note(EventKind.CUT_OFF, cut_off=cut_off, alive=alive, known=len(self._members))
+            self._log.note(
+                EventKind.CUT_OFF, cut_off=cut_off, alive=alive, known=len(self._members)
+            )
 
     def _publish_readiness(self) -> None:
         ready = self._is_ready()
@@ -418,26 +426,26 @@
             self._peering.send_heartbeat()
 
     def _update_store_following(self, now_ms: float) -> None:
-        wanted = self._members.should_read_store(self._follower.reading, now_ms)
-        if not self._follower.active and wanted and not self._stopping:
+        should_read = self._members.should_read_store(self._follower.reading, now_ms)
+        if not self._follower.active and should_read and not self._stopping:
             self._follower.start()
         elif not self._knowledge.can_serve and not self._settings.first_start:
             self._follower.read_initial_state()
-        elif self._follower.active and not wanted and self._enough_others_read(now_ms):
+        elif self._follower.active and not should_read and self._enough_others_read(now_ms):
             self._follower.stop("enough other VMs read the store")
 
     def _enough_others_read(self, now_ms: float) -> bool:
         alive = self._members.alive(now_ms)
         return sum(1 for member in alive if member.reading) >= READERS
 
-    def _on_change(self, touched: tuple[str, ...], base_version: int) -> None:
+    def _on_change(self, changed_names: tuple[str, ...], base_version: int) -> None:
         """Send changes read from the store to the peers.
 
-        `touched` names the changed backend servers, and `base_version` is the version of the
+        `changed_names` lists the changed backend servers, and `base_version` is the version of the
         registry before the change.
         """
         knowledge = self._knowledge
-        if not touched:
+        if not changed_names:
             self._peering.send_heartbeat(has_update=True)
             return
         version = knowledge.registry.version
@@ -445,10 +453,10 @@
             EventKind.SERVER,
             version=version,
             source="store",
-            touched=touched[:8],
+            touched=changed_names[:8],
             digest=knowledge.registry.digest(),
         )
-        self._peering.broadcast_registry_changes(base_version, touched)
+        self._peering.broadcast_registry_changes(base_version, changed_names)
 
     def _probe(self, now_ms: float) -> None:
         """Start the probes that are due."""
@@ -457,20 +465,20 @@
             return
         self._prober.probe(
             (server, config.services[server.service].health_path)
-            for server in self._measuring.due(now_ms)
+            for server in self._probe_schedule.due(now_ms)
             if server.service in config.services
         )
 
-    def _on_figure(self, server: BackendServer, figure: LoadReport, at_ms: float) -> None:
+    def _on_load_report(self, server: BackendServer, report: LoadReport, at_ms: float) -> None:
         load = self._knowledge.load_table.get_or_create(server.incarnation)
-        before = load.latest_report
-        load.update_from_probe(figure, at_ms)
-        self._peering.load_updates.add(server.incarnation, figure, at_ms)
+        previous = load.latest_report
+        load.update_from_probe(report, at_ms)
+        self._peering.load_updates.add(server.incarnation, report, at_ms)
         self._forwarder.slowdown_changed(server.incarnation)
-        if before is None or before.reachable != figure.reachable:
+        if previous is None or previous.reachable != report.reachable:
             self._log.note(
                 EventKind.ENDPOINT,
                 server=server.incarnation,
                 address=server.address,
-                reachable=figure.reachable,
+                reachable=report.reachable,
             )
--- a/cloverhook/gateway/discovery.py
+++ b/cloverhook/gateway/discovery.py
@@ -54,8 +54,8 @@
             return False
         if not self._has_heard_all_seeds:
             return True
-        place = rendezvous_rank("announce", self._own_vm, (item.vm for item in alive))
-        return place < MAX_ANNOUNCERS
+        rank = rendezvous_rank("announce", self._own_vm, (item.vm for item in alive))
+        return rank < MAX_ANNOUNCERS
 
     def announcement_lost(self) -> None:
         """Record that the store has lost this VM's announcement."""
--- a/cloverhook/gateway/ingress.py
+++ b/cloverhook/gateway/ingress.py
@@ -28,14 +28,14 @@
 """An idle connection is kept this much longer than the idle timeout that callers were told, so
 that it is never closed while a caller is still using it."""
 HEADER_TIMEOUT_MARGIN_MS = 250.0
-REFUSAL_LINGER_MS = 1_000.0
+REJECTION_LINGER_MS = 1_000.0
 HELD_LIMIT_BYTES = 65_536
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 BODILESS_STATUSES = frozenset((204, 304))
 
 
-class _RequestRefusedError(Exception):
+class _RequestRejectedError(Exception):
     """Makes the parser stop; the connection has already stored the error kind."""
 
 
@@ -97,7 +97,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._can_write = asyncio.Event()
         self._can_write.set()
-        self._refusal: ErrorKind | None = None
+        self._rejection: ErrorKind | None = None
         self._ignore_input = False
         self._in_message = False
         self._reset_message()
@@ -138,7 +138,7 @@
         self._can_write.set()
 
     def data_received(self, data: bytes) -> None:
-        """Parse received bytes; after a request was refused, further input is ignored.
+        """Parse received bytes; after a request was rejected, further input is ignored.
 
         Reading pauses while a request is served and part of the next one has arrived.
         """
@@ -147,9 +147,9 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._refuse(ErrorKind.BAD_REQUEST)
+            self._reject(ErrorKind.BAD_REQUEST)
         except httptools.HttpParserError:
-            self._refuse(self._refusal or ErrorKind.BAD_REQUEST)
+            self._reject(self._rejection or ErrorKind.BAD_REQUEST)
         if self._task is not None and self._in_message and not self._ignore_input:
             self._transport.pause_reading()
 
@@ -177,7 +177,7 @@
     def on_headers_complete(self) -> None:
         """Check the request head, and send 100 Continue if the caller expects it.
 
-        A request is refused unless it has exactly one host, at most one way to tell where its body
+        A request is rejected unless it has exactly one host, at most one way to tell where its body
         ends, no transfer coding but chunked, and version 1.0 or 1.1 of HTTP.
         """
         self._headers_complete = True
@@ -250,8 +250,8 @@
     def _after_response(self, keep_alive: bool) -> None:
         if self._transport.is_closing():
             return
-        if self._refusal is not None and not self._requests:
-            self._write_refusal()
+        if self._rejection is not None and not self._requests:
+            self._write_rejection()
         elif not keep_alive:
             self._transport.close()
         elif self._requests:
@@ -318,20 +318,20 @@
             self._abort_parsing(ErrorKind.HEADERS_TOO_LARGE)
 
     def _abort_parsing(self, kind: ErrorKind) -> None:
-        self._refusal = kind
-        raise _RequestRefusedError(kind.value)
+        self._rejection = kind
+        raise _RequestRejectedError(kind.value)
 
-    def _refuse(self, kind: ErrorKind) -> None:
+    def _reject(self, kind: ErrorKind) -> None:
         """Stop reading, and answer with an error once all earlier requests are answered."""
         self._ignore_input = True
         self._in_message = False
-        self._refusal = kind
+        self._rejection = kind
         self._stop_timer()
         if self._task is None:
-            self._write_refusal()
+            self._write_rejection()
 
-    def _write_refusal(self) -> None:
-        kind = self._refusal
+    def _write_rejection(self) -> None:
+        kind = self._rejection
         body = kind.value.encode()
         lines = _status_lines(answer_for(kind).status, [(b"content-type", b"text/plain")])
         lines.append(b"content-length: %d\r\nconnection: close\r\n\r\n" % len(body))
@@ -339,11 +339,11 @@
         self._transport.write(b"".join(lines))
         if self._transport.can_write_eof():
             self._transport.write_eof()
-        self._timer = self._loop.call_later(REFUSAL_LINGER_MS / 1000, self._transport.abort)
+        self._timer = self._loop.call_later(REJECTION_LINGER_MS / 1000, self._transport.abort)
 
     def _on_header_timeout(self) -> None:
         self._timer = None
-        self._refuse(ErrorKind.HEADERS_TIMED_OUT)
+        self._reject(ErrorKind.HEADERS_TIMED_OUT)
 
     def _start_idle_timer(self) -> None:
         self._stop_timer()
