--- a/cloverhook/gateway/config_sender.py
+++ b/cloverhook/gateway/config_sender.py
@@ -23,7 +23,7 @@
         self._turns: dict[Requester, asyncio.Future[Send | Refer]] = {}
 
     async def wait_for_turn(self, requester: Requester, version: int) -> Send | Refer:
-        """Wait until this version can be sent to a peer, or until the peer should ask again elsewhere.
+        """Wait until this version can be sent to a peer, or until the peer should ask elsewhere.
 
         The wait is limited to `WAIT_S`.  After each `Send`, the caller must call `transfer_ended`.
         """
