--- a/cloverhook/gateway/daemon.py
+++ b/cloverhook/gateway/daemon.py
@@ -1,7 +1,7 @@
-"""The gateway's program: one event loop that serves callers, follows the store and its peers.
+"""The gateway daemon: one event loop that serves callers and follows the store and the peers.
 
-Layer: transport.  `Gateway` only wires the parts together; each decision is made in a part of its
-own.
+Layer: transport.  `Gateway` only connects the components; each decision is made in a component of
+its own.
 """
 
 import asyncio
@@ -46,18 +46,20 @@
 
 TICK_MS = 50.0
 STANDBY_TICK_MS = 100.0
-"""A VM that no callers are sent to and that measures nothing has little to see to."""
+"""The interval on a VM that gets no callers and measures nothing: it has little to do."""
 SWEEP_MS = 1_000.0
-ACCEPT_SHARE = 0.55
-"""The part of a planned stop for which callers with old answers are still taken."""
-GOODBYE_MS = 800.0
-"""What is left of a planned stop when the last requests are given up: a slow VM needs it to end."""
+ACCEPT_FRACTION = 0.55
+"""The fraction of a planned stop during which callers that still use an older directory response
+are accepted."""
+SHUTDOWN_RESERVE_MS = 800.0
+"""Requests that still run this long before the end of a planned stop are abandoned: a slow VM
+needs this time to exit."""
 
 DirectoryHandler = Callable[[CallerRequest, list[str], float], CallerAnswer]
 
 
 def write_to_stdout(data: bytes) -> int:
-    """Write what standard output takes now and return how much that was."""
+    """Write as much as standard output accepts without blocking; return the number of bytes."""
     try:
         return os.write(1, data)
     except BlockingIOError:
@@ -65,7 +67,7 @@
 
 
 class Gateway:
-    """One gateway on one VM."""
+    """The gateway of one VM, with its listeners, its background tasks and its components."""
 
     def __init__(
         self,
@@ -84,18 +86,18 @@
         self._knowledge = GatewayState(settings.drain_s * 1000)
         self._members = Members(settings.vm, settings.data_center, now_ms)
         self._discovery = Discovery(settings.vm, self._members, now_ms)
-        own = Identity(
+        identity = Identity(
             settings.vm,
             time.time_ns() // 1_000_000,
             settings.data_center,
             settings.caller_address,
             settings.peer_address,
         )
-        allowance = RetryBudget(
+        retry_budget = RetryBudget(
             settings.retry_ratio, settings.retry_extra, settings.retry_window_s * 1000
         )
         self._peering = Peering(
-            own,
+            identity,
             self._knowledge,
             self._members,
             self._log,
@@ -103,22 +105,24 @@
             lambda: self._forwarder.admission.schedule_admission(),
             self._counters,
             fleet=settings.store_address,
-            requests_per_s=allowance.total_requests_per_s,
+            requests_per_s=retry_budget.total_requests_per_s,
         )
         quarantine_updates = self._peering.quarantine_updates
-        self._keeper = QuarantinePersistence(store, quarantine_updates.quarantine, self._log)
-        quarantine_updates.on_change = self._keeper.mark_changed
-        record = MemberRecord(
+        self._quarantine_persistence = QuarantinePersistence(
+            store, quarantine_updates.quarantine, self._log
+        )
+        quarantine_updates.on_change = self._quarantine_persistence.mark_changed
+        member_record = MemberRecord(
             settings.vm, settings.data_center, settings.caller_address, settings.peer_address
         )
         self._announcer = Announcer(
-            record, store, self._discovery, self._peering.add_member_addresses, self._log
+            member_record, store, self._discovery, self._peering.add_member_addresses, self._log
         )
         self._follower = StoreFollower(
             store, self._knowledge, self._on_change, self._log, self._counters
         )
         self._pool = BackendPool()
-        self._prober = Prober(headers, self._on_figure)
+        self._prober = Prober(headers, self._on_load_report)
         estimates = WorkEstimates()
         self._cold_limit = ColdLimit(
             settings.vm,
@@ -138,13 +142,13 @@
             (settings.regions or {}).get,
             self._peering.rate_limit_updates.limits,
         )
-        self._measuring = ProbeSchedule(
+        self._probe_schedule = ProbeSchedule(
             settings.vm,
             self._members,
             self._knowledge.registry,
             self._knowledge.load_table,
             settings.probes_per_s,
-            allowance.requests_per_s,
+            retry_budget.requests_per_s,
             now_ms + STARTUP_DELAY_MS,
             0 if settings.first_start else GROUP_SIZE,
             self._knowledge.evacuated,
@@ -154,7 +158,7 @@
             balancer,
             estimates,
             self._pool,
-            allowance,
+            retry_budget,
             headers,
             self._members.estimated_fleet_size,
             self._peering.count_updates.count_changed,
@@ -169,15 +173,15 @@
         self._directory_ingress = Ingress(self._serve_directory)
         self._metrics_ingress = Ingress(self._serve_metrics)
         self._sweep_due_ms = 0.0
-        self._leaving = False
-        self._was_ready = False
-        self._was_cut_off = False
+        self._stopping = False
+        self._published_ready = False
+        self._logged_cut_off = False
         self._written_era = 0
         self._stopped = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Open the listeners and start to follow and to talk."""
+        """Open the listeners, and start to follow the store and to exchange messages with peers."""
         settings = self._settings
         await self._peering.link.open(settings.peer_address)
         await self._caller_ingress.listen(settings.caller_address)
@@ -190,16 +194,21 @@
         self._tasks = [
             asyncio.create_task(run_with_restarts(self._tick, "tick", self._log)),
             asyncio.create_task(run_with_restarts(self._announcer.run, "announce", self._log)),
-            asyncio.create_task(run_with_restarts(self._keeper.write, "quarantine", self._log)),
+            asyncio.create_task(
+                run_with_restarts(self._quarantine_persistence.write, "quarantine", self._log)
+            ),
         ]
         if not settings.first_start:
-            work = run_with_restarts(self._keeper.read, "reading the quarantine", self._log)
+            work = run_with_restarts(
+                self._quarantine_persistence.read, "reading the quarantine", self._log
+            )
             self._tasks.append(asyncio.create_task(work))
         self._log.note(EventKind.STARTED, pid=os.getpid(), data_center=settings.data_center)
-        self._follow_or_not(monotonic_ms())  # A tick later would be 50 ms without an answer.
+        # Waiting for the first tick would leave callers without a response for 50 ms more.
+        self._update_store_following(monotonic_ms())
 
     async def run_until_stopped(self) -> None:
-        """Serve until a planned stop has ended."""
+        """Serve until a planned stop has ended, and then release all resources."""
         await self._stopped.wait()
         for task in self._tasks:
             task.cancel()
@@ -212,48 +221,52 @@
         self._log.flush()
 
     def begin_shutdown(self) -> None:
-        """Begin a planned stop; a second call changes nothing."""
-        if not self._leaving:
-            self._leaving = self._announcer.leaving = True
+        """Begin a planned stop; a second call has no effect."""
+        if not self._stopping:
+            self._stopping = self._announcer.leaving = True
             self._log.note(EventKind.STOPPING, in_flight=self._caller_ingress.in_flight())
-            self._tasks.append(asyncio.create_task(self._leave()))
+            self._tasks.append(asyncio.create_task(self._shut_down()))
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Take changed settings; addresses stay as they were until the next start."""
+        """Apply changed settings; changed addresses take effect at the next start."""
         self._settings = settings
         self._add_seeds()
         self._log.note(EventKind.RELOADED)
 
     def log_start_failure(self, error: OSError) -> None:
-        """Say why the process ends at its start."""
+        """Log why the process ends during its start."""
         self._log.note(EventKind.FAULT, part="start", error=str(error))
         self._log.flush()
 
     def log_reload_failure(self, error: SettingsError) -> None:
-        """Keep the settings in force and say why."""
+        """Log why changed settings were rejected; the settings in force stay."""
         self._log.note(EventKind.RELOADED, error=str(error))
 
-    async def _leave(self) -> None:
-        """Send callers elsewhere, serve those who still come, and end when all is answered."""
+    async def _shut_down(self) -> None:
+        """Send callers to other VMs, serve those that still come, and stop once all are answered.
+
+        The listener stays open for `ACCEPT_FRACTION` of the planned stop.  Requests that still run
+        `SHUTDOWN_RESERVE_MS` before its end are abandoned.
+        """
         stop_ms = self._settings.stop_s * 1000
-        begun_ms = monotonic_ms()
+        started_ms = monotonic_ms()
         self._caller_ingress.start_draining()
         self._peering.leaving = True
         self._peering.ready = False
         self._peering.send_heartbeat()
-        accept_ms = begun_ms + stop_ms * ACCEPT_SHARE
+        accept_ms = started_ms + stop_ms * ACCEPT_FRACTION
         while monotonic_ms() < accept_ms:
             await asyncio.sleep(TICK_MS / 1000)
         self._caller_ingress.close_listener()
         self._caller_ingress.close_idle()
-        end_ms = begun_ms + stop_ms - GOODBYE_MS
+        end_ms = started_ms + stop_ms - SHUTDOWN_RESERVE_MS
         while self._caller_ingress.in_flight() and monotonic_ms() < end_ms:
             await asyncio.sleep(TICK_MS / 1000)
             self._caller_ingress.close_idle()
         self._stopped.set()
 
     def _add_seeds(self) -> None:
-        """Look for peers on the seeds' hosts; peers have the same port everywhere."""
+        """Add the hosts of the seeds as peers; the peer port is the same on all VMs."""
         own_address = self._settings.peer_address
         port = own_address.rpartition(":")[2]
         for seed in self._settings.seed_addresses:
@@ -276,11 +289,11 @@
 
     async def _serve_directory(self, request: CallerRequest) -> CallerAnswer:
         now_ms = monotonic_ms()
-        asks_in_vain = self._follower.active and not self._follower.reading
-        addresses = self._members.caller_addresses(now_ms, fully_isolated=asks_in_vain)
+        store_unreachable = self._follower.active and not self._follower.reading
+        addresses = self._members.caller_addresses(now_ms, fully_isolated=store_unreachable)
         if self._is_ready() and (not addresses or self._members.advertises_itself(now_ms)):
             addresses.append(self._settings.caller_address)
-        random.shuffle(addresses)  # An answer may hold a part of them: each VM gets callers.
+        random.shuffle(addresses)  # A response may hold only some, and each VM should get callers.
         return self._answer_directory(request, addresses, self._settings.address_ttl_s * 1000)
 
     async def _serve_metrics(self, request: CallerRequest) -> CallerAnswer:
@@ -308,51 +321,51 @@
         return CallerAnswer(200, headers, counters.to_prometheus_text())
 
     def _is_ready(self) -> bool:
-        return self._knowledge.can_serve and not self._leaving
+        return self._knowledge.can_serve and not self._stopping
 
-    # What goes on without requests.
+    # Background work.
 
     async def _tick(self) -> None:
-        watch = PauseWatch(monotonic_ms())
+        pause_watch = PauseWatch(monotonic_ms())
         while True:
             await asyncio.sleep(self._tick_ms() / 1000)
             now_ms = monotonic_ms()
-            if watch.observe(now_ms):
+            if pause_watch.observe(now_ms):
                 self._log.note(EventKind.PAUSED)
                 self._peering.broadcast.record_process_pause(now_ms)
             try:
-                self._do_what_is_due(now_ms)
+                self._run_periodic_work(now_ms)
             except Exception:
                 self._log.note(EventKind.FAULT, part="tick", error=traceback.format_exc())
             self._log.flush()
 
     def _tick_ms(self) -> float:
-        """Return the time to the next tick: less often where nobody waits for what it does."""
+        """Return the time to the next tick, which is longer when no request depends on it."""
         busy = self._knowledge.load_table.has_requests() or len(self._forwarder.admission)
         if busy or self._members.is_load_subscriber(monotonic_ms()):
             return TICK_MS
         return STANDBY_TICK_MS
 
-    def _do_what_is_due(self, now_ms: float) -> None:
-        self._follow_or_not(now_ms)
+    def _run_periodic_work(self, now_ms: float) -> None:
+        self._update_store_following(now_ms)
         evacuated = self._knowledge.evacuated()
         ended = self._knowledge.expire(now_ms)
         if self._knowledge.evacuated() != evacuated:
             document = self._knowledge.evacuations.to_document()
-            self._log.note(EventKind.EVACUATION, **document, source="hold time")
+            self._log.note(EventKind.EVACUATION, **document, source="grace period")
         for incarnation in ended:
             self._pool.forget(incarnation)
             self._peering.load_updates.forget(incarnation)
-            self._measuring.forget(incarnation)
+            self._probe_schedule.forget(incarnation)
             self._cold_limit.forget(incarnation)
             self._peering.rate_limit_updates.forget(incarnation)
             self._log.note(
                 EventKind.SERVER,
-                source="hold time",
+                source="grace period",
                 gone=incarnation,
                 digest=self._knowledge.registry.digest(),
             )
-        self._tell_readiness()
+        self._publish_readiness()
         self._probe(now_ms)
         if self._peering.reading != self._follower.reading:
             self._peering.reading = self._follower.reading
@@ -365,8 +378,8 @@
         self._forwarder.admission.admit_all_ready()
 
     def _sweep(self, now_ms: float) -> None:
-        self._write_again_in_new_era()
-        self._tell_cut_off(now_ms)
+        self._rewrite_after_store_restore()
+        self._log_cut_off(now_ms)
         self._pool.sweep()
         known = self._knowledge.registry.get
         self._prober.sweep(known)
@@ -376,31 +389,34 @@
         self._peering.quarantine_updates.remove_expired(now_ms)
         self._peering.rate_limit_updates.expire(now_ms)
 
-    def _write_again_in_new_era(self) -> None:
-        """Write again what this VM wrote, once the store has come back without it."""
+    def _rewrite_after_store_restore(self) -> None:
+        """Write this VM's records again after the store was restored from an older copy.
+
+        The copy may lack them; a new store era shows that it was restored.
+        """
         era = self._knowledge.store_era
         if era == self._written_era:
             return
         if self._written_era:
             self._discovery.announcement_lost()
             if self._follower.active:
-                self._keeper.mark_changed()
+                self._quarantine_persistence.mark_changed()
         self._written_era = era
 
-    def _tell_cut_off(self, now_ms: float) -> None:
+    def _log_cut_off(self, now_ms: float) -> None:
         cut_off = self._members.is_cut_off(now_ms)
-        if cut_off != self._was_cut_off:
-            self._was_cut_off = cut_off
+        if cut_off != self._logged_cut_off:
+            self._logged_cut_off = cut_off
             alive = len(self._members.alive(now_ms))
             self._log.note(
                 EventKind.CUT_OFF, cut_off=cut_off, alive=alive, known=len(self._members)
             )
 
-    def _tell_readiness(self) -> None:
+    def _publish_readiness(self) -> None:
         ready = self._is_ready()
         self._peering.ready = ready
-        if ready != self._was_ready:
-            self._was_ready = ready
+        if ready != self._published_ready:
+            self._published_ready = ready
             self._log.note(
                 EventKind.READY,
                 ready=ready,
@@ -409,23 +425,27 @@
             )
             self._peering.send_heartbeat()
 
-    def _follow_or_not(self, now_ms: float) -> None:
-        wanted = self._members.should_read_store(self._follower.reading, now_ms)
-        if not self._follower.active and wanted and not self._leaving:
+    def _update_store_following(self, now_ms: float) -> None:
+        should_read = self._members.should_read_store(self._follower.reading, now_ms)
+        if not self._follower.active and should_read and not self._stopping:
             self._follower.start()
         elif not self._knowledge.can_serve and not self._settings.first_start:
             self._follower.read_initial_state()
-        elif self._follower.active and not wanted and self._others_read(now_ms):
-            self._follower.stop("others read")
+        elif self._follower.active and not should_read and self._enough_others_read(now_ms):
+            self._follower.stop("enough other VMs read the store")
 
-    def _others_read(self, now_ms: float) -> bool:
+    def _enough_others_read(self, now_ms: float) -> bool:
         alive = self._members.alive(now_ms)
         return sum(1 for member in alive if member.reading) >= READERS
 
-    def _on_change(self, touched: tuple[str, ...], base_version: int) -> None:
-        """Pass on what the store has told; the registry's version was `base_version` before."""
+    def _on_change(self, changed_names: tuple[str, ...], base_version: int) -> None:
+        """Send changes read from the store to the peers.
+
+        `changed_names` lists the changed backend servers, and `base_version` is the version of the
+        registry before the change.
+        """
         knowledge = self._knowledge
-        if not touched:
+        if not changed_names:
             self._peering.send_heartbeat(has_update=True)
             return
         version = knowledge.registry.version
@@ -433,32 +453,32 @@
             EventKind.SERVER,
             version=version,
             source="store",
-            touched=touched[:8],
+            touched=changed_names[:8],
             digest=knowledge.registry.digest(),
         )
-        self._peering.broadcast_registry_changes(base_version, touched)
+        self._peering.broadcast_registry_changes(base_version, changed_names)
 
     def _probe(self, now_ms: float) -> None:
         """Start the probes that are due."""
         config = self._knowledge.config
-        if config is None or self._leaving:
+        if config is None or self._stopping:
             return
         self._prober.probe(
             (server, config.services[server.service].health_path)
-            for server in self._measuring.due(now_ms)
+            for server in self._probe_schedule.due(now_ms)
             if server.service in config.services
         )
 
-    def _on_figure(self, server: BackendServer, figure: LoadReport, at_ms: float) -> None:
+    def _on_load_report(self, server: BackendServer, report: LoadReport, at_ms: float) -> None:
         load = self._knowledge.load_table.get_or_create(server.incarnation)
-        before = load.latest_report
-        load.update_from_probe(figure, at_ms)
-        self._peering.load_updates.add(server.incarnation, figure, at_ms)
+        previous = load.latest_report
+        load.update_from_probe(report, at_ms)
+        self._peering.load_updates.add(server.incarnation, report, at_ms)
         self._forwarder.slowdown_changed(server.incarnation)
-        if before is None or before.reachable != figure.reachable:
+        if previous is None or previous.reachable != report.reachable:
             self._log.note(
                 EventKind.ENDPOINT,
                 server=server.incarnation,
                 address=server.address,
-                reachable=figure.reachable,
+                reachable=report.reachable,
             )
