--- a/cloverhook/gateway/admission.py
+++ b/cloverhook/gateway/admission.py
@@ -1,7 +1,7 @@
-"""Lets requests wait for room at a backend server, and wakes them when there may be some.
+"""Makes requests wait until a backend server has room for them.
 
-Layer: transport.  The waiting line decides who leaves it; this module asks it at the right moments
-and ends the waits.
+Layer: transport.  `WaitingLine` decides which requests leave the queue.  This module asks it for
+decisions whenever there may be room, and wakes the coroutines of the requests concerned.
 """
 
 import asyncio
@@ -13,34 +13,34 @@
 
 __all__ = ["Admission"]
 
-LOOK_DELAY_MS = 2.0
-LOOK_PAUSES = 4.0
-"""Looks after updates of others are so many times as long apart as one takes: a fifth of the
-time."""
+CHECK_DELAY_MS = 2.0
+CHECK_PAUSE_FACTOR = 4.0
+"""After updates of other VMs, the pause before the queues are checked is at least this many times
+the duration of the last check, so that checks take at most a fifth of the time."""
 
 
 class Admission:
-    """The requests of this VM that wait for room."""
+    """The requests of this VM that wait for room at a backend server."""
 
     def __init__(
         self,
         line: WaitingLine,
         place: Callable[[Choice], None],
-        give_back: Callable[[Choice], None],
+        release: Callable[[Choice], None],
     ) -> None:
-        """`place` counts a request at the endpoint chosen for it, `give_back` undoes that."""
+        """`place` counts a request at the endpoint chosen for it, and `release` undoes that."""
         self._line = line
         self._place = place
-        self._give_back = give_back
+        self._release = release
         self._waits: dict[Waiter, asyncio.Future[Choice | None]] = {}
         self._timer: asyncio.TimerHandle | None = None
-        self._look_ms = 0.0
+        self._last_check_ms = 0.0
 
     def __len__(self) -> int:
         return len(self._line)
 
     async def wait(self, waiter: Waiter) -> Choice | None:
-        """Wait for room; return where a request was placed, or None when it is refused."""
+        """Wait for room; return the choice made for the request, or None if it is refused."""
         future: asyncio.Future[Choice | None] = asyncio.get_running_loop().create_future()
         self._waits[waiter] = future
         self._line.add(waiter)
@@ -51,11 +51,11 @@
             self._line.remove(waiter)
             self._waits.pop(waiter, None)
             if future.done() and not future.cancelled() and future.result() is not None:
-                self._give_back(future.result())
+                self._release(future.result())
             raise
 
     def look(self, service: str) -> None:
-        """Start or refuse the requests for a service whose time has come."""
+        """Start or refuse the waiting requests of a service that are due for a decision."""
         while (decision := self._line.next(service, monotonic_ms())) is not None:
             future = self._waits.pop(decision.waiter)
             if decision.choice is not None:
@@ -63,21 +63,22 @@
             future.set_result(decision.choice)
 
     def look_at_all(self) -> None:
-        """Do so for all services."""
-        begun_ms = monotonic_ms()
+        """Start or refuse the waiting requests of all services that are due for a decision."""
+        started_ms = monotonic_ms()
         for service in self._line.services():
             self.look(service)
-        self._look_ms = monotonic_ms() - begun_ms
+        self._last_check_ms = monotonic_ms() - started_ms
 
     def look_soon(self) -> None:
-        """Look at all, as updates of other VMs have come; there may be much of it.
+        """Schedule a check of all services after an update of another VM.
 
-        In overload each look takes long, and a VM that does nothing else answers nobody in time.
+        Updates may come in large numbers, and in overload each check takes long.  If the VM did
+        nothing but check, no request would be answered in time.
         """
         if self._timer is None and len(self._line):
-            delay_ms = max(LOOK_DELAY_MS, LOOK_PAUSES * self._look_ms)
-            self._timer = asyncio.get_running_loop().call_later(delay_ms / 1000, self._look_now)
+            delay_ms = max(CHECK_DELAY_MS, CHECK_PAUSE_FACTOR * self._last_check_ms)
+            self._timer = asyncio.get_running_loop().call_later(delay_ms / 1000, self._on_timer)
 
-    def _look_now(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
         self.look_at_all()
--- a/cloverhook/gateway/quarantine.py
+++ b/cloverhook/gateway/quarantine.py
@@ -1,15 +1,18 @@
-"""Requests under which endpoints have crashed, and when one of them may be sent again.
-
-Layer: coordination.  A request that crashes whoever runs it takes an endpoint with each sending,
-and comes again at any VM.  An endpoint's crash also hits what it runs beside, so a single one says
-little.  What counts is that crashes follow each other: a sending that began when so many were known
-and ends in a crash makes one more.  Crashes of copies that were under way together count once.
-
-After the first crash copies are sent one at a time over the fleet: a VM claims the turn and tells
-the others.  From the second on the request is in quarantine: nobody sends it until its time is
-over, and then again one copy, whose crash makes the next time longer.  An answer clears the request
-at once, for the whole fleet, and nothing is held against a request that was answered lately: when
-endpoints fail for another reason, one that comes often has been answered by others.
+"""Quarantine for requests that appear to crash the endpoints that run them.
+
+Layer: coordination.  A request that crashes every endpoint that runs it costs one endpoint each
+time it is sent, and its caller may send it again through any VM.  A crash also ends the other
+requests that the endpoint was running, so a single crash is weak evidence against any of them.
+What counts is consecutive crashes: if a copy is sent while n crashes are known and its endpoint
+crashes, the count becomes n + 1.  Crashes of copies that were in flight at the same time therefore
+count only once.
+
+After the first crash, the fleet sends one copy at a time: a VM claims a lease on the next trial and
+announces the claim to the other VMs.  From the second crash on, the request is in quarantine: no VM
+sends it until the quarantine has expired.  Then a single copy is tried again, and if that one
+crashes its endpoint too, the next quarantine is longer.  A successful response clears the request
+at once for the whole fleet.  Crashes are not counted against a request that was answered recently:
+if endpoints fail for another reason, a frequent request has been answered by other endpoints.
 
 >>> vm = Quarantine("vm-1")
 >>> keys = RequestKeys(11, 12)
@@ -33,21 +36,28 @@
 
 __all__ = ["TOLD_LIMIT", "Quarantine", "Reaction", "Standing"]
 
-TURN_MS = 1_000.0
-"""The VM whose turn it is has so long to send its copy and to learn what became of it."""
-SETTLE_MS = 10.0
-"""Claims of VMs that have met the crash at the same moment cross within this time."""
+LEASE_MS = 1_000.0
+"""How long a VM that has claimed the lease has for sending its copy and learning the outcome."""
+CLAIM_SETTLE_MS = 10.0
+"""VMs that see a crash at the same moment all claim the lease; within this time each of them has
+received the competing claims."""
 QUARANTINE_MS = (20_000.0, 120_000.0, 1_200_000.0, 14_400_000.0, 86_400_000.0)
-"""By the crashes beyond the first; the last is repeated."""
-FORGET_MS = 600_000.0
-"""A request that has crashed nothing for so long, and is not in quarantine, starts anew."""
+"""The length of the quarantine after the second, third, ... crash; the last value is used for all
+further crashes."""
+EXPIRY_MS = 600_000.0
+"""A suspicion is dropped if its request has crashed no endpoint for this long and is not in
+quarantine; a later crash then counts as a first one."""
 SUSPECTS_LIMIT = 1_024
 TOLD_LIMIT = 40
-"""So many suspicions fit into a datagram."""
+"""The number of suspicions that fit into one datagram."""
 
 
 class Standing(IntEnum):
-    """Whether this VM may send a request now; of several keys the greatest one counts."""
+    """Whether this VM may send a request now; of the values for several keys, the greatest applies.
+
+    `CLEAR`: no crash is known.  `OURS`: this VM holds the lease and has not used it.  `FREE`: the
+    lease can be claimed.  `HELD`: a copy is being tried under a lease.  `BARRED`: in quarantine.
+    """
 
     CLEAR = 0
     OURS = 1
@@ -58,25 +68,28 @@
 
 @dataclass(slots=True)
 class _Suspect:
-    """A request under which endpoints have crashed; `holder` is the VM whose turn it is."""
+    """A request that has crashed endpoints; `lease_holder` is the VM that may try the next copy."""
 
     crashes: int
     until_ms: float
-    touched_ms: float
-    holder: str = ""
+    updated_ms: float
+    lease_holder: str = ""
     claimed_ms: float = 0.0
-    used: bool = False
+    lease_used: bool = False
 
 
 class Reaction(NamedTuple):
-    """What another VM's word calls for: an answer to that VM, and what all should hear."""
+    """The messages that an update of another VM calls for.
+
+    `answer` goes back to that VM, and `pass_on` to all VMs.
+    """
 
     answer: Suspicion | None = None
     pass_on: Suspicion | None = None
 
 
 class Quarantine:
-    """What this VM holds against requests; times are on the monotonic clock."""
+    """The requests suspected of crashing endpoints; times are on the monotonic clock."""
 
     def __init__(self, own_vm: str) -> None:
         self._own_vm = own_vm
@@ -84,53 +97,58 @@
         self._served = ServedRequests()
 
     def __len__(self) -> int:
-        """Return how many requests are suspected, in quarantine or not."""
+        """Return the number of suspected requests, in quarantine or not."""
         return len(self._suspects)
 
     def barred(self, now_ms: float) -> list[Suspicion]:
-        """Return the requests that are in quarantine, the gravest first."""
-        return [item for item in self._ranked(now_ms) if item.crashes > 1 and item.held_ms > 0.0]
+        """Return the requests that are in quarantine, those with the most crashes first."""
+        return [
+            item for item in self._by_crashes(now_ms) if item.crashes > 1 and item.held_ms > 0.0
+        ]
 
     def crashes(self, keys: RequestKeys) -> tuple[int, ...]:
-        """Return how many crashes in a row are known, for each key."""
+        """Return the number of consecutive crashes known for each key."""
         found = (self._suspects.get(key) for key in keys)
         return tuple(0 if item is None else item.crashes for item in found)
 
     def standing(self, keys: RequestKeys, now_ms: float) -> Standing:
-        """Return whether this VM may send a request."""
+        """Return whether this VM may send a request now."""
         if not self._suspects:
             return Standing.CLEAR
         return max(self._standing(key, now_ms) for key in keys)
 
     def left_ms(self, keys: RequestKeys, now_ms: float) -> float:
-        """Return for how long a request is held or in quarantine."""
+        """Return the time until the lease on a request, or its quarantine, expires."""
         found = (self._suspects.get(key) for key in keys)
         return max((item.until_ms - now_ms for item in found if item is not None), default=0.0)
 
     def settled_ms(self, keys: RequestKeys) -> float:
-        """Return when a claim of this VM is known to those that may have one as well."""
+        """Return the time from which a claim of this VM is known to any VM that claimed as well."""
         found = (self._suspects.get(key) for key in keys)
-        return max((item.claimed_ms + SETTLE_MS for item in found if item is not None), default=0.0)
+        return max(
+            (item.claimed_ms + CLAIM_SETTLE_MS for item in found if item is not None), default=0.0
+        )
 
     def claim(self, keys: RequestKeys, now_ms: float) -> list[Suspicion]:
-        """Take the turn where it is free; return what to tell the others."""
+        """Claim the lease for each key where it is free; return the updates for the other VMs."""
         claimed = [key for key in keys if self._standing(key, now_ms) is Standing.FREE]
         return [self._claim(key, now_ms) for key in claimed]
 
     def begin(self, keys: RequestKeys, now_ms: float) -> bool:
-        """Return whether a copy may be sent at this moment, and use up the turn for it."""
+        """Return whether a copy may be sent now; if so, this uses up the lease."""
         if not self._suspects:
             return True
         if self.standing(keys, now_ms) > Standing.OURS:
             return False
         for item in filter(None, map(self._suspects.get, keys)):
-            item.used = True
+            item.lease_used = True
         return True
 
     def crashed(self, keys: RequestKeys, known: tuple[int, ...], now_ms: float) -> list[Suspicion]:
-        """Take it that an endpoint has crashed under a request of this VM.
+        """Record that an endpoint has crashed while it ran a request of this VM.
 
-        `known` are the crashes that were known when it was sent.  Returns what to tell the others.
+        `known` holds the crash counts that were known when the request was sent.  Returns the
+        updates for the other VMs.
         """
         update = []
         for key, before in zip(keys, known, strict=True):
@@ -138,13 +156,13 @@
                 continue
             item = self._suspects.get(key)
             if item is None or before + 1 > item.crashes:
-                update.append(self._raise(key, before + 1, now_ms))
-            elif item.crashes == 1 and self._may_take(key, item, self._own_vm, now_ms):
+                update.append(self._add_crash(key, before + 1, now_ms))
+            elif item.crashes == 1 and self._may_claim(key, item, self._own_vm, now_ms):
                 update.append(self._claim(key, now_ms))
         return update
 
     def served(self, keys: RequestKeys, now_ms: float) -> list[Suspicion]:
-        """Take it that a request was answered well; return what to tell if that clears it."""
+        """Record a successful response; if it clears the request, return updates for other VMs."""
         for key in keys:
             self._served.add(key, now_ms)
         if not self._suspects:
@@ -153,51 +171,51 @@
         return [Suspicion(key, 0) for key in cleared]
 
     def received(self, vm: str, update: Suspicion, now_ms: float) -> Reaction:
-        """Take what another VM says of a request; return what to answer and to pass on."""
-        key, mine = update.key, self._suspects.get(update.key)
+        """Apply another VM's update on a request; return what to reply and what to relay."""
+        key, known = update.key, self._suspects.get(update.key)
         if not update.crashes:
             self._served.add(key, now_ms)
             self._suspects.pop(key, None)
-            # The others hold it because this VM has told them to.
-            known_by_us = mine is not None and mine.holder == self._own_vm
-            return Reaction(pass_on=update if known_by_us else None)
+            # The other VMs hold the request back because of this VM's claim.
+            claimed_here = known is not None and known.lease_holder == self._own_vm
+            return Reaction(pass_on=update if claimed_here else None)
         if self._served.has(key, now_ms):
             return Reaction(answer=Suspicion(key, 0))
-        if mine is not None and update.crashes < mine.crashes:
-            return Reaction(answer=self._suspicion(key, mine, now_ms))
-        self._believe(vm, update, now_ms)
+        if known is not None and update.crashes < known.crashes:
+            return Reaction(answer=self._suspicion(key, known, now_ms))
+        self._adopt(vm, update, now_ms)
         return Reaction()
 
     def suspicions(self, now_ms: float) -> list[Suspicion]:
-        """Return what a VM that has just come should know, the gravest first."""
-        return self._ranked(now_ms)[:TOLD_LIMIT]
+        """Return the suspicions to send to a VM that has just joined, most crashes first."""
+        return self._by_crashes(now_ms)[:TOLD_LIMIT]
 
     def forget(self, now_ms: float) -> list[int]:
-        """Drop what is too old to count, and return the keys."""
+        """Remove the suspicions that have expired, and return their keys."""
         old = [
             key
             for key, item in self._suspects.items()
-            if now_ms > max(item.until_ms, item.touched_ms + FORGET_MS)
+            if now_ms > max(item.until_ms, item.updated_ms + EXPIRY_MS)
         ]
         for key in old:
             del self._suspects[key]
         return old
 
-    def _believe(self, vm: str, update: Suspicion, now_ms: float) -> None:
-        key, mine = update.key, self._suspects.get(update.key)
-        until_ms = now_ms + min(update.held_ms, _held_ms(update.crashes))
-        if mine is None or update.crashes > mine.crashes:
-            mine = self._put(key, _Suspect(update.crashes, until_ms, now_ms, claimed_ms=now_ms))
-            mine.holder = vm if update.claimed else ""
+    def _adopt(self, vm: str, update: Suspicion, now_ms: float) -> None:
+        key, known = update.key, self._suspects.get(update.key)
+        until_ms = now_ms + min(update.held_ms, _hold_ms(update.crashes))
+        if known is None or update.crashes > known.crashes:
+            known = self._put(key, _Suspect(update.crashes, until_ms, now_ms, claimed_ms=now_ms))
+            known.lease_holder = vm if update.claimed else ""
         elif update.claimed:
-            mine.touched_ms = now_ms
-            if not mine.holder or self._may_take(key, mine, vm, now_ms):
-                mine.until_ms, mine.holder, mine.used = until_ms, vm, False
-                mine.claimed_ms = now_ms
-        elif until_ms > mine.until_ms and update.crashes > 1:
-            mine.until_ms, mine.holder = until_ms, ""
-
-    def _ranked(self, now_ms: float) -> list[Suspicion]:
+            known.updated_ms = now_ms
+            if not known.lease_holder or self._may_claim(key, known, vm, now_ms):
+                known.until_ms, known.lease_holder, known.lease_used = until_ms, vm, False
+                known.claimed_ms = now_ms
+        elif until_ms > known.until_ms and update.crashes > 1:
+            known.until_ms, known.lease_holder = until_ms, ""
+
+    def _by_crashes(self, now_ms: float) -> list[Suspicion]:
         found = sorted(self._suspects.items(), key=lambda pair: -pair[1].crashes)
         return [self._suspicion(key, item, now_ms) for key, item in found]
 
@@ -207,38 +225,41 @@
             return Standing.CLEAR
         if now_ms >= item.until_ms:
             return Standing.FREE
-        if _is_barred(item, now_ms):
+        if _is_quarantined(item, now_ms):
             return Standing.BARRED
-        ours = item.holder == self._own_vm and not item.used
+        ours = item.lease_holder == self._own_vm and not item.lease_used
         return Standing.OURS if ours else Standing.HELD
 
-    def _raise(self, key: int, crashes: int, now_ms: float) -> Suspicion:
-        item = self._put(key, _Suspect(crashes, now_ms + _held_ms(crashes), now_ms))
+    def _add_crash(self, key: int, crashes: int, now_ms: float) -> Suspicion:
+        item = self._put(key, _Suspect(crashes, now_ms + _hold_ms(crashes), now_ms))
         if crashes == 1:
             return self._claim(key, now_ms)
         return self._suspicion(key, item, now_ms)
 
     def _claim(self, key: int, now_ms: float) -> Suspicion:
         item = self._suspects[key]
-        item.holder, item.used = self._own_vm, False
-        item.claimed_ms = item.touched_ms = now_ms
-        item.until_ms = now_ms + TURN_MS
-        return Suspicion(key, item.crashes, TURN_MS, claimed=True)
+        item.lease_holder, item.lease_used = self._own_vm, False
+        item.claimed_ms = item.updated_ms = now_ms
+        item.until_ms = now_ms + LEASE_MS
+        return Suspicion(key, item.crashes, LEASE_MS, claimed=True)
 
     @staticmethod
-    def _may_take(key: int, item: _Suspect, vm: str, now_ms: float) -> bool:
-        """Return whether a VM takes the turn: it is free, or two claims cross and its own wins.
+    def _may_claim(key: int, item: _Suspect, vm: str, now_ms: float) -> bool:
+        """Return whether a VM may take the lease.
 
-        A claim that has settled stands, as its VM may have sent the request.
+        It may if the lease is free, or if its claim competes with another VM's claim and wins.
+        A claim older than `CLAIM_SETTLE_MS` is final, as its VM may already have sent the request.
         """
         if now_ms >= item.until_ms:
             return True
-        settled = now_ms >= item.claimed_ms + SETTLE_MS
-        return not settled and vm != item.holder and _ranks(key, vm, item.holder)
+        settled = now_ms >= item.claimed_ms + CLAIM_SETTLE_MS
+        return (
+            not settled and vm != item.lease_holder and _has_precedence(key, vm, item.lease_holder)
+        )
 
     def _put(self, key: int, item: _Suspect) -> _Suspect:
         if key not in self._suspects and len(self._suspects) >= SUSPECTS_LIMIT:
-            del self._suspects[_least(self._suspects.items())]
+            del self._suspects[_weakest(self._suspects.items())]
         self._suspects[key] = item
         return item
 
@@ -246,21 +267,21 @@
         return Suspicion(key, item.crashes, max(0.0, item.until_ms - now_ms))
 
 
-def _is_barred(item: _Suspect, now_ms: float) -> bool:
-    return item.crashes > 1 and not item.holder and now_ms < item.until_ms
+def _is_quarantined(item: _Suspect, now_ms: float) -> bool:
+    return item.crashes > 1 and not item.lease_holder and now_ms < item.until_ms
 
 
-def _held_ms(crashes: int) -> float:
+def _hold_ms(crashes: int) -> float:
     if crashes < 2:
-        return TURN_MS
+        return LEASE_MS
     return QUARANTINE_MS[min(crashes - 2, len(QUARANTINE_MS) - 1)]
 
 
-def _ranks(key: int, vm: str, other: str) -> bool:
-    """Return whether a VM goes before another one; all VMs come to the same result."""
+def _has_precedence(key: int, vm: str, other: str) -> bool:
+    """Return whether a VM has precedence over another one; all VMs compute the same result."""
     return rank_weight(str(key), vm) > rank_weight(str(key), other)
 
 
-def _least(items: Iterable[tuple[int, _Suspect]]) -> int:
-    """Return the key of what is least grave, and of that the oldest."""
-    return min(items, key=lambda pair: (pair[1].crashes, pair[1].touched_ms))[0]
+def _weakest(items: Iterable[tuple[int, _Suspect]]) -> int:
+    """Return the key with the fewest crashes, and among equals the least recently updated one."""
+    return min(items, key=lambda pair: (pair[1].crashes, pair[1].updated_ms))[0]
--- a/cloverhook/gateway/retry_allowance.py
+++ b/cloverhook/gateway/retry_allowance.py
@@ -1,8 +1,9 @@
-"""This VM's share of the repeats that all VMs together may send to a service.
+"""This VM's share of the fleet-wide retry budget of each service.
 
-Layer: coordination.  In any window of `window_ms`, the fleet may send `ratio` of the service's
-requests once more, and `extra` besides.  Each VM counts only its own requests and takes an equal
-part of the extra, so no message is needed, and a VM that comes or goes leaves the sum in bounds.
+Layer: coordination.  In any window of `window_ms`, all VMs together may send as many retries to a
+service as `ratio` times the service's requests, plus `extra`.  Each VM counts only its own requests
+and takes an equal part of the extra.  The VMs therefore need not exchange messages, and the total
+stays within its bound when a VM joins or leaves.
 
 >>> allowance = RetryAllowance(ratio=0.5, extra=4, window_ms=1_000)
 >>> [allowance.take("s", 0.0, vms=2) for _ in range(2)]
@@ -13,20 +14,21 @@
 
 __all__ = ["RetryAllowance"]
 
-SAFETY = 0.7
-"""The part of the allowance that is used: VMs may disagree for a moment on how many they are."""
-RATE_FLOOR_MS = 1_000.0
-"""A rate is never taken over less time: the first few requests say little."""
+SAFETY_FACTOR = 0.7
+"""The part of the budget that is used; the rest is a margin for moments when the VMs disagree on
+their number."""
+RATE_PERIOD_MIN_MS = 1_000.0
+"""The shortest time over which a rate is computed: the first few requests say little about it."""
 
 
 class _ServiceWindow:
     def __init__(self) -> None:
         self.requests: deque[float] = deque()
-        self.repeats: deque[float] = deque()
+        self.retries: deque[float] = deque()
 
 
 class RetryAllowance:
-    """Counts requests and repeats of each service over a sliding window."""
+    """Counts the requests and the retries of each service in a sliding window."""
 
     def __init__(self, ratio: float, extra: float, window_ms: float) -> None:
         self._ratio = ratio
@@ -35,34 +37,34 @@
         self._windows: dict[str, _ServiceWindow] = {}
 
     def count(self, service: str, now_ms: float) -> None:
-        """Count a request of a caller."""
+        """Count a request received from a caller."""
         self._window(service, now_ms).requests.append(now_ms)
 
     def take(self, service: str, now_ms: float, vms: int) -> bool:
-        """Count a repeat and return True, or return False when none is left."""
+        """Count a retry and return True, or return False if the budget is exhausted."""
         window = self._window(service, now_ms)
-        earned = self._ratio * len(window.requests) + self._extra / max(1, vms)
-        if len(window.repeats) + 1 > SAFETY * earned:
+        budget = self._ratio * len(window.requests) + self._extra / max(1, vms)
+        if len(window.retries) + 1 > SAFETY_FACTOR * budget:
             return False
-        window.repeats.append(now_ms)
+        window.retries.append(now_ms)
         return True
 
     def requests_per_s(self, service: str, now_ms: float) -> float:
-        """Return how many requests of callers came in a second, over the time that is kept."""
+        """Return the rate of callers' requests to a service since the oldest one in the window."""
         requests = self._window(service, now_ms).requests
         if not requests:
             return 0.0
-        return 1000 * len(requests) / max(now_ms - requests[0], RATE_FLOOR_MS)
+        return 1000 * len(requests) / max(now_ms - requests[0], RATE_PERIOD_MIN_MS)
 
     def all_requests_per_s(self, now_ms: float) -> float:
-        """Return the same for all services together."""
+        """Return the rate of callers' requests to all services together."""
         return sum(self.requests_per_s(service, now_ms) for service in tuple(self._windows))
 
     def _window(self, service: str, now_ms: float) -> _ServiceWindow:
         window = self._windows.get(service)
         if window is None:
             window = self._windows[service] = _ServiceWindow()
-        for times in (window.requests, window.repeats):
+        for times in (window.requests, window.retries):
             while times and times[0] <= now_ms - self._window_ms:
                 times.popleft()
         return window
