--- a/cloverhook/gateway/forwarding.py
+++ b/cloverhook/gateway/forwarding.py
@@ -1,8 +1,9 @@
-"""Brings each request to an end: choice, attempts, second attempts, and the final answer.
+"""Forwards each request: admission, attempts, retries and hedged attempts, and the final response.
 
-Layer: transport.  A request that may run once only is sent again only when it certainly has not
-run.  An idempotent one may also be sent to a second backend server while the first is silent, so
-long as the allowance for repeats lasts.  Once given up, a request gets its final answer at once.
+Layer: transport.  A request that must run at most once is sent again only if it is certain that it
+has not run.  An idempotent request may also be sent to a second backend server while the first one
+has not answered (a hedged request), within the retry budget.  A request that is given up gets its
+final response at once.
 """
 
 import asyncio
@@ -31,31 +32,33 @@
 
 __all__ = ["Forwarder"]
 
-SENDS_LIMIT = 4
-"""A request that keeps being rejected is offered to this many backend servers, then refused."""
-ASKS_LIMIT = 2
-"""So many endpoints are asked for their load before a request; the next one gets it at once."""
+ATTEMPTS_LIMIT = 4
+"""A request that is rejected repeatedly is refused after attempts at this many backend servers."""
+LOAD_PROBES_LIMIT = 2
+"""At most this many attempts of a request begin with a load probe; the next one sends at once."""
 HEDGE_SHARE = 0.7
-"""A silent endpoint at its usual pace gets company after this share of the objective."""
+"""If an endpoint that works at its usual pace has not answered after this share of the latency
+objective, a hedged request is sent."""
 SPARE_SHARE = 0.5
-"""A silent endpoint gets company only while this share of its service's endpoints has room: in
-overload a second attempt takes the slot of a request that has had none."""
+"""A hedged request is sent only while this share of the service's endpoints has room: in overload
+it would take a slot from a request that has not been attempted yet."""
 FIGURE_LAG_MS = 150.0
-"""Work keeps the pace at which it began; a figure may tell of that pace so much later."""
-VERDICT_SHARE = 0.5
-"""The part of its objective for which a request waits to see whether another copy of it crashes an
-endpoint."""
-SILENT_WORKS = 6.0
-"""An endpoint that could have done the work so many times and says nothing has failed it; one that
-works a few times as long as it says has not."""
-LAST_MS = 10.0
-"""With less time left, no attempt is worth starting."""
+"""A request is worked at the pace at which it began, and a load figure may report that pace this
+much later."""
+QUARANTINE_WAIT_SHARE = 0.5
+"""The share of its latency objective for which a request waits to learn whether another copy of it
+crashes an endpoint."""
+UNANSWERED_WORK_FACTOR = 6.0
+"""An endpoint has failed a request if it has not answered in a time in which it could have done the
+work this many times; an endpoint that merely takes a few times as long as it reports has not."""
+ATTEMPT_TIME_MIN_MS = 10.0
+"""No further attempt is started with less time than this left before the deadline."""
 CONNECTION_SHARE = 0.8
-"""The part of an endpoint's connections that the gateways use together."""
+"""The share of an endpoint's connections that all gateways together may use."""
 
 
 class Forwarder:
-    """Serves callers' requests."""
+    """Forwards callers' requests to backend servers."""
 
     def __init__(
         self,
@@ -87,13 +90,15 @@
         self._report = report
         self._estimates = estimates
         self.admission = Admission(
-            WaitingLine(balancer), self._place, lambda choice: self._count(choice, -1)
+            WaitingLine(balancer),
+            self._count_placed,
+            lambda choice: self._change_in_flight(choice, -1),
         )
         self._splits = Splits()
         self._running: dict[str, set[RequestRun]] = {}
 
     def pace_changed(self, incarnation: str) -> None:
-        """Look again at the requests that began at a backend server just before its pace fell."""
+        """Recheck for hedging the requests sent to a backend server just before it became slow."""
         runs = self._running.get(incarnation)
         if not runs:
             return
@@ -101,90 +106,90 @@
         if self._knowledge.board.of(incarnation).pace(now_ms) < SLOW_PACE:
             return
         for run in runs:
-            young = now_ms - run.attempts[-1].began_ms < FIGURE_LAG_MS
-            if young and run.nudge is not None and not run.nudge.done():
+            is_recent = now_ms - run.attempts[-1].began_ms < FIGURE_LAG_MS
+            if is_recent and run.nudge is not None and not run.nudge.done():
                 run.nudge.set_result(None)
 
     async def handle(self, request: CallerRequest) -> CallerAnswer:
-        """Return the answer to a caller's request; a fault of ours is logged and told as such."""
+        """Return the response to a request; an exception is logged and gives an internal error."""
         try:
-            return await self._handle(request)
+            return await self._route_and_forward(request)
         except Exception:
             self._report.fault(find(request.headers, self._headers.request_id) or b"")
             return error_answer(ErrorKind.INTERNAL)
 
-    async def _handle(self, request: CallerRequest) -> CallerAnswer:
+    async def _route_and_forward(self, request: CallerRequest) -> CallerAnswer:
         config = self._knowledge.config
         request_id = find(request.headers, self._headers.request_id) or b""
         if config is None:
-            kind, reason = ErrorKind.NO_BACKEND_SERVER, "no configuration"
-            return self._turn_away(request, request_id, kind, reason)
+            kind, reason = ErrorKind.NO_BACKEND_SERVER, "no configuration received yet"
+            return self._reject_unrouted(request, request_id, kind, reason)
         route = config.find(request.host, request.path)
         if route is None:
-            kind, reason = ErrorKind.UNKNOWN_HOST, "no route"
-            return self._turn_away(request, request_id, kind, reason)
+            kind, reason = ErrorKind.UNKNOWN_HOST, "no route matches the host and path"
+            return self._reject_unrouted(request, request_id, kind, reason)
         service = self._splits.next(route)
         run = RequestRun.of(request, request_id, route, service, self._headers)
         self._allowance.count(service, request.arrived_ms)
         try:
-            answer = await self._bring_to_end(run)
+            answer = await self._forward(run)
         except asyncio.CancelledError:
             self._report.ended(run, error_answer(ErrorKind.CALLER_GONE))
             raise
         finally:
             for task, attempt in run.tasks.items():
                 task.cancel()
-                self._judge_silence(run, attempt)
+                self._record_if_unanswered(run, attempt)
             for attempt in run.attempts:
-                self._no_longer_at(run, attempt)
+                self._remove_running(run, attempt)
         self._report.ended(run, answer)
         return answer
 
-    async def _bring_to_end(self, run: RequestRun) -> CallerAnswer:
-        choice = await self._admit(run) if await self._is_clear(run) else None
+    async def _forward(self, run: RequestRun) -> CallerAnswer:
+        choice = await self._wait_for_room(run) if await self._passes_quarantine(run) else None
         if choice is None:
-            return self._final(run)
-        self._begin(run, choice)
+            return self._final_response(run)
+        self._start_attempt(run, choice)
         while run.tasks:
             done = await self._wait(run)
             for task in done:
                 attempt = run.tasks.pop(task)
                 run.results.append(task.result())
-                self._judge(run, task.result(), attempt)
-            good = next((item for item in run.results if not item.failed), None)
-            if good is not None:
+                self._record_result(run, task.result(), attempt)
+            successful = next((item for item in run.results if not item.failed), None)
+            if successful is not None:
                 self._quarantine_updates.served(run.keys)
-                self._measured(run, good)
-                return good.answer
+                self._record_latency(run, successful)
+                return successful.answer
             if monotonic_ms() >= run.deadline_ms:
                 break
             if done:
-                wanted = self._may_repeat(run) and await self._is_clear(run)
+                start_another = self._may_retry(run) and await self._passes_quarantine(run)
             else:
-                wanted = self._wants_hedge(run)
-            if wanted:
-                self._start(run)
-        return self._final(run)
+                start_another = self._should_hedge(run)
+            if start_another:
+                self._try_start_attempt(run)
+        return self._final_response(run)
 
-    async def _is_clear(self, run: RequestRun) -> bool:
-        """Return whether a request may be sent, as far as it has crashed no endpoints.
+    async def _passes_quarantine(self, run: RequestRun) -> bool:
+        """Return whether the quarantine allows a request to be sent.
 
-        While another VM sends a request with the same content, this one waits for what becomes of
-        it, as long as it may still be answered in time.
+        While another copy with the same content is being tried under a lease, the request waits for
+        the outcome for as long as it may still be answered in time.
         """
         updates, aim_ms = self._quarantine_updates, run.route.aim_ms
-        if await updates.admit(run.keys, run.request.arrived_ms + VERDICT_SHARE * aim_ms):
+        if await updates.admit(run.keys, run.request.arrived_ms + QUARANTINE_WAIT_SHARE * aim_ms):
             return True
         run.quarantined_ms = updates.quarantine.left_ms(run.keys, monotonic_ms())
         return False
 
-    def _judge(self, run: RequestRun, result: AttemptResult, attempt: Attempt) -> None:
-        """Keep what an attempt says of whether its endpoint can be trusted."""
+    def _record_result(self, run: RequestRun, result: AttemptResult, attempt: Attempt) -> None:
+        """Record what the result of an attempt shows about its endpoint."""
         incarnation = result.choice.server.incarnation
-        self._hear_limit(incarnation, result)
+        self._record_rate_limit(incarnation, result)
         if result.with_room:
             self._on_refusal(incarnation)
-        if result.crashed and not self._was_leaving(incarnation):
+        if result.crashed and not self._was_draining_or_gone(incarnation):
             known = run.crashes_known[incarnation]
             self._quarantine_updates.crashed(run.keys, known, incarnation)
         if result.at_fault:
@@ -192,23 +197,27 @@
         elif not result.failed:
             self._knowledge.board.of(incarnation).trust.answered(monotonic_ms())
 
-    def _hear_limit(self, incarnation: str, result: AttemptResult) -> None:
-        """Take the limit that an endpoint names, or names no more in an answer to a request."""
+    def _record_rate_limit(self, incarnation: str, result: AttemptResult) -> None:
+        """Record the rate limit that an endpoint advertises, or that it no longer advertises one.
+
+        Only a successful response without a limit shows that there is no limit any more.
+        """
         succeeded = result.outcome is Outcome.ANSWERED and not result.failed
         if result.named_limit_per_s is not None or succeeded:
             now_ms = monotonic_ms()
             self._rate_limit_updates.answered(incarnation, result.named_limit_per_s, now_ms)
 
-    def _was_leaving(self, incarnation: str) -> bool:
-        """Return whether an endpoint has announced that it ends, or has ended before."""
+    def _was_draining_or_gone(self, incarnation: str) -> bool:
+        """Return whether an endpoint is draining, gone, or known only by a held registry entry."""
         registry = self._knowledge.registry
         server = registry.get(incarnation)
         return server is None or server.draining or registry.held(server)
 
-    def _judge_silence(self, run: RequestRun, attempt: Attempt) -> None:
-        """Count it as a failure if work should have ended long ago that is given up now.
+    def _record_if_unanswered(self, run: RequestRun, attempt: Attempt) -> None:
+        """Count an abandoned attempt as a failure if its work should have been done long ago.
 
-        An endpoint that is full, or answers others meanwhile, is only slow or lets a request wait.
+        An endpoint that is full, or has answered other requests meanwhile, is only slow or has
+        queued the request, so no failure is counted.
         """
         server, now_ms = attempt.choice.server, monotonic_ms()
         load = self._knowledge.board.of(server.incarnation)
@@ -218,14 +227,14 @@
         if figure is not None and figure.running + figure.waiting >= server.slots:
             return
         work_ms = self._estimates.work_ms(run.route.name, run.route.aim_ms)
-        done_ms = load.progress_ms(now_ms) - attempt.progress_at_start_ms
+        work_done_ms = load.progress_ms(now_ms) - attempt.progress_at_start_ms
         if figure is None:
-            done_ms = now_ms - attempt.began_ms
-        if done_ms >= SILENT_WORKS * work_ms:
+            work_done_ms = now_ms - attempt.began_ms
+        if work_done_ms >= UNANSWERED_WORK_FACTOR * work_ms:
             self._on_failure(server.incarnation, attempt.began_ms)
 
     async def _wait(self, run: RequestRun) -> set[asyncio.Task[AttemptResult]]:
-        """Wait for the end of an attempt, or until the request wants another look."""
+        """Wait until an attempt ends, or until the request has to be checked again."""
         awaited: set[asyncio.Future] = set(run.tasks)
         if self._can_hedge(run):
             run.nudge = asyncio.get_running_loop().create_future()
@@ -238,7 +247,7 @@
         run.nudge = None
         return done
 
-    def _no_longer_at(self, run: RequestRun, attempt: Attempt) -> None:
+    def _remove_running(self, run: RequestRun, attempt: Attempt) -> None:
         incarnation = attempt.choice.server.incarnation
         runs = self._running.get(incarnation)
         if runs is not None:
@@ -246,8 +255,8 @@
             if not runs:
                 del self._running[incarnation]
 
-    async def _admit(self, run: RequestRun) -> Choice | None:
-        """Wait for room at a backend server; return None when the request is refused."""
+    async def _wait_for_room(self, run: RequestRun) -> Choice | None:
+        """Wait for room at a backend server; return None if the request is refused."""
         route = run.route
         first_priorities = self._knowledge.config.first_priorities
         waiter = Waiter(
@@ -263,24 +272,24 @@
         )
         return await self.admission.wait(waiter)
 
-    def _place(self, choice: Choice) -> None:
-        """Count a request at the backend server chosen, before the next one is placed."""
+    def _count_placed(self, choice: Choice) -> None:
+        """Count a request at the chosen backend server, before the next choice is made."""
         self._balancer.placed(choice.server, monotonic_ms())
-        self._count(choice, 1)
+        self._change_in_flight(choice, 1)
 
-    def _count(self, choice: Choice, change: int) -> None:
+    def _change_in_flight(self, choice: Choice, change: int) -> None:
         incarnation = choice.server.incarnation
         self._knowledge.board.of(incarnation).in_flight += change
         self._on_count(incarnation)
 
-    def _start(self, run: RequestRun) -> bool:
-        """Start another attempt if one is allowed and there is a backend server for it."""
+    def _try_start_attempt(self, run: RequestRun) -> bool:
+        """Start another attempt if one is allowed and a backend server is available for it."""
         now_ms = monotonic_ms()
-        if run.deadline_ms - now_ms < LAST_MS:
+        if run.deadline_ms - now_ms < ATTEMPT_TIME_MIN_MS:
             return False
         route = run.route
         work_ms = self._estimates.work_ms(route.name, route.aim_ms)
-        # Beside a first attempt, one must not keep another request waiting.
+        # A hedged attempt must not make another request wait.
         room = Room.UNHARMED if run.tasks else Room.SLOT
         choice = self._balancer.choose(
             run.service, work_ms, now_ms, run.tried, room, route.idempotent, route.regions
@@ -288,19 +297,19 @@
         if choice is None or (run.tasks and choice.spare_share < SPARE_SHARE):
             return False
         if choice.expected_ms > run.deadline_ms - now_ms:
-            return False  # It would hold a slot for long, and answer too late for its caller.
+            return False  # It would occupy a slot for long and still answer after the deadline.
         arrived = any(item.arrived for item in run.results) or run.tasks
         if arrived and not self._allowance.take(run.service, now_ms, self._vms()):
             self._report.repeated(run.service, allowed=False)
             return False
         if arrived:
             self._report.repeated(run.service, allowed=True)
-        self._place(choice)
-        self._begin(run, choice)
+        self._count_placed(choice)
+        self._start_attempt(run, choice)
         return True
 
-    def _begin(self, run: RequestRun, choice: Choice) -> None:
-        """Start an attempt at a backend server where the request already counts."""
+    def _start_attempt(self, run: RequestRun, choice: Choice) -> None:
+        """Start an attempt at a backend server whose in-flight count already includes it."""
         attempt = Attempt(
             run.request,
             run.request_id,
@@ -308,37 +317,40 @@
             run.deadline_ms,
             run.route.idempotent,
             self._headers,
-            self._ask_path(run),
-            lambda server: self._objection(run, server),
+            self._load_probe_path(run),
+            lambda server: self._reason_not_to_send(run, server),
         )
         limit = self._connection_limit(run.service)
         work = attempt.run(self._pool, self._knowledge.board, limit)
         task = asyncio.get_running_loop().create_task(work)
-        task.add_done_callback(lambda _: self._attempt_over(choice))
+        task.add_done_callback(lambda _: self._on_attempt_end(choice))
         run.tasks[task] = attempt
         run.attempts.append(attempt)
         self._running.setdefault(choice.server.incarnation, set()).add(run)
 
-    def _objection(self, run: RequestRun, server: BackendServer) -> str:
-        """Return why a request that was placed must not be sent after all, or nothing."""
+    def _reason_not_to_send(self, run: RequestRun, server: BackendServer) -> str:
+        """Return why a request must not be sent to the chosen backend server; "" if it may be."""
         if not self._balancer.may_get(server):
             return "its data centre is evacuated"
         if not self._quarantine_updates.begin(run.keys):
-            return "endpoints crashed under requests with this content"
+            return "endpoints crashed while they ran requests with this content"
         known = self._quarantine_updates.quarantine.crashes(run.keys)
         run.crashes_known[server.incarnation] = known
         return ""
 
-    def _ask_path(self, run: RequestRun) -> str | None:
-        """Return where to ask an endpoint for its load before a request that can't be repeated."""
-        if run.route.idempotent or len(run.attempts) >= ASKS_LIMIT:
+    def _load_probe_path(self, run: RequestRun) -> str | None:
+        """Return the path for a load probe before a request that is not idempotent, or None."""
+        if run.route.idempotent or len(run.attempts) >= LOAD_PROBES_LIMIT:
             return None
         spec = self._knowledge.config.services.get(run.service)
         return None if spec is None else spec.health_path
 
-    def _attempt_over(self, choice: Choice) -> None:
-        """Let the next request in; also an attempt that was cancelled before it began ends here."""
-        self._count(choice, -1)
+    def _on_attempt_end(self, choice: Choice) -> None:
+        """Uncount an ended attempt and admit waiting requests.
+
+        As a done callback, this also runs for an attempt that was cancelled before it began.
+        """
+        self._change_in_flight(choice, -1)
         self.admission.look(choice.server.service)
 
     def _connection_limit(self, service: str) -> int:
@@ -348,16 +360,16 @@
             return 1
         return max(2, int(CONNECTION_SHARE * spec.connections / self._vms()))
 
-    def _may_repeat(self, run: RequestRun) -> bool:
-        """Return whether the request may be sent once more after a failure."""
-        if len(run.attempts) >= SENDS_LIMIT or run.tasks:
+    def _may_retry(self, run: RequestRun) -> bool:
+        """Return whether the request may be retried after a failure."""
+        if len(run.attempts) >= ATTEMPTS_LIMIT or run.tasks:
             return False
         if run.maybe_runs == 0:
             return True
         return run.route.idempotent and run.maybe_runs < run.route.attempts
 
     def _wait_ms(self, run: RequestRun) -> float:
-        """Return how long to wait before the next look at the request."""
+        """Return how long to wait before the request is checked again."""
         now_ms = monotonic_ms()
         waits = [run.deadline_ms]
         if self._can_hedge(run):
@@ -370,13 +382,13 @@
         return (
             run.route.idempotent
             and len(run.tasks) == 1
-            and len(run.attempts) < SENDS_LIMIT
+            and len(run.attempts) < ATTEMPTS_LIMIT
             and run.maybe_runs < run.route.attempts
             and not any(self._quarantine_updates.quarantine.crashes(run.keys))
         )
 
-    def _wants_hedge(self, run: RequestRun) -> bool:
-        """Return whether a second backend server should start on the request now."""
+    def _should_hedge(self, run: RequestRun) -> bool:
+        """Return whether the request should be hedged now: sent to a second backend server."""
         if not self._can_hedge(run):
             return False
         now_ms = monotonic_ms()
@@ -387,8 +399,8 @@
         load = self._knowledge.board.of(attempt.choice.server.incarnation)
         return load.pace(now_ms) >= SLOW_PACE
 
-    def _final(self, run: RequestRun) -> CallerAnswer:
-        """Return the answer to a request that no backend server has answered well."""
+    def _final_response(self, run: RequestRun) -> CallerAnswer:
+        """Return the response to a request that no backend server has answered successfully."""
         answered = [item for item in run.results if item.answer is not None]
         if answered:
             return answered[-1].answer
@@ -398,13 +410,13 @@
         kind = final_kind(run, late, self._balancer.is_evacuated(run.service), known, limited)
         return error_answer(kind, run.quarantined_ms)
 
-    def _measured(self, run: RequestRun, result: AttemptResult) -> None:
+    def _record_latency(self, run: RequestRun, result: AttemptResult) -> None:
         choice = result.choice
         if choice.load < choice.server.slots:
             route = run.route
             self._estimates.measured(route.name, route.aim_ms, result.latency_ms, choice)
 
-    def _turn_away(
+    def _reject_unrouted(
         self, request: CallerRequest, request_id: bytes, kind: ErrorKind, reason: str
     ) -> CallerAnswer:
         answer = error_answer(kind)
