--- a/cloverhook/gateway/attempt.py
+++ b/cloverhook/gateway/attempt.py
@@ -1,11 +1,12 @@
 """One attempt of a request at one backend server.
 
-Layer: transport.  An attempt ends in one of the ways of `Outcome`; only `NOT_SENT`, `DECLINED`,
-`WITHHELD` and `REJECTED` say for certain that the request did not run there.
+Layer: transport.  An attempt ends with one `Outcome`; only `NOT_SENT`, `DECLINED`, `WITHHELD` and
+`REJECTED` mean with certainty that the request did not run there.
 
-A request that must not be sent twice asks first: over the connection that it is about to use, it
-asks the endpoint for its load, and goes elsewhere if that has turned slow since the last figure or
-does not answer.  Once sent there would be no way back.
+Before a request that must not be sent twice, the attempt probes the endpoint's load over the
+connection that it is about to use.  If the endpoint has become slow since the last load figure or
+does not answer the probe, the request goes to another endpoint: once sent, it could no longer be
+moved.
 """
 
 import asyncio
@@ -32,18 +33,20 @@
 
 __all__ = ["Attempt", "AttemptResult", "Outcome"]
 
-MISDIRECTED = 421
-FAILURE_STATUSES = 500
-TIME_OUT = 504
-"""An endpoint says so of a request whose time has passed: that may be the caller's doing."""
-FORGOTTEN_MS = 20.0
-"""A reset within this time of the send comes from an end that had forgotten the connection."""
+MISDIRECTED_REQUEST = 421
+FAILURE_STATUS_MIN = 500
+GATEWAY_TIMEOUT = 504
+"""The status for a request whose deadline has passed, which isn't counted as a failure of the
+endpoint: the caller may have set too short a deadline."""
+STALE_RESET_MS = 20.0
+"""A reset this soon after the send shows that the peer had already dropped the idle connection."""
 ASK_AGE_MS = 15.0
-"""A figure that is younger needs no question; an answer takes about 1 ms in the data centre."""
-ASK_TIMEOUT_MS = 60.0
-KEPT_BODY_BYTES = 262_144
-"""An answer of up to this size is taken whole before its caller gets a byte, so that one that
-breaks off can be asked for again."""
+"""Up to this age of the load figure no load probe is needed; within a data centre, the response to
+one takes about 1 ms."""
+LOAD_PROBE_TIMEOUT_MS = 60.0
+BUFFERED_BODY_BYTES = 262_144
+"""A response body up to this size is read completely before the caller gets a byte of it, so that
+the request can be retried if the response breaks off."""
 
 
 class Outcome(Enum):
@@ -57,12 +60,12 @@
     CUT = "cut"
 
 
-NEVER_ARRIVED = frozenset((Outcome.NOT_SENT, Outcome.DECLINED, Outcome.WITHHELD))
+OUTCOMES_NOT_ARRIVED = frozenset((Outcome.NOT_SENT, Outcome.DECLINED, Outcome.WITHHELD))
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """The end of an attempt; `answer` is there for `ANSWERED` alone."""
+    """The result of an attempt; `answer` is set for `ANSWERED` only."""
 
     outcome: Outcome
     choice: Choice
@@ -71,29 +74,29 @@
     answer: CallerAnswer | None = None
     detail: str = ""
     crashed: bool = False
-    """Whether the backend server ended while it had the request."""
+    """Whether the backend server's process ended while it had the request."""
     at_fault: bool = False
-    """Whether the backend server has failed a request that it should have answered."""
+    """Whether the backend server failed a request that it should have answered."""
     with_room: bool = False
-    """Whether the backend server turned the request away although it had a free slot."""
+    """Whether the backend server rejected the request although it had a free slot."""
     named_limit_per_s: float | None = None
-    """The requests a second that the backend server said it takes."""
+    """The rate limit that the backend server advertised, in requests a second."""
     usual_ms: float = 0.0
-    """How long the work would have taken at the usual pace, by the figures known meanwhile."""
+    """How long the work would have taken at the usual pace, by the load figures of that time."""
 
     @property
     def arrived(self) -> bool:
         """Whether the request may have reached the backend server."""
-        return self.outcome not in NEVER_ARRIVED
+        return self.outcome not in OUTCOMES_NOT_ARRIVED
 
     @property
     def failed(self) -> bool:
-        """Whether another backend server might do better."""
-        return self.outcome is not Outcome.ANSWERED or self.status >= FAILURE_STATUSES
+        """Whether the attempt failed, so that another backend server might succeed."""
+        return self.outcome is not Outcome.ANSWERED or self.status >= FAILURE_STATUS_MIN
 
 
 class Attempt:
-    """Sends a request to the backend server chosen and takes its answer."""
+    """Sends a request to the chosen backend server and reads its response."""
 
     def __init__(
         self,
@@ -103,16 +106,17 @@
         deadline_ms: float,
         idempotent: bool,
         headers: CallHeaders,
-        ask_path: str | None = None,
-        objection: Callable[[BackendServer], str] = lambda server: "",
+        probe_path: str | None = None,
+        reason_not_to_send: Callable[[BackendServer], str] = lambda server: "",
     ) -> None:
-        """With `ask_path`, the endpoint is asked for its load there before the request is sent.
+        """With `probe_path`, the endpoint's load is probed at that path before the request is sent.
 
-        `objection` is asked last of all, and says why the request is not to be sent: an evacuation
-        may begin after the choice, or another VM learn what the request does.
+        `reason_not_to_send` is called immediately before the send and returns "" if the request may
+        be sent.  After the choice of the endpoint, its data centre may have been evacuated, or
+        another VM may have found that the request crashes endpoints.
         """
-        self._objection = objection
-        self._ask_path = ask_path
+        self._reason_not_to_send = reason_not_to_send
+        self._probe_path = probe_path
         self._declined: AnswerHead | None = None
         self._withheld = False
         self.choice = choice
@@ -126,82 +130,84 @@
         self._headers = headers
 
     async def run(self, pool: BackendPool, board: LoadBoard, limit: int) -> AttemptResult:
-        """Make the attempt; being cancelled ends the work at the backend server too."""
+        """Make the attempt; cancelling it also ends the work at the backend server."""
         server = self.choice.server
         load = board.of(server.incarnation)
         started_ms = monotonic_ms()
         self.progress_at_start_ms = load.progress_ms(started_ms)
         connection: UpstreamConnection | None = None
-        kept = False
+        still_in_use = False
         try:
             left_ms = self._deadline_ms - started_ms
             connection = await pool.acquire(server, limit, self._idempotent, left_ms)
-            if self._ask_path and self._should_ask(load, started_ms):
-                await self._ask(connection, load, self._ask_path)
+            if self._probe_path and self._should_probe(load, started_ms):
+                await self._probe(connection, load, self._probe_path)
             head = await self._send(connection)
             figure = load_figure(find(head.headers, self._headers.load))
             if figure is not None:
                 load.report(figure, monotonic_ms(), counted=1)
-            result = await self._take(head, connection, pool, started_ms)
-            if head.status != MISDIRECTED:
+            result = await self._read_response(head, connection, pool, started_ms)
+            if head.status != MISDIRECTED_REQUEST:
                 limit_per_s = rate_limit_per_s(head.headers, self._headers)
                 result = replace(result, named_limit_per_s=limit_per_s)
-            kept = result.answer is not None and result.answer.rest is not None
-            if not kept:
+            still_in_use = result.answer is not None and result.answer.rest is not None
+            if not still_in_use:
                 pool.release(server, connection, head)
         except UpstreamError as error:
             self.sent = self.sent and error.sent
-            result = self._failed(error, monotonic_ms() - started_ms)
-            forgotten = False
+            result = self._failure_result(error, monotonic_ms() - started_ms)
+            stale = False
             if connection is not None and connection.silent:
                 pool.went_silent(server, started_ms)
-                quick = result.latency_ms < FORGOTTEN_MS
+                quick = result.latency_ms < STALE_RESET_MS
                 if quick and self.choice.load < server.slots:
                     pool.was_forgotten(server, connection)
-                forgotten = quick and connection.idle_since_ms > 0.0
+                stale = quick and connection.idle_since_ms > 0.0
             crashed = self.sent and not error.bad_answer and await pool.has_ended(server)
-            result = replace(result, at_fault=self.sent and not forgotten, crashed=crashed)
+            result = replace(result, at_fault=self.sent and not stale, crashed=crashed)
         finally:
-            if connection is not None and not kept and not connection.usable:
+            if connection is not None and not still_in_use and not connection.usable:
                 connection.close()
         if self._declined is not None:
             pool.release(server, connection, self._declined)
-        self._learn(result, board)
+        self._update_load(result, board)
         return replace(
             result, usual_ms=load.progress_ms(monotonic_ms()) - self.progress_at_start_ms
         )
 
-    def _should_ask(self, load: ServerLoad, now_ms: float) -> bool:
-        """Return whether a question is of use: it is where the endpoint tells its load at all."""
+    def _should_probe(self, load: ServerLoad, now_ms: float) -> bool:
+        """Return whether to probe: the endpoint reports its load, but the figure isn't recent."""
         return load.figure is not None and load.age_ms(now_ms) > ASK_AGE_MS
 
-    async def _ask(self, connection: UpstreamConnection, load: ServerLoad, path: str) -> None:
-        """Ask for the load.  Raises `UpstreamError` if the request should go elsewhere."""
+    async def _probe(self, connection: UpstreamConnection, load: ServerLoad, path: str) -> None:
+        """Probe the load.  Raises `UpstreamError` if the request should go to another endpoint."""
         server = self.choice.server
         try:
-            async with asyncio.timeout(ASK_TIMEOUT_MS / 1000):
+            async with asyncio.timeout(LOAD_PROBE_TIMEOUT_MS / 1000):
                 head, figure = await ask_load(connection, server, path, self._headers)
         except TimeoutError as error:
             connection.close()
-            raise UpstreamError("no answer to the question for its load", sent=False) from error
+            raise UpstreamError("no response to the load probe", sent=False) from error
         except UpstreamError as error:
-            raise UpstreamError(f"asked for its load: {error}", sent=False) from error
+            raise UpstreamError(f"load probe failed: {error}", sent=False) from error
         if figure is None:
             return
         load.report(figure, monotonic_ms(), counted=1)
         if not figure.reachable:
-            raise UpstreamError("another incarnation answers there", sent=False)
+            raise UpstreamError("another incarnation answered the load probe", sent=False)
         if figure.pace >= SLOW_PACE > self.choice.pace:
             self._declined = head
-            raise UpstreamError(f"it has turned slow, pace {figure.pace:g}", sent=False)
+            raise UpstreamError(
+                f"load probe shows it has become slow, pace {figure.pace:g}", sent=False
+            )
 
     async def _send(self, connection: UpstreamConnection) -> AnswerHead:
         request, names = self._request, self._headers
-        objection = self._objection(self.choice.server)
-        if objection:
+        reason = self._reason_not_to_send(self.choice.server)
+        if reason:
             self._withheld = True
             connection.close()
-            raise UpstreamError(objection, sent=False)
+            raise UpstreamError(reason, sent=False)
         left_ms = max(1, int(self._deadline_ms - monotonic_ms()))
         headers = passed_on(request.headers, names.own())
         headers += (
@@ -213,16 +219,19 @@
             headers.append((b"content-length", b"%d" % len(request.body)))
         head = RequestHead(request.method, request.target, headers, request.has_body)
         self.sent = True
-        return await connection.send(head, request.body, is_own=self._is_own)
+        return await connection.send(head, request.body, is_own=self._is_response_to_this)
+
+    def _is_response_to_this(self, head: AnswerHead) -> bool:
+        """Return whether a response belongs to this request.
 
-    def _is_own(self, head: AnswerHead) -> bool:
-        """Return whether an answer is to this request; one that names none may be a refusal."""
+        One without a request identifier does if its status is one of a refusal or failure.
+        """
         named = find(head.headers, self._headers.request_id)
         if named is None:
-            return head.status >= FAILURE_STATUSES or head.status == MISDIRECTED
+            return head.status >= FAILURE_STATUS_MIN or head.status == MISDIRECTED_REQUEST
         return named == self._request_id
 
-    async def _take(
+    async def _read_response(
         self,
         head: AnswerHead,
         connection: UpstreamConnection,
@@ -232,23 +241,23 @@
         names = self._headers
         parts, more = [], True
         size_bytes = 0
-        while more and size_bytes <= KEPT_BODY_BYTES:
+        while more and size_bytes <= BUFFERED_BODY_BYTES:
             part, more = await connection.read()
             parts.append(part)
             size_bytes += len(part)
         latency_ms = monotonic_ms() - started_ms
-        if head.status == MISDIRECTED or find(head.headers, names.not_run) is not None:
+        if head.status == MISDIRECTED_REQUEST or find(head.headers, names.not_run) is not None:
             self.sent = False
             return AttemptResult(
                 Outcome.REJECTED,
                 self.choice,
                 latency_ms,
                 head.status,
-                with_room=head.status != MISDIRECTED and self._has_room(head),
+                with_room=head.status != MISDIRECTED_REQUEST and self._has_room(head),
             )
         if head.status < 300 and find(head.headers, names.receipt) is None:
-            raise UpstreamError("a success without a receipt", sent=True, bad_answer=True)
-        rest = self._rest(connection, pool, head) if more else None
+            raise UpstreamError("successful response without a receipt", sent=True, bad_answer=True)
+        rest = self._remaining_body(connection, pool, head) if more else None
         length = find(head.headers, b"content-length") if more or not size_bytes else None
         answer = CallerAnswer(
             head.status,
@@ -257,20 +266,20 @@
             rest,
             int(length) if length is not None else None,
         )
-        at_fault = head.status >= FAILURE_STATUSES and head.status != TIME_OUT
+        at_fault = head.status >= FAILURE_STATUS_MIN and head.status != GATEWAY_TIMEOUT
         return AttemptResult(
             Outcome.ANSWERED, self.choice, latency_ms, head.status, answer, at_fault=at_fault
         )
 
     def _has_room(self, head: AnswerHead) -> bool:
-        """Return whether an endpoint has a free slot by its own word, or else by what is known."""
+        """Return whether an endpoint has a free slot, by the response or else by the choice."""
         slots = self.choice.server.slots
         figure = load_figure(find(head.headers, self._headers.load))
         if figure is None:
             return self.choice.load < slots
         return figure.running + figure.waiting < slots
 
-    async def _rest(
+    async def _remaining_body(
         self, connection: UpstreamConnection, pool: BackendPool, head: AnswerHead
     ) -> AsyncIterator[bytes]:
         more = True
@@ -283,7 +292,7 @@
                 connection.close()
             pool.release(self.choice.server, connection, None if more else head)
 
-    def _failed(self, error: UpstreamError, latency_ms: float) -> AttemptResult:
+    def _failure_result(self, error: UpstreamError, latency_ms: float) -> AttemptResult:
         outcome = Outcome.CUT if self.sent else Outcome.NOT_SENT
         if self._declined is not None:
             outcome = Outcome.DECLINED
@@ -291,8 +300,8 @@
             outcome = Outcome.WITHHELD
         return AttemptResult(outcome, self.choice, latency_ms, detail=str(error))
 
-    def _learn(self, result: AttemptResult, board: LoadBoard) -> None:
-        """Keep what the end of the attempt says of the backend server."""
+    def _update_load(self, result: AttemptResult, board: LoadBoard) -> None:
+        """Update the load data of the backend server from the result of the attempt."""
         now_ms = monotonic_ms()
         load = board.of(self.choice.server.incarnation)
         load.ended_here(now_ms)
--- a/cloverhook/gateway/early_signals.py
+++ b/cloverhook/gateway/early_signals.py
@@ -1,7 +1,7 @@
-"""What a gateway's process does with signals until the gateway takes them over.
+"""Signal handlers for a gateway's process until the gateway installs its own.
 
-Layer: transport.  To be imported before everything else: the imports take a third of a second, and
-a signal that comes meanwhile would end the process as if it had crashed.
+Layer: transport.  Import this module before everything else: the imports take a third of a second,
+and a signal received during that time would end the process as if it had crashed.
 """
 
 import os
@@ -11,9 +11,10 @@
 
 
 def take_early_signals() -> None:
-    """Make a stop clean at once, as nothing is served yet, and ignore that settings have changed.
+    """Install the handlers: SIGTERM exits at once with status 0, and SIGHUP is ignored.
 
-    They are read later, so a change that is announced now is not missed.
+    Nothing is served yet, so an immediate exit is a clean stop.  The settings are read later, so a
+    change announced by SIGHUP now is not missed.
     """
     signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
--- a/cloverhook/gateway/request_key.py
+++ b/cloverhook/gateway/request_key.py
@@ -1,7 +1,8 @@
-"""Keys by which two requests with the same content are known to be the same.
+"""Hash keys by which requests with the same content are recognised.
 
-Layer: protocol.  Each sending of a request has an identifier of its own, so only its content shows
-that it has come before.  Headers are left out: identifiers, deadlines and tokens differ each time.
+Layer: protocol.  A request gets a new identifier each time its caller sends it, so only its content
+shows that it is a repetition.  The headers are left out of the content: identifiers, deadlines and
+tokens differ each time.
 
 >>> first = CallerRequest(b"GET", b"/a", "/a", "shop.example", [], b"", False, 0.0, "10.0.0.1")
 >>> other = CallerRequest(b"GET", b"/a", "/a", "shop.example", [], b"", False, 5.0, "10.0.0.2")
@@ -21,7 +22,10 @@
 
 
 class RequestKeys(NamedTuple):
-    """The key of a request's content, whoever sends it, and that of the same from its caller."""
+    """The hash of a request's content, and the hash of its content together with its caller.
+
+    `content` is the same for all callers; `of_caller` differs between callers.
+    """
 
     content: int
     of_caller: int
--- a/cloverhook/gateway/request_run.py
+++ b/cloverhook/gateway/request_run.py
@@ -1,4 +1,4 @@
-"""A request on its way through the gateway, with what has been tried.
+"""The state of a request while the gateway forwards it, with the attempts made so far.
 
 Layer: transport.
 """
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True, eq=False)
 class RequestRun:
-    """A request on its way, with what has been tried."""
+    """A request that is being forwarded, with its attempts and their results."""
 
     request: CallerRequest
     request_id: bytes
@@ -29,9 +29,10 @@
     results: list[AttemptResult] = field(default_factory=list)
     tasks: dict[asyncio.Task[AttemptResult], Attempt] = field(default_factory=dict)
     crashes_known: dict[str, tuple[int, ...]] = field(default_factory=dict)
-    """For each incarnation that got it, how many crashes were known when it was sent there."""
+    """For each incarnation that it was sent to, the crash counts of its keys known at that time."""
     quarantined_ms: float = 0.0
-    """For how long the request is not to be sent, if that is why it ends."""
+    """How long the request remains in quarantine, if that is why it ends."""
+    # While the request waits and could be hedged: completing it makes the request check again.
     nudge: asyncio.Future[None] | None = None
 
     @classmethod
@@ -43,20 +44,23 @@
         service: str,
         names: CallHeaders,
     ) -> "RequestRun":
-        """Begin with a request on its route; it has as long as its caller and the route allow."""
-        told = find(request.headers, names.timeout_ms)
-        left_ms = route.timeout_ms
-        if told is not None and told.isdigit():
-            left_ms = min(float(told), left_ms)
-        deadline_ms = request.arrived_ms + left_ms
+        """Create the state of a new request.
+
+        Its timeout is the lower of the one in its headers and the one of its route.
+        """
+        requested = find(request.headers, names.timeout_ms)
+        allowed_ms = route.timeout_ms
+        if requested is not None and requested.isdigit():
+            allowed_ms = min(float(requested), allowed_ms)
+        deadline_ms = request.arrived_ms + allowed_ms
         return cls(request, request_id, route, service, deadline_ms, RequestKeys.of(request))
 
     @property
     def tried(self) -> set[str]:
-        """The incarnations that have been tried."""
+        """The incarnations at which the request has been attempted."""
         return {attempt.choice.server.incarnation for attempt in self.attempts}
 
     @property
     def maybe_runs(self) -> int:
-        """How many backend servers may have run the request, or may be running it."""
+        """The number of backend servers that may have run the request, or may be running it."""
         return sum(1 for attempt in self.attempts if attempt.sent)
