--- a/cloverhook/gateway/backend_server.py
+++ b/cloverhook/gateway/backend_server.py
@@ -1,4 +1,4 @@
-"""One incarnation of a backend server, as it registers itself, and the store's records of them.
+"""An incarnation of a backend server, as it registers itself, and the store's record of one.
 
 Layer: state.
 
@@ -15,8 +15,9 @@
 
 __all__ = ["SERVER", "BackendServer", "ServerRecord"]
 
-COLD_CHANGE_MS = 300.0
-"""Each report of a cold endpoint tells its time left anew; what differs by less is no change."""
+WARM_AT_TOLERANCE_MS = 300.0
+"""Each report of a cold endpoint gives its remaining warm-up time anew; a smaller difference than
+this doesn't count as a change."""
 SERVER_FIELDS = {
     "name": Text(),
     "service": Text(),
@@ -34,9 +35,9 @@
 class BackendServer:
     """One incarnation of a backend server; `warm_at_ms` is on this process's monotonic clock.
 
-    `name` is what it registers under and answers to.  `born_ms`, Unix time, tells the starts under
-    one name apart; it is None where a name is never used twice.  `sequence` grows with what an
-    incarnation says of itself.
+    `name` is the name under which it registers and which requests to it carry.  `born_ms`, in Unix
+    time, distinguishes the starts under one name; it is None where a name is never reused.
+    `sequence` increases with each report that an incarnation makes of itself.
     """
 
     name: str
@@ -51,17 +52,17 @@
     incarnation: str = field(init=False, compare=False)
 
     def __post_init__(self) -> None:
-        """Join name and start into the key of everything that is known of an incarnation."""
+        """Set `incarnation`, the key of all data on an incarnation, from the name and the start."""
         key = self.name if self.born_ms is None else f"{self.name}@{self.born_ms}"
         object.__setattr__(self, "incarnation", key)
 
     @classmethod
     def from_row(cls, row: Mapping[str, Any], now_ms: float) -> "BackendServer":
-        """Build a backend server from the form in which peers exchange it."""
+        """Build a backend server from the row that peers exchange."""
         return cls(**{**row, "warm_at_ms": row["warm_at_ms"] + now_ms})
 
     def to_row(self, now_ms: float) -> dict[str, Any]:
-        """Return the form in which peers exchange it; times become durations."""
+        """Return the row that peers exchange; `warm_at_ms` becomes a duration from now."""
         row = {name: getattr(self, name) for name in SERVER_FIELDS}
         if self.born_ms is not None:
             row["born_ms"] = self.born_ms
@@ -69,17 +70,17 @@
         return row
 
     def is_like(self, before: "BackendServer", now_ms: float) -> bool:
-        """Return whether an earlier record differs in nothing that decides where requests go."""
-        was_warm_at_ms, is_warm_at_ms = (max(now_ms, x.warm_at_ms) for x in (before, self))
-        if abs(is_warm_at_ms - was_warm_at_ms) > COLD_CHANGE_MS:
+        """Return whether an earlier record has no difference that matters for routing requests."""
+        warm_at_before_ms, warm_at_now_ms = (max(now_ms, x.warm_at_ms) for x in (before, self))
+        if abs(warm_at_now_ms - warm_at_before_ms) > WARM_AT_TOLERANCE_MS:
             return False
-        was = replace(before, warm_at_ms=0.0, sequence=0)
-        return was == replace(self, warm_at_ms=0.0, sequence=0)
+        normalised_before = replace(before, warm_at_ms=0.0, sequence=0)
+        return normalised_before == replace(self, warm_at_ms=0.0, sequence=0)
 
 
 @dataclass(frozen=True, slots=True)
 class ServerRecord:
-    """What the store says under a name at an offset; without `server` that one is gone."""
+    """The store's record under a name at an offset; if `server` is None, the entry was removed."""
 
     name: str
     offset: int
--- a/cloverhook/gateway/call_headers.py
+++ b/cloverhook/gateway/call_headers.py
@@ -1,7 +1,7 @@
-"""The headers by which callers, gateways and backend servers tell each other about a request.
+"""The headers in which callers, gateways and backend servers exchange data about a request.
 
-Layer: protocol.  `CallHeaders` holds the names in use, in lower case; the adapter of a platform
-brings that platform's own.
+Layer: protocol.  `CallHeaders` holds the header names in use, in lower case; the adapter for a
+platform supplies the names of that platform.
 """
 
 import re
@@ -22,23 +22,25 @@
 
 HeaderList = list[tuple[bytes, bytes]]
 
-NEVER_PASSED_ON = HOP_BY_HOP | {b"content-length"}
-"""A body is framed anew on each connection."""
+NEVER_FORWARDED = HOP_BY_HOP | {b"content-length"}
+"""Headers that are never forwarded; each connection frames the body itself, so its length is set
+again."""
 PERCENT = 100.0
 RATE_LIMIT = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
-COLD_MOST_MS = 86_400_000
-"""A day: what says more is no time that an endpoint stays cold."""
+COLD_LIMIT_MS = 86_400_000
+"""One day; a larger value can't be the time for which an endpoint stays cold, and is ignored."""
 
 
 @dataclass(frozen=True, slots=True)
 class CallHeaders:
-    """The names of the headers of a call.
-
-    `receipt` marks an answer that a backend server made, `not_run` one by which it says that the
-    request did not run there.  `load` carries requests running, requests waiting, slots and, where
-    it is known, the pace in percent of usual.  `cold_ms` says for how long an endpoint stays cold,
-    and the first one there is of `rate_limits` how many requests a second it takes from all
-    gateways together.
+    """The header names of a request and its response.
+
+    `receipt` marks a response that a backend server made itself; `not_run` marks a response by
+    which it states that the request did not run there.  `load` holds the number of requests
+    running, requests waiting, slots and, if it is known, the pace in percent of the usual one.
+    `cold_ms` is the time for which an endpoint stays cold.  The first header present of
+    `rate_limits` is the number of requests a second that the endpoint accepts from all gateways
+    together.
     """
 
     request_id: bytes = b"x-request-id"
@@ -52,7 +54,10 @@
     rate_limits: tuple[bytes, ...] = (b"cloverhook-rate-limit",)
 
     def own(self) -> frozenset[bytes]:
-        """Return the names that a gateway sets itself on the way to a backend server."""
+        """Return the headers that only gateways and backend servers set.
+
+        A gateway doesn't forward them from a caller to a backend server.
+        """
         return frozenset(
             (
                 self.request_id,
@@ -66,41 +71,44 @@
         )
 
     def hidden(self) -> frozenset[bytes]:
-        """Return the names that are between gateway and backend server alone."""
+        """Return the headers that are used only between the gateway and a backend server."""
         return frozenset((self.load, self.not_run, self.incarnation))
 
 
 def passed_on(headers: HeaderList, left_out: frozenset[bytes]) -> HeaderList:
-    """Return the headers that concern more than one connection, less those left out."""
+    """Return the end-to-end headers, without those in `left_out`.
+
+    Hop-by-hop headers concern one connection only; a `Connection` header may name more of them.
+    """
     named: set[bytes] = set()
     kept: HeaderList = []
     for pair in headers:
         if pair[0] == b"connection":
             named.update(token.strip().lower() for token in pair[1].split(b","))
-        elif pair[0] not in NEVER_PASSED_ON and pair[0] not in left_out:
+        elif pair[0] not in NEVER_FORWARDED and pair[0] not in left_out:
             kept.append(pair)
     named -= KEPT_ALWAYS
     return [pair for pair in kept if pair[0] not in named] if named else kept
 
 
 def cold_ms(value: bytes | None) -> float:
-    """Return for how long an endpoint stays cold by a header, 0 where that says nothing sound."""
-    if value is None or not value.isdigit() or int(value) > COLD_MOST_MS:
+    """Parse how long an endpoint stays cold; return 0 if the value is absent or invalid."""
+    if value is None or not value.isdigit() or int(value) > COLD_LIMIT_MS:
         return 0.0
     return float(value)
 
 
 def rate_limit_per_s(headers: HeaderList, names: CallHeaders) -> float | None:
-    """Return the requests a second that an answer names, or None where it names nothing sound."""
-    found = (find(headers, name) for name in names.rate_limits)
-    value = next((item for item in found if item is not None), None)
+    """Parse the rate limit in a response's headers; return None if it is absent or invalid."""
+    values = (find(headers, name) for name in names.rate_limits)
+    value = next((item for item in values if item is not None), None)
     if value is None or RATE_LIMIT.fullmatch(value) is None:
         return None
     return float(value)
 
 
 def load_figure(value: bytes | None) -> LoadFigure | None:
-    """Return the load figure of a header, or None where there is none that can be read."""
+    """Parse the load figure of a header value; return None if it is absent or invalid."""
     if value is None:
         return None
     try:
--- a/cloverhook/gateway/calls.py
+++ b/cloverhook/gateway/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request and the answer to it, between the listener and what serves it.
+"""A caller's request and the response to it, as the listener and its handlers exchange them.
 
 Layer: protocol.
 """
@@ -13,9 +13,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """A whole request; header names are in lower case and `host` has no port.
+    """A complete request; header names are in lower case and `host` has no port.
 
-    `caller` is the IP address that the request came from.
+    `caller` is the IP address from which the request came.
     """
 
     method: bytes
@@ -31,9 +31,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerAnswer:
-    """An answer; `rest` yields what follows `body`.
+    """A response; `rest` yields the part of the body that follows `body`.
 
-    With `length_bytes` None the length is that of `body`, or unknown where there is a rest.
+    If `length_bytes` is None, the body's length is that of `body`, or unknown if there is a `rest`.
     """
 
     status: int
--- a/cloverhook/gateway/evacuation.py
+++ b/cloverhook/gateway/evacuation.py
@@ -1,13 +1,14 @@
-"""The data centres that are evacuated: their endpoints get nothing until that is taken back.
+"""The data centres that are evacuated: their endpoints get no requests until that is revoked.
 
-Layer: state.  Operators evacuate a data centre, and take it back, by records in the same log as the
-configuration.  What is known is always whole as of an offset of that log, so of two states the one
-of the later offset is right, however they came here; nobody has to merge them.
+Layer: state.  Operators evacuate a data centre, and revoke an evacuation, by records in the same
+log as the configuration.  A state is always complete as of an offset of that log.  Of two states
+the one with the later offset is therefore valid, however it was received, and states need not be
+merged.
 
->>> found = Evacuations().after((Evacuation("papine", 4, wanted=True),))
->>> sorted(found.data_centers), found.version
+>>> state = Evacuations().after((Evacuation("papine", 4, wanted=True),))
+>>> sorted(state.data_centers), state.version
 (['papine'], 4)
->>> found.after((Evacuation("papine", 3, wanted=False),)) == found
+>>> state.after((Evacuation("papine", 3, wanted=False),)) == state
 True
 """
 
@@ -22,12 +23,12 @@
 
 DOCUMENT_FIELDS = {"version": Integer(-1), "data_centers": Items(Text())}
 DOCUMENT = Table(DOCUMENT_FIELDS, frozenset(DOCUMENT_FIELDS))
-"""What peers send each other; `Evacuations.to_document` makes it."""
+"""The schema of the document that peers exchange; `Evacuations.to_document` returns one."""
 
 
 @dataclass(frozen=True, slots=True)
 class Evacuation:
-    """A record of the log: a data centre is to be evacuated, or with `wanted` False taken back."""
+    """A log record that evacuates a data centre, or revokes that if `wanted` is False."""
 
     data_center: str
     offset: int
@@ -36,37 +37,37 @@
 
 @dataclass(frozen=True, slots=True)
 class Evacuations:
-    """All data centres that are evacuated as of the offset `version`; -1 where nothing is known."""
+    """All data centres that are evacuated as of the offset `version`; -1 if nothing is known."""
 
     version: int = -1
     data_centers: frozenset[str] = frozenset()
 
     def after(self, records: Iterable[Evacuation]) -> "Evacuations":
-        """Return what holds after the next records of the log; older ones change nothing."""
-        version, found = self.version, set(self.data_centers)
+        """Return the state after further log records; those up to `version` are ignored."""
+        version, evacuated = self.version, set(self.data_centers)
         for record in records:
             if record.offset <= version:
                 continue
             version = record.offset
             if record.wanted:
-                found.add(record.data_center)
+                evacuated.add(record.data_center)
             else:
-                found.discard(record.data_center)
-        return Evacuations(version, frozenset(found))
+                evacuated.discard(record.data_center)
+        return Evacuations(version, frozenset(evacuated))
 
     @classmethod
     def as_of(cls, version: int, records: Iterable[Evacuation]) -> "Evacuations":
-        """Return what holds by the newest record of each data centre, read whole at an offset."""
+        """Return the state at an offset, given the newest record of every data centre up to it."""
         return cls(version, frozenset(item.data_center for item in records if item.wanted))
 
     @classmethod
     def from_document(cls, document: Mapping[str, Any]) -> "Evacuations":
-        """Build them from the form in which peers exchange them.  Raises `MessageError`."""
+        """Build the state from the document that peers exchange.  Raises `MessageError`."""
         faults = faults_of(DOCUMENT, "", document)
         if faults:
-            raise MessageError(f"evacuations: {faults[0]}")
+            raise MessageError(f"invalid evacuations: {faults[0]}")
         return cls(document["version"], frozenset(document["data_centers"]))
 
     def to_document(self) -> dict[str, Any]:
-        """Return the form in which peers exchange them."""
+        """Return the document that peers exchange."""
         return {"version": self.version, "data_centers": sorted(self.data_centers)}
--- a/cloverhook/gateway/final_answer.py
+++ b/cloverhook/gateway/final_answer.py
@@ -1,6 +1,7 @@
-"""The gateway's own answer to a request that no backend server has answered well.
+"""The gateway's own response to a request that no backend server has answered successfully.
 
-Layer: transport.  The error kind says why; a refused caller is told when to come back.
+Layer: transport.  The error kind is the reason.  If the request was refused, the response has a
+`Retry-After` header.
 """
 
 import random
@@ -13,27 +14,30 @@
 __all__ = ["error_answer", "final_kind"]
 
 RETURN_MS = (30.0, 80.0)
-"""Refused callers are told to come back after a random time between these, not all at once: late
-enough for a slot to come free, soon enough for the answer to be in time."""
-EVACUATED_RETURN_MS = (700.0, 1_400.0)
-"""While nothing can serve a request, callers come back seldom, but in time for most objectives."""
-
-RATE_LIMITED_RETURN_MS = (150.0, 400.0)
-"""Other VMs may have places left; if none has, endpoints in need are better asked less often."""
-RETURNS_MS = {
-    ErrorKind.EVACUATED: EVACUATED_RETURN_MS,
-    ErrorKind.RATE_LIMITED: RATE_LIMITED_RETURN_MS,
+"""The range of the random `Retry-After` for refused requests; it is random so that the callers
+don't all retry at once.  It is long enough for a slot to become free, and short enough for the
+response to be in time."""
+EVACUATED_RETRY_AFTER_MS = (700.0, 1_400.0)
+"""The same while all endpoints are in evacuated data centres: nothing can serve a request, so
+callers retry seldom, but soon enough for most latency objectives."""
+
+RATE_LIMITED_RETRY_AFTER_MS = (150.0, 400.0)
+"""The same when this VM's share of the endpoints' rate limits is used up: another VM may have some
+of its share left, and if none has, endpoints under strain should get fewer requests."""
+RETRY_AFTER_BY_KIND_MS = {
+    ErrorKind.EVACUATED: EVACUATED_RETRY_AFTER_MS,
+    ErrorKind.RATE_LIMITED: RATE_LIMITED_RETRY_AFTER_MS,
 }
 
 
 def final_kind(
     run: RequestRun, late: bool, evacuated: bool, known: bool, rate_limited: bool = False
 ) -> ErrorKind:
-    """Return why a request ends without an answer of a backend server.
+    """Return why a request ends without a response from a backend server.
 
-    `late` says that its time is over, `evacuated` that all endpoints of its service lie in
-    evacuated data centres, `known` that there are endpoints at all, and `rate_limited` that they
-    take no more from this VM for now.
+    `late` means that its deadline has passed, `evacuated` that all endpoints of its service are in
+    evacuated data centres, `known` that the service has any endpoints, and `rate_limited` that
+    their rate limits leave no room for requests of this VM at present.
     """
     if run.maybe_runs:
         return ErrorKind.DEADLINE_IN_RUN if late else ErrorKind.CONNECTION_CUT
@@ -51,11 +55,11 @@
 
 
 def error_answer(kind: ErrorKind, held_ms: float = 0.0) -> CallerAnswer:
-    """Return the answer for an error kind; a caller is not to come back before `held_ms`."""
+    """Return the response for an error kind; a `Retry-After` in it is at least `held_ms`."""
     answer = answer_for(kind)
     headers = [(b"content-type", b"text/plain")]
     if answer.retry_after:
-        times_ms = RETURNS_MS.get(kind, RETURN_MS)
-        return_ms = max(random.uniform(*times_ms), held_ms)
-        headers.append((b"retry-after", b"%.3f" % (return_ms / 1000)))
+        range_ms = RETRY_AFTER_BY_KIND_MS.get(kind, RETURN_MS)
+        retry_after_ms = max(random.uniform(*range_ms), held_ms)
+        headers.append((b"retry-after", b"%.3f" % (retry_after_ms / 1000)))
     return CallerAnswer(answer.status, headers, kind.value.encode())
--- a/cloverhook/gateway/quarantine_keeper.py
+++ b/cloverhook/gateway/quarantine_keeper.py
@@ -1,8 +1,9 @@
-"""Keeps the requests in quarantine in the store, for VMs that start when nobody can tell them.
+"""Persists the requests in quarantine in the store, for VMs that start when no peer has the data.
 
-Layer: coordination.  VMs tell each other what is held against requests, and a newcomer is told by
-its neighbours.  When all VMs lose power at once, only the store still knows.  The VM that puts a
-request into quarantine, or clears one, writes them all down; each VM that starts reads them once.
+Layer: coordination.  VMs exchange their suspicions against requests, and a VM that joins gets them
+from its neighbours.  If all VMs lose power at once, only the store still has the data.  The VM that
+puts a request into quarantine, or clears one, writes all requests in quarantine to the store; each
+VM that starts reads them once.
 """
 
 import asyncio
@@ -17,15 +18,17 @@
 __all__ = ["QuarantineKeeper"]
 
 RECORDS_LIMIT = 200
-GATHER_MS = 100.0
-"""Requests that crash endpoints often come in numbers; one call writes down all of them."""
+BATCH_DELAY_MS = 100.0
+"""Requests that crash endpoints often come in numbers; after this delay one call to the store
+writes all of them."""
 RETRY_MS = (300.0, 600.0, 1_200.0, 2_400.0, 5_000.0)
-READS_LIMIT = 20
-"""Where the store stays away for that long, the VM has met the others or learns by itself."""
+READ_ATTEMPTS_LIMIT = 20
+"""If the store is unavailable for that many attempts, the VM has met its peers by then or finds the
+requests to quarantine itself."""
 
 
 class QuarantineKeeper:
-    """The way of the quarantine to the store and back."""
+    """Writes the quarantine to the store and reads it back."""
 
     def __init__(self, store: Store, quarantine: Quarantine, log: EventLog) -> None:
         self._store = store
@@ -34,15 +37,15 @@
         self._changed = asyncio.Event()
 
     def changed(self) -> None:
-        """Note that there is something to write down."""
+        """Mark the quarantine as changed, so that it is written to the store."""
         self._changed.set()
 
     async def write(self) -> None:
-        """Write down each change, until cancelled."""
+        """Write the quarantine to the store after each change, until cancelled."""
         failures = 0
         while True:
             await self._changed.wait()
-            await asyncio.sleep(GATHER_MS / 1000)
+            await asyncio.sleep(BATCH_DELAY_MS / 1000)
             self._changed.clear()
             try:
                 await self._store.keep_quarantine(self._records())
@@ -55,20 +58,20 @@
             failures = 0
 
     async def read(self) -> None:
-        """Take what VMs that are gone have written down."""
-        for failures in range(READS_LIMIT):
+        """Read the quarantine that other VMs have written to the store, and adopt it."""
+        for failures in range(READ_ATTEMPTS_LIMIT):
             try:
-                found = await self._store.quarantine()
+                stored = await self._store.quarantine()
             except PlatformError as error:
                 self._note("lost", error=str(error))
                 await asyncio.sleep(_retry_ms(failures) / 1000)
                 continue
-            for fault in found.unreadable:
+            for fault in stored.unreadable:
                 self._note("unreadable", record=fault)
-            self._take(found.records)
+            self._adopt(stored.records)
             return
 
-    def _take(self, records: tuple[QuarantineRecord, ...]) -> None:
+    def _adopt(self, records: tuple[QuarantineRecord, ...]) -> None:
         now_ms, unix_ms = monotonic_ms(), wall_ms()
         valid = [item for item in records[:RECORDS_LIMIT] if item.until_unix_ms > unix_ms]
         for item in valid:
@@ -79,10 +82,10 @@
 
     def _records(self) -> tuple[QuarantineRecord, ...]:
         now_ms, unix_ms = monotonic_ms(), wall_ms()
-        barred = self._quarantine.barred(now_ms)[:RECORDS_LIMIT]
+        in_quarantine = self._quarantine.barred(now_ms)[:RECORDS_LIMIT]
         return tuple(
             QuarantineRecord(item.key, item.crashes, round(unix_ms + item.held_ms))
-            for item in barred
+            for item in in_quarantine
         )
 
     def _note(self, state: str, **fields: str) -> None:
--- a/cloverhook/gateway/request_report.py
+++ b/cloverhook/gateway/request_report.py
@@ -1,7 +1,7 @@
 """Counts and logs the requests that have ended.
 
-Layer: transport.  The lines of a request are written together at its end: all of a request that
-failed, was refused or was sent more than once, and of a sample of the others.
+Layer: transport.  The log lines of a request are written together when it ends.  Every request that
+failed, was refused or was attempted more than once is logged, and a sample of the others.
 """
 
 import traceback
@@ -18,11 +18,11 @@
 
 __all__ = ["RequestReport"]
 
-FAILURE_STATUSES = 500
+FAILURE_STATUS_MIN = 500
 
 
 class RequestReport:
-    """What is kept of requests for those who ask afterwards."""
+    """Records requests in the counters and in the event log."""
 
     def __init__(self, knowledge: Knowledge, log: EventLog, counters: Counters) -> None:
         self._knowledge = knowledge
@@ -30,7 +30,7 @@
         self._counters = counters
 
     def repeated(self, service: str, allowed: bool) -> None:
-        """Count a repeat, or one for which no allowance was left."""
+        """Count a retry, or one that was not made because the retry budget was exhausted."""
         self._counters.add("repeats" if allowed else "repeats_denied", service=service)
 
     def fault(self, request_id: bytes) -> None:
@@ -46,7 +46,7 @@
         reason: str,
         answer: CallerAnswer,
     ) -> None:
-        """Report a request that has no route."""
+        """Count and log a request that is refused because no route is known for it."""
         self._counters.add("answers", service="", cause=kind.value)
         self._log.note(
             Kind.ANSWER,
@@ -60,16 +60,22 @@
         )
 
     def ended(self, run: RequestRun, answer: CallerAnswer) -> None:
-        """Count a request that has ended; log it if it is a sampled or a troubled one."""
+        """Count a request that has ended; log it if it had trouble or is in the sample.
+
+        A request had trouble if the gateway answered it itself, the response has a failure status
+        or there was more than one attempt.
+        """
         now_ms = monotonic_ms()
         latency_ms = now_ms - run.request.arrived_ms
-        won = any(item.answer is answer for item in run.results)
-        cause = "answered" if won else answer.body.decode()
+        answered_by_server = any(item.answer is answer for item in run.results)
+        cause = "answered" if answered_by_server else answer.body.decode()
         self._counters.add("answers", service=run.service, cause=cause)
         self._counters.observe("latency", latency_ms, route=run.route.name)
         request_id = _text(run.request_id)
-        troubled = not won or answer.status >= FAILURE_STATUSES or len(run.attempts) > 1
-        if not troubled and not self._log.sampled(request_id):
+        had_trouble = (
+            not answered_by_server or answer.status >= FAILURE_STATUS_MIN or len(run.attempts) > 1
+        )
+        if not had_trouble and not self._log.sampled(request_id):
             return
         config = self._knowledge.config
         for result in run.results:
@@ -78,9 +84,9 @@
         for attempt in run.attempts:
             self._log_attempt(run, attempt, request_id)
         self._log.note(
-            Kind.ANSWER if troubled else Kind.SAMPLE,
+            Kind.ANSWER if had_trouble else Kind.SAMPLE,
             id=request_id,
-            **_content(run),
+            **_content_fields(run),
             route=run.route.name,
             service=run.service,
             status=answer.status,
@@ -99,7 +105,7 @@
         self._log.note(
             Kind.ATTEMPT,
             id=request_id,
-            **_content(run),
+            **_content_fields(run),
             server=choice.server.incarnation,
             address=choice.server.address,
             expected_ms=round(choice.expected_ms),
@@ -117,8 +123,8 @@
         )
 
 
-def _content(run: RequestRun) -> dict[str, str]:
-    """Return what requests with the same content have in common."""
+def _content_fields(run: RequestRun) -> dict[str, str]:
+    """Return the log fields that identify a request's content and its caller."""
     return {
         "content": f"{run.keys.content:016x}",
         "content_of_caller": f"{run.keys.of_caller:016x}",
--- a/cloverhook/gateway/routes.py
+++ b/cloverhook/gateway/routes.py
@@ -1,6 +1,7 @@
-"""The configuration that a gateway serves by: routes, services and limits of one version.
+"""A gateway's configuration: the routes, services and limits of one version.
 
-Layer: state.  A route is found by the host name and the longest path prefix.
+Layer: state.  The route of a request is the one for its host name with the longest matching path
+prefix.
 
 >>> config = GatewayConfig.from_document({"version": 1, "routes": [
 ...     {"name": "r", "host": "a.example", "path_prefix": "/",
@@ -32,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """A service that gets a share of a route's requests in proportion to its weight."""
+    """A service that gets a share of a route's requests proportional to its weight."""
 
     service: str
     weight: float
@@ -40,12 +41,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of a host and path go, and what they may cost.
+    """The destination of the requests for a host and a path prefix, and the limits on them.
 
     `idempotent` requests may run more than once.  `aim_ms` is the latency objective, `timeout_ms`
-    bounds the wait for the final answer, `attempts` the endpoints that may run one request;
-    priority 0 is the most important.  Requests go to endpoints in its `regions` only; with none
-    named, to any.
+    limits the wait for the final response, and `attempts` limits the number of endpoints that may
+    run one request.  Priority 0 is the most important.  Requests go only to endpoints in `regions`;
+    if it is empty, to endpoints in any region.
     """
 
     name: str
@@ -62,9 +63,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """What is configured of a service; its endpoints register themselves.
+    """The configuration of a service; its endpoints register themselves.
 
-    A cold endpoint bears `cold_per_s` requests a second; 0 says that they need no limit.
+    A cold endpoint can handle `cold_per_s` requests a second; 0 means that no limit is needed.
     """
 
     name: str
@@ -75,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IngressLimits:
-    """How large, how slow and how long idle a caller may be."""
+    """Limits on the size and the duration of a caller's request and on a connection's idle time."""
 
     header_bytes: int = 32_768
     body_bytes: int = 67_108_864
@@ -97,21 +98,22 @@
     },
     frozenset({"version", "routes"}),
 )
-"""What peers send each other of a configuration; `GatewayConfig.to_document` makes it."""
-IS_CONFIG_FRAME = checker(
+"""The schema of the document that peers exchange; `GatewayConfig.to_document` returns one."""
+IS_VALID_WITHOUT_ROUTES = checker(
     Table({**CONFIG_DOCUMENT.fields, "routes": Items(Anything())}, CONFIG_DOCUMENT.required)
 )
-IS_ROUTE_LIST = checker(CONFIG_DOCUMENT.fields["routes"])
+IS_VALID_ROUTE_LIST = checker(CONFIG_DOCUMENT.fields["routes"])
 ROUTE_FIELDS = tuple(item.name for item in fields(Route) if item.name != "parts")
-STEP_ROUTES = 100
-"""Some milliseconds of a small VM."""
+ROUTES_PER_STEP = 100
+"""The number of routes in one decoding step, which takes a few milliseconds on a small VM."""
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayConfig:
-    """One version of the configuration, with its routes by host, longest prefix first.
+    """One version of the configuration; `by_host` has a host's routes, longest prefix first.
 
-    `first_priorities` has the highest priority of the routes to each service.
+    `first_priorities` has, for each service, the lowest priority value (the most important one) of
+    the routes to it.
     """
 
     version: int
@@ -129,49 +131,52 @@
         services: tuple[ServiceSpec, ...],
         limits: IngressLimits,
     ) -> "GatewayConfig":
-        """Return a configuration whose routes are ready to be searched."""
+        """Return a configuration, with the indexes that `find` and admission use."""
         by_host: dict[str, list[Route]] = {}
         for route in sorted(routes, key=lambda item: len(item.path_prefix), reverse=True):
             by_host.setdefault(route.host, []).append(route)
-        searched = {host: tuple(items) for host, items in by_host.items()}
-        first: dict[str, int] = {}
+        routes_by_host = {host: tuple(items) for host, items in by_host.items()}
+        first_priorities: dict[str, int] = {}
         for route in routes:
             for part in route.parts:
-                first[part.service] = min(route.priority, first.get(part.service, route.priority))
+                first_priorities[part.service] = min(
+                    route.priority, first_priorities.get(part.service, route.priority)
+                )
         by_name = {item.name: item for item in services}
-        return cls(version, routes, by_name, limits, searched, first)
+        return cls(version, routes, by_name, limits, routes_by_host, first_priorities)
 
     @classmethod
     def from_document(cls, document: Mapping[str, Any]) -> "GatewayConfig":
-        """Build a configuration from the form in which peers exchange it.
+        """Build a configuration from the document that peers exchange.
 
-        Raises `MessageError` if it is not as `CONFIG_DOCUMENT` describes it.
+        Raises `MessageError` if the document doesn't match `CONFIG_DOCUMENT`.
         """
         *_, config = cls.steps_from_document(document)
         return config
 
     @classmethod
     def steps_from_document(cls, document: Mapping[str, Any]) -> Iterator["GatewayConfig | None"]:
-        """Do the same step by step: yields None after each step, and at the end the configuration.
+        """Build a configuration in steps: yields None after each step, and the configuration last.
 
-        The steps are short, for a loop that has more to do.
+        The steps are short, so that an event loop can do other work between them.  Raises
+        `MessageError` as `from_document` does.
         """
-        if not IS_CONFIG_FRAME(document):
-            raise _fault_of(document)
+        if not IS_VALID_WITHOUT_ROUTES(document):
+            raise _invalid_document(document)
         routes: list[Route] = []
-        for start in range(0, len(document["routes"]), STEP_ROUTES):
-            rows = document["routes"][start : start + STEP_ROUTES]
-            if not IS_ROUTE_LIST(rows):
-                raise _fault_of(document)
-            routes += (_route_from(row) for row in rows)
+        for start in range(0, len(document["routes"]), ROUTES_PER_STEP):
+            rows = document["routes"][start : start + ROUTES_PER_STEP]
+            if not IS_VALID_ROUTE_LIST(rows):
+                raise _invalid_document(document)
+            routes += (_route_from_row(row) for row in rows)
             yield None
         services = tuple(ServiceSpec(**item) for item in document.get("services", ()))
         limits = IngressLimits(**document.get("limits", {}))
         yield cls.of(document["version"], tuple(routes), services, limits)
 
     def to_document(self) -> dict[str, Any]:
-        """Return the form in which peers exchange a configuration."""
-        routes = [_row_of(route) for route in self.routes]
+        """Return the document in which peers exchange a configuration."""
+        routes = [_row_from_route(route) for route in self.routes]
         services = [asdict(item) for item in self.services.values()]
         limits = asdict(self.limits)
         return {
@@ -182,24 +187,24 @@
         }
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route of the longest prefix of `path`, or None."""
+        """Return the host's route with the longest prefix of `path`, or None."""
         for route in self.by_host.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
         return None
 
 
-def _route_from(row: Mapping[str, Any]) -> Route:
+def _route_from_row(row: Mapping[str, Any]) -> Route:
     parts = tuple(Part(**part) for part in row["parts"])
     return Route(**{**row, "parts": parts, "regions": tuple(row.get("regions", ()))})
 
 
-def _row_of(route: Route) -> dict[str, Any]:
+def _row_from_route(route: Route) -> dict[str, Any]:
     row = {name: getattr(route, name) for name in ROUTE_FIELDS}
     row["parts"] = [{"service": part.service, "weight": part.weight} for part in route.parts]
     return row
 
 
-def _fault_of(document: Any) -> MessageError:
-    """Return the error that names the first fault of a document."""
-    return MessageError(f"a configuration: {faults_of(CONFIG_DOCUMENT, '', document)[0]}")
+def _invalid_document(document: Any) -> MessageError:
+    """Return the error for the first fault found in a document."""
+    return MessageError(f"invalid configuration: {faults_of(CONFIG_DOCUMENT, '', document)[0]}")
