--- a/cloverhook/gateway/quarantine.py
+++ b/cloverhook/gateway/quarantine.py
@@ -56,7 +56,7 @@
     """Whether this VM may send a request now; of the values for several keys, the greatest applies.
 
     `CLEAR`: no crash is known.  `OURS`: this VM holds the lease and has not used it.  `FREE`: the
-    lease can be claimed.  `HELD`: a copy is being tried under a lease.  `BARRED`: in quarantine.
+    lease can be claimed.  `HELD`: another copy is being tried.  `BARRED`: in quarantine.
     """
 
     CLEAR = 0
