--- a/cloverhook/gateway/admission.py
+++ b/cloverhook/gateway/admission.py
@@ -9,7 +9,7 @@
 
 from cloverhook.clock import monotonic_ms
 from cloverhook.gateway.choice import Choice
-from cloverhook.gateway.waiting_line import Waiter, WaitingLine
+from cloverhook.gateway.waiting_line import QueuedRequest, RequestQueue
 
 __all__ = ["Admission"]
 
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        line: WaitingLine,
+        line: RequestQueue,
         place: Callable[[Choice], None],
         release: Callable[[Choice], None],
     ) -> None:
@@ -32,19 +32,19 @@
         self._line = line
         self._place = place
         self._release = release
-        self._waits: dict[Waiter, asyncio.Future[Choice | None]] = {}
+        self._waits: dict[QueuedRequest, asyncio.Future[Choice | None]] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._last_check_ms = 0.0
 
     def __len__(self) -> int:
         return len(self._line)
 
-    async def wait(self, waiter: Waiter) -> Choice | None:
+    async def wait(self, waiter: QueuedRequest) -> Choice | None:
         """Wait for room; return the choice made for the request, or None if it is refused."""
         future: asyncio.Future[Choice | None] = asyncio.get_running_loop().create_future()
         self._waits[waiter] = future
         self._line.add(waiter)
-        self.look(waiter.service)
+        self.admit_ready(waiter.service)
         try:
             return await future
         except asyncio.CancelledError:
@@ -54,7 +54,7 @@
                 self._release(future.result())
             raise
 
-    def look(self, service: str) -> None:
+    def admit_ready(self, service: str) -> None:
         """Start or refuse the waiting requests of a service that are due for a decision."""
         while (decision := self._line.next(service, monotonic_ms())) is not None:
             future = self._waits.pop(decision.waiter)
@@ -62,14 +62,14 @@
                 self._place(decision.choice)
             future.set_result(decision.choice)
 
-    def look_at_all(self) -> None:
+    def admit_all_ready(self) -> None:
         """Start or refuse the waiting requests of all services that are due for a decision."""
         started_ms = monotonic_ms()
         for service in self._line.services():
-            self.look(service)
+            self.admit_ready(service)
         self._last_check_ms = monotonic_ms() - started_ms
 
-    def look_soon(self) -> None:
+    def schedule_admission(self) -> None:
         """Schedule a check of all services after an update of another VM.
 
         Updates may come in large numbers, and in overload each check takes long.  If the VM did
@@ -81,4 +81,4 @@
 
     def _on_timer(self) -> None:
         self._timer = None
-        self.look_at_all()
+        self.admit_all_ready()
--- a/cloverhook/gateway/attempt.py
+++ b/cloverhook/gateway/attempt.py
@@ -20,15 +20,15 @@
 from cloverhook.gateway.backend_server import BackendServer
 from cloverhook.gateway.call_headers import (
     CallHeaders,
+    end_to_end_headers,
     find,
-    load_figure,
-    passed_on,
-    rate_limit_per_s,
+    parse_load,
+    parse_rate_limit,
 )
 from cloverhook.gateway.calls import CallerAnswer, CallerRequest
 from cloverhook.gateway.choice import Choice
-from cloverhook.gateway.load import SLOW_PACE, LoadBoard, ServerLoad
-from cloverhook.gateway.load_probe import ask_load
+from cloverhook.gateway.load import SLOW_FACTOR, LoadTable, ServerLoad
+from cloverhook.gateway.load_probe import probe_load
 from cloverhook.upstream_connection import AnswerHead, RequestHead, UpstreamConnection
 
 __all__ = ["Attempt", "AttemptResult", "Outcome"]
@@ -40,7 +40,7 @@
 endpoint: the caller may have set too short a deadline."""
 STALE_RESET_MS = 20.0
 """A reset this soon after the send shows that the peer had already dropped the idle connection."""
-ASK_AGE_MS = 15.0
+LOAD_MAX_AGE_MS = 15.0
 """Up to this age of the load figure no load probe is needed; within a data centre, the response to
 one takes about 1 ms."""
 LOAD_PROBE_TIMEOUT_MS = 60.0
@@ -75,13 +75,13 @@
     detail: str = ""
     crashed: bool = False
     """Whether the backend server's process ended while it had the request."""
-    at_fault: bool = False
+    server_failed: bool = False
     """Whether the backend server failed a request that it should have answered."""
-    with_room: bool = False
+    refused_with_free_slot: bool = False
     """Whether the backend server rejected the request although it had a free slot."""
-    named_limit_per_s: float | None = None
+    advertised_limit_per_s: float | None = None
     """The rate limit that the backend server advertised, in requests a second."""
-    usual_ms: float = 0.0
+    nominal_ms: float = 0.0
     """How long the work would have taken at the usual pace, by the load figures of that time."""
 
     @property
@@ -129,12 +129,12 @@
         self._idempotent = idempotent
         self._headers = headers
 
-    async def run(self, pool: BackendPool, board: LoadBoard, limit: int) -> AttemptResult:
+    async def run(self, pool: BackendPool, board: LoadTable, limit: int) -> AttemptResult:
         """Make the attempt; cancelling it also ends the work at the backend server."""
         server = self.choice.server
-        load = board.of(server.incarnation)
+        load = board.get_or_create(server.incarnation)
         started_ms = monotonic_ms()
-        self.progress_at_start_ms = load.progress_ms(started_ms)
+        self.progress_at_start_ms = load.expected_progress_ms(started_ms)
         connection: UpstreamConnection | None = None
         still_in_use = False
         try:
@@ -143,14 +143,14 @@
             if self._probe_path and self._should_probe(load, started_ms):
                 await self._probe(connection, load, self._probe_path)
             head = await self._send(connection)
-            figure = load_figure(find(head.headers, self._headers.load))
+            figure = parse_load(find(head.headers, self._headers.load))
             if figure is not None:
-                load.report(figure, monotonic_ms(), counted=1)
+                load.update(figure, monotonic_ms(), ended_count=1)
             result = await self._read_response(head, connection, pool, started_ms)
             if head.status != MISDIRECTED_REQUEST:
-                limit_per_s = rate_limit_per_s(head.headers, self._headers)
-                result = replace(result, named_limit_per_s=limit_per_s)
-            still_in_use = result.answer is not None and result.answer.rest is not None
+                limit_per_s = parse_rate_limit(head.headers, self._headers)
+                result = replace(result, advertised_limit_per_s=limit_per_s)
+            still_in_use = result.answer is not None and result.answer.remaining_body is not None
             if not still_in_use:
                 pool.release(server, connection, head)
         except UpstreamError as error:
@@ -158,13 +158,13 @@
             result = self._failure_result(error, monotonic_ms() - started_ms)
             stale = False
             if connection is not None and connection.silent:
-                pool.went_silent(server, started_ms)
+                pool.close_idle_since(server, started_ms)
                 quick = result.latency_ms < STALE_RESET_MS
                 if quick and self.choice.load < server.slots:
-                    pool.was_forgotten(server, connection)
+                    pool.shorten_idle_limit(server, connection)
                 stale = quick and connection.idle_since_ms > 0.0
-            crashed = self.sent and not error.bad_answer and await pool.has_ended(server)
-            result = replace(result, at_fault=self.sent and not stale, crashed=crashed)
+            crashed = self.sent and not error.bad_answer and await pool.has_stopped_listening(server)
+            result = replace(result, server_failed=self.sent and not stale, crashed=crashed)
         finally:
             if connection is not None and not still_in_use and not connection.usable:
                 connection.close()
@@ -172,19 +172,19 @@
             pool.release(server, connection, self._declined)
         self._update_load(result, board)
         return replace(
-            result, usual_ms=load.progress_ms(monotonic_ms()) - self.progress_at_start_ms
+            result, nominal_ms=load.expected_progress_ms(monotonic_ms()) - self.progress_at_start_ms
         )
 
     def _should_probe(self, load: ServerLoad, now_ms: float) -> bool:
         """Return whether to probe: the endpoint reports its load, but the figure isn't recent."""
-        return load.figure is not None and load.age_ms(now_ms) > ASK_AGE_MS
+        return load.latest_report is not None and load.age_ms(now_ms) > LOAD_MAX_AGE_MS
 
     async def _probe(self, connection: UpstreamConnection, load: ServerLoad, path: str) -> None:
         """Probe the load.  Raises `UpstreamError` if the request should go to another endpoint."""
         server = self.choice.server
         try:
             async with asyncio.timeout(LOAD_PROBE_TIMEOUT_MS / 1000):
-                head, figure = await ask_load(connection, server, path, self._headers)
+                head, figure = await probe_load(connection, server, path, self._headers)
         except TimeoutError as error:
             connection.close()
             raise UpstreamError("no response to the load probe", sent=False) from error
@@ -192,13 +192,13 @@
             raise UpstreamError(f"load probe failed: {error}", sent=False) from error
         if figure is None:
             return
-        load.report(figure, monotonic_ms(), counted=1)
+        load.update(figure, monotonic_ms(), ended_count=1)
         if not figure.reachable:
             raise UpstreamError("another incarnation answered the load probe", sent=False)
-        if figure.pace >= SLOW_PACE > self.choice.pace:
+        if figure.slowdown >= SLOW_FACTOR > self.choice.slowdown:
             self._declined = head
             raise UpstreamError(
-                f"load probe shows it has become slow, pace {figure.pace:g}", sent=False
+                f"load probe shows it has become slow, pace {latest_report.slowdown:g}", sent=False
             )
 
     async def _send(self, connection: UpstreamConnection) -> AnswerHead:
@@ -209,7 +209,7 @@
             connection.close()
             raise UpstreamError(reason, sent=False)
         left_ms = max(1, int(self._deadline_ms - monotonic_ms()))
-        headers = passed_on(request.headers, names.own())
+        headers = end_to_end_headers(request.headers, names.set_by_gateway())
         headers += (
             (names.request_id, self._request_id),
             (names.timeout_ms, b"%d" % left_ms),
@@ -253,7 +253,7 @@
                 self.choice,
                 latency_ms,
                 head.status,
-                with_room=head.status != MISDIRECTED_REQUEST and self._has_room(head),
+                refused_with_free_slot=head.status != MISDIRECTED_REQUEST and self._has_room(head),
             )
         if head.status < 300 and find(head.headers, names.receipt) is None:
             raise UpstreamError("successful response without a receipt", sent=True, bad_answer=True)
@@ -261,20 +261,20 @@
         length = find(head.headers, b"content-length") if more or not size_bytes else None
         answer = CallerAnswer(
             head.status,
-            passed_on(head.headers, names.hidden()),
+            end_to_end_headers(head.headers, names.internal()),
             b"".join(parts),
             rest,
             int(length) if length is not None else None,
         )
         at_fault = head.status >= FAILURE_STATUS_MIN and head.status != GATEWAY_TIMEOUT
         return AttemptResult(
-            Outcome.ANSWERED, self.choice, latency_ms, head.status, answer, at_fault=at_fault
+            Outcome.ANSWERED, self.choice, latency_ms, head.status, answer, server_failed=at_fault
         )
 
     def _has_room(self, head: AnswerHead) -> bool:
         """Return whether an endpoint has a free slot, by the response or else by the choice."""
         slots = self.choice.server.slots
-        figure = load_figure(find(head.headers, self._headers.load))
+        figure = parse_load(find(head.headers, self._headers.load))
         if figure is None:
             return self.choice.load < slots
         return figure.running + figure.waiting < slots
@@ -300,16 +300,16 @@
             outcome = Outcome.WITHHELD
         return AttemptResult(outcome, self.choice, latency_ms, detail=str(error))
 
-    def _update_load(self, result: AttemptResult, board: LoadBoard) -> None:
+    def _update_load(self, result: AttemptResult, board: LoadTable) -> None:
         """Update the load data of the backend server from the result of the attempt."""
         now_ms = monotonic_ms()
-        load = board.of(self.choice.server.incarnation)
-        load.ended_here(now_ms)
+        load = board.get_or_create(self.choice.server.incarnation)
+        load.record_end(now_ms)
         if result.outcome is Outcome.NOT_SENT:
-            load.not_reached(now_ms)
-        elif result.outcome in (Outcome.DECLINED, Outcome.WITHHELD) or result.with_room:
+            load.record_unreachable(now_ms)
+        elif result.outcome in (Outcome.DECLINED, Outcome.WITHHELD) or result.refused_with_free_slot:
             return
         elif result.failed:
-            load.failed(now_ms)
+            load.record_failure(now_ms)
         else:
-            load.succeeded(now_ms)
+            load.record_success(now_ms)
--- a/cloverhook/gateway/backend_server.py
+++ b/cloverhook/gateway/backend_server.py
@@ -13,7 +13,7 @@
 
 from cloverhook.checking import Address, Flag, Integer, Number, Table, Text
 
-__all__ = ["SERVER", "BackendServer", "ServerRecord"]
+__all__ = ["SERVER_SCHEMA", "BackendServer", "ServerRecord"]
 
 WARM_AT_TOLERANCE_MS = 300.0
 """Each report of a cold endpoint gives its remaining warm-up time anew; a smaller difference than
@@ -28,7 +28,7 @@
     "warm_at_ms": Number(),
     "sequence": Integer(),
 }
-SERVER = Table({**SERVER_FIELDS, "born_ms": Integer()}, frozenset(SERVER_FIELDS))
+SERVER_SCHEMA = Table({**SERVER_FIELDS, "born_ms": Integer()}, frozenset(SERVER_FIELDS))
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +69,7 @@
         row["warm_at_ms"] = max(0.0, self.warm_at_ms - now_ms)
         return row
 
-    def is_like(self, before: "BackendServer", now_ms: float) -> bool:
+    def same_routing_as(self, before: "BackendServer", now_ms: float) -> bool:
         """Return whether an earlier record has no difference that matters for routing requests."""
         warm_at_before_ms, warm_at_now_ms = (max(now_ms, x.warm_at_ms) for x in (before, self))
         if abs(warm_at_now_ms - warm_at_before_ms) > WARM_AT_TOLERANCE_MS:
--- a/cloverhook/gateway/call_headers.py
+++ b/cloverhook/gateway/call_headers.py
@@ -7,17 +7,17 @@
 import re
 from dataclasses import dataclass
 
-from cloverhook.gateway.load import LoadFigure
+from cloverhook.gateway.load import LoadReport
 from cloverhook.hop_by_hop import HOP_BY_HOP, KEPT_ALWAYS, find
 
 __all__ = [
     "CallHeaders",
     "HeaderList",
-    "cold_ms",
+    "parse_cold_ms",
     "find",
-    "load_figure",
-    "passed_on",
-    "rate_limit_per_s",
+    "parse_load",
+    "end_to_end_headers",
+    "parse_rate_limit",
 ]
 
 HeaderList = list[tuple[bytes, bytes]]
@@ -53,7 +53,7 @@
     cold_ms: bytes = b"cloverhook-cold-ms"
     rate_limits: tuple[bytes, ...] = (b"cloverhook-rate-limit",)
 
-    def own(self) -> frozenset[bytes]:
+    def set_by_gateway(self) -> frozenset[bytes]:
         """Return the headers that only gateways and backend servers set.
 
         A gateway doesn't forward them from a caller to a backend server.
@@ -70,12 +70,12 @@
             )
         )
 
-    def hidden(self) -> frozenset[bytes]:
+    def internal(self) -> frozenset[bytes]:
         """Return the headers that are used only between the gateway and a backend server."""
         return frozenset((self.load, self.not_run, self.incarnation))
 
 
-def passed_on(headers: HeaderList, left_out: frozenset[bytes]) -> HeaderList:
+def end_to_end_headers(headers: HeaderList, left_out: frozenset[bytes]) -> HeaderList:
     """Return the end-to-end headers, without those in `left_out`.
 
     Hop-by-hop headers concern one connection only; a `Connection` header may name more of them.
@@ -91,14 +91,14 @@
     return [pair for pair in kept if pair[0] not in named] if named else kept
 
 
-def cold_ms(value: bytes | None) -> float:
+def parse_cold_ms(value: bytes | None) -> float:
     """Parse how long an endpoint stays cold; return 0 if the value is absent or invalid."""
     if value is None or not value.isdigit() or int(value) > COLD_LIMIT_MS:
         return 0.0
     return float(value)
 
 
-def rate_limit_per_s(headers: HeaderList, names: CallHeaders) -> float | None:
+def parse_rate_limit(headers: HeaderList, names: CallHeaders) -> float | None:
     """Parse the rate limit in a response's headers; return None if it is absent or invalid."""
     values = (find(headers, name) for name in names.rate_limits)
     value = next((item for item in values if item is not None), None)
@@ -107,7 +107,7 @@
     return float(value)
 
 
-def load_figure(value: bytes | None) -> LoadFigure | None:
+def parse_load(value: bytes | None) -> LoadReport | None:
     """Parse the load figure of a header value; return None if it is absent or invalid."""
     if value is None:
         return None
@@ -118,4 +118,4 @@
     if len(figures) < 2 or min(figures) < 0:
         return None
     pace = figures[3] / PERCENT if len(figures) > 3 and figures[3] else 1.0
-    return LoadFigure(figures[0], figures[1], pace)
+    return LoadReport(figures[0], figures[1], pace)
--- a/cloverhook/gateway/calls.py
+++ b/cloverhook/gateway/calls.py
@@ -39,8 +39,8 @@
     status: int
     headers: HeaderList
     body: bytes = b""
-    rest: AsyncIterator[bytes] | None = None
-    length_bytes: int | None = None
+    remaining_body: AsyncIterator[bytes] | None = None
+    content_length: int | None = None
 
 
 Handler = Callable[[CallerRequest], Awaitable[CallerAnswer]]
--- a/cloverhook/gateway/early_signals.py
+++ b/cloverhook/gateway/early_signals.py
@@ -7,10 +7,10 @@
 import os
 import signal
 
-__all__ = ["take_early_signals"]
+__all__ = ["install_early_signal_handlers"]
 
 
-def take_early_signals() -> None:
+def install_early_signal_handlers() -> None:
     """Install the handlers: SIGTERM exits at once with status 0, and SIGHUP is ignored.
 
     Nothing is served yet, so an immediate exit is a clean stop.  The settings are read later, so a
--- a/cloverhook/gateway/evacuation.py
+++ b/cloverhook/gateway/evacuation.py
@@ -32,7 +32,7 @@
 
     data_center: str
     offset: int
-    wanted: bool
+    is_evacuated: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,23 +42,23 @@
     version: int = -1
     data_centers: frozenset[str] = frozenset()
 
-    def after(self, records: Iterable[Evacuation]) -> "Evacuations":
+    def with_records(self, records: Iterable[Evacuation]) -> "Evacuations":
         """Return the state after further log records; those up to `version` are ignored."""
         version, evacuated = self.version, set(self.data_centers)
         for record in records:
             if record.offset <= version:
                 continue
             version = record.offset
-            if record.wanted:
+            if record.is_evacuated:
                 evacuated.add(record.data_center)
             else:
                 evacuated.discard(record.data_center)
         return Evacuations(version, frozenset(evacuated))
 
     @classmethod
-    def as_of(cls, version: int, records: Iterable[Evacuation]) -> "Evacuations":
+    def from_records(cls, version: int, records: Iterable[Evacuation]) -> "Evacuations":
         """Return the state at an offset, given the newest record of every data centre up to it."""
-        return cls(version, frozenset(item.data_center for item in records if item.wanted))
+        return cls(version, frozenset(item.data_center for item in records if item.is_evacuated))
 
     @classmethod
     def from_document(cls, document: Mapping[str, Any]) -> "Evacuations":
--- a/cloverhook/gateway/final_answer.py
+++ b/cloverhook/gateway/final_answer.py
@@ -9,11 +9,11 @@
 from cloverhook.errors import ErrorKind, answer_for
 from cloverhook.gateway.attempt import Outcome
 from cloverhook.gateway.calls import CallerAnswer
-from cloverhook.gateway.request_run import RequestRun
+from cloverhook.gateway.request_run import RequestState
 
-__all__ = ["error_answer", "final_kind"]
+__all__ = ["error_answer", "final_error_kind"]
 
-RETURN_MS = (30.0, 80.0)
+RETRY_AFTER_RANGE_MS = (30.0, 80.0)
 """The range of the random `Retry-After` for refused requests; it is random so that the callers
 don't all retry at once.  It is long enough for a slot to become free, and short enough for the
 response to be in time."""
@@ -30,8 +30,8 @@
 }
 
 
-def final_kind(
-    run: RequestRun, late: bool, evacuated: bool, known: bool, rate_limited: bool = False
+def final_error_kind(
+    run: RequestState, late: bool, evacuated: bool, known: bool, rate_limited: bool = False
 ) -> ErrorKind:
     """Return why a request ends without a response from a backend server.
 
@@ -39,9 +39,9 @@
     evacuated data centres, `known` that the service has any endpoints, and `rate_limited` that
     their rate limits leave no room for requests of this VM at present.
     """
-    if run.maybe_runs:
+    if run.possible_executions:
         return ErrorKind.DEADLINE_IN_RUN if late else ErrorKind.CONNECTION_CUT
-    if run.quarantined_ms > 0.0:
+    if run.quarantine_left_ms > 0.0:
         return ErrorKind.QUARANTINED
     if any(item.outcome is Outcome.REJECTED for item in run.results):
         return ErrorKind.REFUSED
@@ -59,7 +59,7 @@
     answer = answer_for(kind)
     headers = [(b"content-type", b"text/plain")]
     if answer.retry_after:
-        range_ms = RETRY_AFTER_BY_KIND_MS.get(kind, RETURN_MS)
+        range_ms = RETRY_AFTER_BY_KIND_MS.get(kind, RETRY_AFTER_RANGE_MS)
         retry_after_ms = max(random.uniform(*range_ms), held_ms)
         headers.append((b"retry-after", b"%.3f" % (retry_after_ms / 1000)))
     return CallerAnswer(answer.status, headers, kind.value.encode())
--- a/cloverhook/gateway/forwarding.py
+++ b/cloverhook/gateway/forwarding.py
@@ -18,17 +18,17 @@
 from cloverhook.gateway.balancer import Balancer
 from cloverhook.gateway.call_headers import CallHeaders, find
 from cloverhook.gateway.calls import CallerAnswer, CallerRequest
-from cloverhook.gateway.choice import Choice, Room, WorkEstimates
-from cloverhook.gateway.final_answer import error_answer, final_kind
-from cloverhook.gateway.knowledge import Knowledge
-from cloverhook.gateway.load import SLOW_PACE
+from cloverhook.gateway.choice import CapacityRequirement, Choice, WorkEstimates
+from cloverhook.gateway.final_answer import error_answer, final_error_kind
+from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.load import SLOW_FACTOR
 from cloverhook.gateway.quarantine_updates import QuarantineUpdates
 from cloverhook.gateway.rate_limit_updates import RateLimitUpdates
 from cloverhook.gateway.request_report import RequestReport
-from cloverhook.gateway.request_run import RequestRun
-from cloverhook.gateway.retry_allowance import RetryAllowance
-from cloverhook.gateway.splits import Splits
-from cloverhook.gateway.waiting_line import Waiter, WaitingLine
+from cloverhook.gateway.request_run import RequestState
+from cloverhook.gateway.retry_allowance import RetryBudget
+from cloverhook.gateway.splits import TrafficSplitter
+from cloverhook.gateway.waiting_line import QueuedRequest, RequestQueue
 
 __all__ = ["Forwarder"]
 
@@ -62,11 +62,11 @@
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        knowledge: GatewayState,
         balancer: Balancer,
         estimates: WorkEstimates,
         pool: BackendPool,
-        allowance: RetryAllowance,
+        allowance: RetryBudget,
         headers: CallHeaders,
         vms: Callable[[], int],
         on_count: Callable[[str], None],
@@ -90,32 +90,32 @@
         self._report = report
         self._estimates = estimates
         self.admission = Admission(
-            WaitingLine(balancer),
+            RequestQueue(balancer),
             self._count_placed,
             lambda choice: self._change_in_flight(choice, -1),
         )
-        self._splits = Splits()
-        self._running: dict[str, set[RequestRun]] = {}
+        self._splits = TrafficSplitter()
+        self._running: dict[str, set[RequestState]] = {}
 
-    def pace_changed(self, incarnation: str) -> None:
+    def slowdown_changed(self, incarnation: str) -> None:
         """Recheck for hedging the requests sent to a backend server just before it became slow."""
         runs = self._running.get(incarnation)
         if not runs:
             return
         now_ms = monotonic_ms()
-        if self._knowledge.board.of(incarnation).pace(now_ms) < SLOW_PACE:
+        if self._knowledge.load_table.get_or_create(incarnation).slowdown(now_ms) < SLOW_FACTOR:
             return
         for run in runs:
             is_recent = now_ms - run.attempts[-1].began_ms < FIGURE_LAG_MS
-            if is_recent and run.nudge is not None and not run.nudge.done():
-                run.nudge.set_result(None)
+            if is_recent and run.recheck is not None and not run.recheck.done():
+                run.recheck.set_result(None)
 
     async def handle(self, request: CallerRequest) -> CallerAnswer:
         """Return the response to a request; an exception is logged and gives an internal error."""
         try:
             return await self._route_and_forward(request)
         except Exception:
-            self._report.fault(find(request.headers, self._headers.request_id) or b"")
+            self._report.record_internal_error(find(request.headers, self._headers.request_id) or b"")
             return error_answer(ErrorKind.INTERNAL)
 
     async def _route_and_forward(self, request: CallerRequest) -> CallerAnswer:
@@ -128,13 +128,13 @@
         if route is None:
             kind, reason = ErrorKind.UNKNOWN_HOST, "no route matches the host and path"
             return self._reject_unrouted(request, request_id, kind, reason)
-        service = self._splits.next(route)
-        run = RequestRun.of(request, request_id, route, service, self._headers)
-        self._allowance.count(service, request.arrived_ms)
+        service = self._splits.next_service(route)
+        run = RequestState.of(request, request_id, route, service, self._headers)
+        self._allowance.count_request(service, request.arrived_ms)
         try:
             answer = await self._forward(run)
         except asyncio.CancelledError:
-            self._report.ended(run, error_answer(ErrorKind.CALLER_GONE))
+            self._report.record_end(run, error_answer(ErrorKind.CALLER_GONE))
             raise
         finally:
             for task, attempt in run.tasks.items():
@@ -142,10 +142,10 @@
                 self._record_if_unanswered(run, attempt)
             for attempt in run.attempts:
                 self._remove_running(run, attempt)
-        self._report.ended(run, answer)
+        self._report.record_end(run, answer)
         return answer
 
-    async def _forward(self, run: RequestRun) -> CallerAnswer:
+    async def _forward(self, run: RequestState) -> CallerAnswer:
         choice = await self._wait_for_room(run) if await self._passes_quarantine(run) else None
         if choice is None:
             return self._final_response(run)
@@ -158,7 +158,7 @@
                 self._record_result(run, task.result(), attempt)
             successful = next((item for item in run.results if not item.failed), None)
             if successful is not None:
-                self._quarantine_updates.served(run.keys)
+                self._quarantine_updates.record_success(run.keys)
                 self._record_latency(run, successful)
                 return successful.answer
             if monotonic_ms() >= run.deadline_ms:
@@ -171,7 +171,7 @@
                 self._try_start_attempt(run)
         return self._final_response(run)
 
-    async def _passes_quarantine(self, run: RequestRun) -> bool:
+    async def _passes_quarantine(self, run: RequestState) -> bool:
         """Return whether the quarantine allows a request to be sent.
 
         While another copy with the same content is being tried under a lease, the request waits for
@@ -180,22 +180,22 @@
         updates, aim_ms = self._quarantine_updates, run.route.aim_ms
         if await updates.admit(run.keys, run.request.arrived_ms + QUARANTINE_WAIT_SHARE * aim_ms):
             return True
-        run.quarantined_ms = updates.quarantine.left_ms(run.keys, monotonic_ms())
+        run.quarantine_left_ms = updates.quarantine.remaining_ms(run.keys, monotonic_ms())
         return False
 
-    def _record_result(self, run: RequestRun, result: AttemptResult, attempt: Attempt) -> None:
+    def _record_result(self, run: RequestState, result: AttemptResult, attempt: Attempt) -> None:
         """Record what the result of an attempt shows about its endpoint."""
         incarnation = result.choice.server.incarnation
         self._record_rate_limit(incarnation, result)
-        if result.with_room:
+        if result.refused_with_free_slot:
             self._on_refusal(incarnation)
         if result.crashed and not self._was_draining_or_gone(incarnation):
-            known = run.crashes_known[incarnation]
-            self._quarantine_updates.crashed(run.keys, known, incarnation)
-        if result.at_fault:
+            known = run.crash_counts_at_send[incarnation]
+            self._quarantine_updates.record_crash(run.keys, known, incarnation)
+        if result.server_failed:
             self._on_failure(incarnation, attempt.began_ms)
         elif not result.failed:
-            self._knowledge.board.of(incarnation).trust.answered(monotonic_ms())
+            self._knowledge.load_table.get_or_create(incarnation).circuit_breaker.record_answer(monotonic_ms())
 
     def _record_rate_limit(self, incarnation: str, result: AttemptResult) -> None:
         """Record the rate limit that an endpoint advertises, or that it no longer advertises one.
@@ -203,51 +203,51 @@
         Only a successful response without a limit shows that there is no limit any more.
         """
         succeeded = result.outcome is Outcome.ANSWERED and not result.failed
-        if result.named_limit_per_s is not None or succeeded:
+        if result.advertised_limit_per_s is not None or succeeded:
             now_ms = monotonic_ms()
-            self._rate_limit_updates.answered(incarnation, result.named_limit_per_s, now_ms)
+            self._rate_limit_updates.record_response(incarnation, result.advertised_limit_per_s, now_ms)
 
     def _was_draining_or_gone(self, incarnation: str) -> bool:
         """Return whether an endpoint is draining, gone, or known only by a held registry entry."""
         registry = self._knowledge.registry
         server = registry.get(incarnation)
-        return server is None or server.draining or registry.held(server)
+        return server is None or server.draining or registry.in_grace_period(server)
 
-    def _record_if_unanswered(self, run: RequestRun, attempt: Attempt) -> None:
+    def _record_if_unanswered(self, run: RequestState, attempt: Attempt) -> None:
         """Count an abandoned attempt as a failure if its work should have been done long ago.
 
         An endpoint that is full, or has answered other requests meanwhile, is only slow or has
         queued the request, so no failure is counted.
         """
         server, now_ms = attempt.choice.server, monotonic_ms()
-        load = self._knowledge.board.of(server.incarnation)
-        figure = load.figure
-        if not attempt.sent or load.trust.answered_since(attempt.began_ms):
+        load = self._knowledge.load_table.get_or_create(server.incarnation)
+        figure = load.latest_report
+        if not attempt.sent or load.circuit_breaker.answered_since(attempt.began_ms):
             return
         if figure is not None and figure.running + figure.waiting >= server.slots:
             return
         work_ms = self._estimates.work_ms(run.route.name, run.route.aim_ms)
-        work_done_ms = load.progress_ms(now_ms) - attempt.progress_at_start_ms
+        work_done_ms = load.expected_progress_ms(now_ms) - attempt.progress_at_start_ms
         if figure is None:
             work_done_ms = now_ms - attempt.began_ms
         if work_done_ms >= UNANSWERED_WORK_FACTOR * work_ms:
             self._on_failure(server.incarnation, attempt.began_ms)
 
-    async def _wait(self, run: RequestRun) -> set[asyncio.Task[AttemptResult]]:
+    async def _wait(self, run: RequestState) -> set[asyncio.Task[AttemptResult]]:
         """Wait until an attempt ends, or until the request has to be checked again."""
         awaited: set[asyncio.Future] = set(run.tasks)
         if self._can_hedge(run):
-            run.nudge = asyncio.get_running_loop().create_future()
-            awaited.add(run.nudge)
+            run.recheck = asyncio.get_running_loop().create_future()
+            awaited.add(run.recheck)
         timeout_s = max(0.0, self._wait_ms(run)) / 1000
         done, _ = await asyncio.wait(
             awaited, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED
         )
-        done.discard(run.nudge)
-        run.nudge = None
+        done.discard(run.recheck)
+        run.recheck = None
         return done
 
-    def _remove_running(self, run: RequestRun, attempt: Attempt) -> None:
+    def _remove_running(self, run: RequestState, attempt: Attempt) -> None:
         incarnation = attempt.choice.server.incarnation
         runs = self._running.get(incarnation)
         if runs is not None:
@@ -255,34 +255,34 @@
             if not runs:
                 del self._running[incarnation]
 
-    async def _wait_for_room(self, run: RequestRun) -> Choice | None:
+    async def _wait_for_room(self, run: RequestState) -> Choice | None:
         """Wait for room at a backend server; return None if the request is refused."""
         route = run.route
         first_priorities = self._knowledge.config.first_priorities
-        waiter = Waiter(
+        waiter = QueuedRequest(
             run.service,
             route.priority,
             self._estimates.work_ms(route.name, route.aim_ms),
             run.request.arrived_ms,
             route.aim_ms,
             run.deadline_ms,
-            urgent=route.priority <= first_priorities.get(run.service, 0),
-            repeatable=route.idempotent,
+            is_top_priority=route.priority <= first_priorities.get(run.service, 0),
+            retryable=route.idempotent,
             regions=route.regions,
         )
         return await self.admission.wait(waiter)
 
     def _count_placed(self, choice: Choice) -> None:
         """Count a request at the chosen backend server, before the next choice is made."""
-        self._balancer.placed(choice.server, monotonic_ms())
+        self._balancer.record_placement(choice.server, monotonic_ms())
         self._change_in_flight(choice, 1)
 
     def _change_in_flight(self, choice: Choice, change: int) -> None:
         incarnation = choice.server.incarnation
-        self._knowledge.board.of(incarnation).in_flight += change
+        self._knowledge.load_table.get_or_create(incarnation).in_flight += change
         self._on_count(incarnation)
 
-    def _try_start_attempt(self, run: RequestRun) -> bool:
+    def _try_start_attempt(self, run: RequestState) -> bool:
         """Start another attempt if one is allowed and a backend server is available for it."""
         now_ms = monotonic_ms()
         if run.deadline_ms - now_ms < ATTEMPT_TIME_MIN_MS:
@@ -290,25 +290,25 @@
         route = run.route
         work_ms = self._estimates.work_ms(route.name, route.aim_ms)
         # A hedged attempt must not make another request wait.
-        room = Room.UNHARMED if run.tasks else Room.SLOT
+        room = CapacityRequirement.NO_SLOWDOWN if run.tasks else CapacityRequirement.FREE_SLOT
         choice = self._balancer.choose(
-            run.service, work_ms, now_ms, run.tried, room, route.idempotent, route.regions
+            run.service, work_ms, now_ms, run.tried_incarnations, room, route.idempotent, route.regions
         )
-        if choice is None or (run.tasks and choice.spare_share < SPARE_SHARE):
+        if choice is None or (run.tasks and choice.available_share < SPARE_SHARE):
             return False
         if choice.expected_ms > run.deadline_ms - now_ms:
             return False  # It would occupy a slot for long and still answer after the deadline.
         arrived = any(item.arrived for item in run.results) or run.tasks
-        if arrived and not self._allowance.take(run.service, now_ms, self._vms()):
-            self._report.repeated(run.service, allowed=False)
+        if arrived and not self._allowance.try_take(run.service, now_ms, self._vms()):
+            self._report.record_retry(run.service, allowed=False)
             return False
         if arrived:
-            self._report.repeated(run.service, allowed=True)
+            self._report.record_retry(run.service, allowed=True)
         self._count_placed(choice)
         self._start_attempt(run, choice)
         return True
 
-    def _start_attempt(self, run: RequestRun, choice: Choice) -> None:
+    def _start_attempt(self, run: RequestState, choice: Choice) -> None:
         """Start an attempt at a backend server whose in-flight count already includes it."""
         attempt = Attempt(
             run.request,
@@ -321,24 +321,24 @@
             lambda server: self._reason_not_to_send(run, server),
         )
         limit = self._connection_limit(run.service)
-        work = attempt.run(self._pool, self._knowledge.board, limit)
+        work = attempt.run(self._pool, self._knowledge.load_table, limit)
         task = asyncio.get_running_loop().create_task(work)
         task.add_done_callback(lambda _: self._on_attempt_end(choice))
         run.tasks[task] = attempt
         run.attempts.append(attempt)
         self._running.setdefault(choice.server.incarnation, set()).add(run)
 
-    def _reason_not_to_send(self, run: RequestRun, server: BackendServer) -> str:
+    def _reason_not_to_send(self, run: RequestState, server: BackendServer) -> str:
         """Return why a request must not be sent to the chosen backend server; "" if it may be."""
-        if not self._balancer.may_get(server):
+        if not self._balancer.may_receive(server):
             return "its data centre is evacuated"
-        if not self._quarantine_updates.begin(run.keys):
+        if not self._quarantine_updates.try_begin_send(run.keys):
             return "endpoints crashed while they ran requests with this content"
-        known = self._quarantine_updates.quarantine.crashes(run.keys)
-        run.crashes_known[server.incarnation] = known
+        known = self._quarantine_updates.quarantine.crash_counts(run.keys)
+        run.crash_counts_at_send[server.incarnation] = known
         return ""
 
-    def _load_probe_path(self, run: RequestRun) -> str | None:
+    def _load_probe_path(self, run: RequestState) -> str | None:
         """Return the path for a load probe before a request that is not idempotent, or None."""
         if run.route.idempotent or len(run.attempts) >= LOAD_PROBES_LIMIT:
             return None
@@ -351,7 +351,7 @@
         As a done callback, this also runs for an attempt that was cancelled before it began.
         """
         self._change_in_flight(choice, -1)
-        self.admission.look(choice.server.service)
+        self.admission.admit_ready(choice.server.service)
 
     def _connection_limit(self, service: str) -> int:
         config = self._knowledge.config
@@ -360,15 +360,15 @@
             return 1
         return max(2, int(CONNECTION_SHARE * spec.connections / self._vms()))
 
-    def _may_retry(self, run: RequestRun) -> bool:
+    def _may_retry(self, run: RequestState) -> bool:
         """Return whether the request may be retried after a failure."""
         if len(run.attempts) >= ATTEMPTS_LIMIT or run.tasks:
             return False
-        if run.maybe_runs == 0:
+        if run.possible_executions == 0:
             return True
-        return run.route.idempotent and run.maybe_runs < run.route.attempts
+        return run.route.idempotent and run.possible_executions < run.route.attempts
 
-    def _wait_ms(self, run: RequestRun) -> float:
+    def _wait_ms(self, run: RequestState) -> float:
         """Return how long to wait before the request is checked again."""
         now_ms = monotonic_ms()
         waits = [run.deadline_ms]
@@ -378,16 +378,16 @@
                 waits.append(run.request.arrived_ms + HEDGE_SHARE * run.route.aim_ms)
         return min(waits) - now_ms + 0.1
 
-    def _can_hedge(self, run: RequestRun) -> bool:
+    def _can_hedge(self, run: RequestState) -> bool:
         return (
             run.route.idempotent
             and len(run.tasks) == 1
             and len(run.attempts) < ATTEMPTS_LIMIT
-            and run.maybe_runs < run.route.attempts
-            and not any(self._quarantine_updates.quarantine.crashes(run.keys))
+            and run.possible_executions < run.route.attempts
+            and not any(self._quarantine_updates.quarantine.crash_counts(run.keys))
         )
 
-    def _should_hedge(self, run: RequestRun) -> bool:
+    def _should_hedge(self, run: RequestState) -> bool:
         """Return whether the request should be hedged now: sent to a second backend server."""
         if not self._can_hedge(run):
             return False
@@ -396,10 +396,10 @@
         if elapsed_ms >= HEDGE_SHARE * run.route.aim_ms:
             return True
         attempt = next(iter(run.tasks.values()))
-        load = self._knowledge.board.of(attempt.choice.server.incarnation)
-        return load.pace(now_ms) >= SLOW_PACE
+        load = self._knowledge.load_table.get_or_create(attempt.choice.server.incarnation)
+        return load.slowdown(now_ms) >= SLOW_FACTOR
 
-    def _final_response(self, run: RequestRun) -> CallerAnswer:
+    def _final_response(self, run: RequestState) -> CallerAnswer:
         """Return the response to a request that no backend server has answered successfully."""
         answered = [item for item in run.results if item.answer is not None]
         if answered:
@@ -407,18 +407,18 @@
         late = monotonic_ms() >= run.deadline_ms
         known = bool(self._knowledge.registry.of_service(run.service))
         limited = self._balancer.is_rate_limited(run.service, monotonic_ms(), 0.0)
-        kind = final_kind(run, late, self._balancer.is_evacuated(run.service), known, limited)
-        return error_answer(kind, run.quarantined_ms)
+        kind = final_error_kind(run, late, self._balancer.is_evacuated(run.service), known, limited)
+        return error_answer(kind, run.quarantine_left_ms)
 
-    def _record_latency(self, run: RequestRun, result: AttemptResult) -> None:
+    def _record_latency(self, run: RequestState, result: AttemptResult) -> None:
         choice = result.choice
         if choice.load < choice.server.slots:
             route = run.route
-            self._estimates.measured(route.name, route.aim_ms, result.latency_ms, choice)
+            self._estimates.record_latency(route.name, route.aim_ms, result.latency_ms, choice)
 
     def _reject_unrouted(
         self, request: CallerRequest, request_id: bytes, kind: ErrorKind, reason: str
     ) -> CallerAnswer:
         answer = error_answer(kind)
-        self._report.turned_away(request, request_id, kind, reason, answer)
+        self._report.record_unrouted(request, request_id, kind, reason, answer)
         return answer
--- a/cloverhook/gateway/quarantine.py
+++ b/cloverhook/gateway/quarantine.py
@@ -29,12 +29,12 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from cloverhook.gateway.peer_messages import Suspicion
-from cloverhook.gateway.ranking import rank_weight
+from cloverhook.gateway.peer_messages import CrashRecord
+from cloverhook.gateway.ranking import rendezvous_weight
 from cloverhook.gateway.request_key import RequestKeys
 from cloverhook.gateway.served_requests import ServedRequests
 
-__all__ = ["TOLD_LIMIT", "Quarantine", "Reaction", "Standing"]
+__all__ = ["CRASH_RECORDS_PER_DATAGRAM", "Quarantine", "UpdateResponse", "SendPermission"]
 
 LEASE_MS = 1_000.0
 """How long a VM that has claimed the lease has for sending its copy and learning the outcome."""
@@ -48,11 +48,11 @@
 """A suspicion is dropped if its request has crashed no endpoint for this long and is not in
 quarantine; a later crash then counts as a first one."""
 SUSPECTS_LIMIT = 1_024
-TOLD_LIMIT = 40
+CRASH_RECORDS_PER_DATAGRAM = 40
 """The number of suspicions that fit into one datagram."""
 
 
-class Standing(IntEnum):
+class SendPermission(IntEnum):
     """Whether this VM may send a request now; of the values for several keys, the greatest applies.
 
     `CLEAR`: no crash is known.  `OURS`: this VM holds the lease and has not used it.  `FREE`: the
@@ -60,10 +60,10 @@
     """
 
     CLEAR = 0
-    OURS = 1
-    FREE = 2
-    HELD = 3
-    BARRED = 4
+    OWN_LEASE = 1
+    LEASE_FREE = 2
+    LEASE_TAKEN = 3
+    QUARANTINED = 4
 
 
 @dataclass(slots=True)
@@ -78,14 +78,14 @@
     lease_used: bool = False
 
 
-class Reaction(NamedTuple):
+class UpdateResponse(NamedTuple):
     """The messages that an update of another VM calls for.
 
     `answer` goes back to that VM, and `pass_on` to all VMs.
     """
 
-    answer: Suspicion | None = None
-    pass_on: Suspicion | None = None
+    reply: CrashRecord | None = None
+    relay: CrashRecord | None = None
 
 
 class Quarantine:
@@ -100,51 +100,51 @@
         """Return the number of suspected requests, in quarantine or not."""
         return len(self._suspects)
 
-    def barred(self, now_ms: float) -> list[Suspicion]:
+    def quarantined(self, now_ms: float) -> list[CrashRecord]:
         """Return the requests that are in quarantine, those with the most crashes first."""
         return [
-            item for item in self._by_crashes(now_ms) if item.crashes > 1 and item.held_ms > 0.0
+            item for item in self._by_crashes(now_ms) if item.crashes > 1 and item.hold_ms > 0.0
         ]
 
-    def crashes(self, keys: RequestKeys) -> tuple[int, ...]:
+    def crash_counts(self, keys: RequestKeys) -> tuple[int, ...]:
         """Return the number of consecutive crashes known for each key."""
         found = (self._suspects.get(key) for key in keys)
         return tuple(0 if item is None else item.crashes for item in found)
 
-    def standing(self, keys: RequestKeys, now_ms: float) -> Standing:
+    def send_permission(self, keys: RequestKeys, now_ms: float) -> SendPermission:
         """Return whether this VM may send a request now."""
         if not self._suspects:
-            return Standing.CLEAR
+            return SendPermission.CLEAR
         return max(self._standing(key, now_ms) for key in keys)
 
-    def left_ms(self, keys: RequestKeys, now_ms: float) -> float:
+    def remaining_ms(self, keys: RequestKeys, now_ms: float) -> float:
         """Return the time until the lease on a request, or its quarantine, expires."""
         found = (self._suspects.get(key) for key in keys)
         return max((item.until_ms - now_ms for item in found if item is not None), default=0.0)
 
-    def settled_ms(self, keys: RequestKeys) -> float:
+    def claim_settled_ms(self, keys: RequestKeys) -> float:
         """Return the time from which a claim of this VM is known to any VM that claimed as well."""
         found = (self._suspects.get(key) for key in keys)
         return max(
             (item.claimed_ms + CLAIM_SETTLE_MS for item in found if item is not None), default=0.0
         )
 
-    def claim(self, keys: RequestKeys, now_ms: float) -> list[Suspicion]:
+    def claim(self, keys: RequestKeys, now_ms: float) -> list[CrashRecord]:
         """Claim the lease for each key where it is free; return the updates for the other VMs."""
-        claimed = [key for key in keys if self._standing(key, now_ms) is Standing.FREE]
+        claimed = [key for key in keys if self._standing(key, now_ms) is SendPermission.LEASE_FREE]
         return [self._claim(key, now_ms) for key in claimed]
 
-    def begin(self, keys: RequestKeys, now_ms: float) -> bool:
+    def try_begin_send(self, keys: RequestKeys, now_ms: float) -> bool:
         """Return whether a copy may be sent now; if so, this uses up the lease."""
         if not self._suspects:
             return True
-        if self.standing(keys, now_ms) > Standing.OURS:
+        if self.send_permission(keys, now_ms) > SendPermission.OWN_LEASE:
             return False
         for item in filter(None, map(self._suspects.get, keys)):
             item.lease_used = True
         return True
 
-    def crashed(self, keys: RequestKeys, known: tuple[int, ...], now_ms: float) -> list[Suspicion]:
+    def record_crash(self, keys: RequestKeys, known: tuple[int, ...], now_ms: float) -> list[CrashRecord]:
         """Record that an endpoint has crashed while it ran a request of this VM.
 
         `known` holds the crash counts that were known when the request was sent.  Returns the
@@ -161,16 +161,16 @@
                 update.append(self._claim(key, now_ms))
         return update
 
-    def served(self, keys: RequestKeys, now_ms: float) -> list[Suspicion]:
+    def record_success(self, keys: RequestKeys, now_ms: float) -> list[CrashRecord]:
         """Record a successful response; if it clears the request, return updates for other VMs."""
         for key in keys:
             self._served.add(key, now_ms)
         if not self._suspects:
             return []
         cleared = [key for key in keys if self._suspects.pop(key, None) is not None]
-        return [Suspicion(key, 0) for key in cleared]
+        return [CrashRecord(key, 0) for key in cleared]
 
-    def received(self, vm: str, update: Suspicion, now_ms: float) -> Reaction:
+    def apply_update(self, vm: str, update: CrashRecord, now_ms: float) -> UpdateResponse:
         """Apply another VM's update on a request; return what to reply and what to relay."""
         key, known = update.key, self._suspects.get(update.key)
         if not update.crashes:
@@ -178,19 +178,19 @@
             self._suspects.pop(key, None)
             # The other VMs hold the request back because of this VM's claim.
             claimed_here = known is not None and known.lease_holder == self._own_vm
-            return Reaction(pass_on=update if claimed_here else None)
+            return UpdateResponse(relay=update if claimed_here else None)
         if self._served.has(key, now_ms):
-            return Reaction(answer=Suspicion(key, 0))
+            return UpdateResponse(reply=CrashRecord(key, 0))
         if known is not None and update.crashes < known.crashes:
-            return Reaction(answer=self._suspicion(key, known, now_ms))
+            return UpdateResponse(reply=self._suspicion(key, known, now_ms))
         self._adopt(vm, update, now_ms)
-        return Reaction()
+        return UpdateResponse()
 
-    def suspicions(self, now_ms: float) -> list[Suspicion]:
+    def suspicions(self, now_ms: float) -> list[CrashRecord]:
         """Return the suspicions to send to a VM that has just joined, most crashes first."""
-        return self._by_crashes(now_ms)[:TOLD_LIMIT]
+        return self._by_crashes(now_ms)[:CRASH_RECORDS_PER_DATAGRAM]
 
-    def forget(self, now_ms: float) -> list[int]:
+    def remove_expired(self, now_ms: float) -> list[int]:
         """Remove the suspicions that have expired, and return their keys."""
         old = [
             key
@@ -201,13 +201,13 @@
             del self._suspects[key]
         return old
 
-    def _adopt(self, vm: str, update: Suspicion, now_ms: float) -> None:
+    def _adopt(self, vm: str, update: CrashRecord, now_ms: float) -> None:
         key, known = update.key, self._suspects.get(update.key)
-        until_ms = now_ms + min(update.held_ms, _hold_ms(update.crashes))
+        until_ms = now_ms + min(update.hold_ms, _hold_ms(update.crashes))
         if known is None or update.crashes > known.crashes:
             known = self._put(key, _Suspect(update.crashes, until_ms, now_ms, claimed_ms=now_ms))
-            known.lease_holder = vm if update.claimed else ""
-        elif update.claimed:
+            known.lease_holder = vm if update.is_claim else ""
+        elif update.is_claim:
             known.updated_ms = now_ms
             if not known.lease_holder or self._may_claim(key, known, vm, now_ms):
                 known.until_ms, known.lease_holder, known.lease_used = until_ms, vm, False
@@ -215,33 +215,33 @@
         elif until_ms > known.until_ms and update.crashes > 1:
             known.until_ms, known.lease_holder = until_ms, ""
 
-    def _by_crashes(self, now_ms: float) -> list[Suspicion]:
+    def _by_crashes(self, now_ms: float) -> list[CrashRecord]:
         found = sorted(self._suspects.items(), key=lambda pair: -pair[1].crashes)
         return [self._suspicion(key, item, now_ms) for key, item in found]
 
-    def _standing(self, key: int, now_ms: float) -> Standing:
+    def _standing(self, key: int, now_ms: float) -> SendPermission:
         item = self._suspects.get(key)
         if item is None:
-            return Standing.CLEAR
+            return SendPermission.CLEAR
         if now_ms >= item.until_ms:
-            return Standing.FREE
+            return SendPermission.LEASE_FREE
         if _is_quarantined(item, now_ms):
-            return Standing.BARRED
+            return SendPermission.QUARANTINED
         ours = item.lease_holder == self._own_vm and not item.lease_used
-        return Standing.OURS if ours else Standing.HELD
+        return SendPermission.OWN_LEASE if ours else SendPermission.LEASE_TAKEN
 
-    def _add_crash(self, key: int, crashes: int, now_ms: float) -> Suspicion:
+    def _add_crash(self, key: int, crashes: int, now_ms: float) -> CrashRecord:
         item = self._put(key, _Suspect(crashes, now_ms + _hold_ms(crashes), now_ms))
         if crashes == 1:
             return self._claim(key, now_ms)
         return self._suspicion(key, item, now_ms)
 
-    def _claim(self, key: int, now_ms: float) -> Suspicion:
+    def _claim(self, key: int, now_ms: float) -> CrashRecord:
         item = self._suspects[key]
         item.lease_holder, item.lease_used = self._own_vm, False
         item.claimed_ms = item.updated_ms = now_ms
         item.until_ms = now_ms + LEASE_MS
-        return Suspicion(key, item.crashes, LEASE_MS, claimed=True)
+        return CrashRecord(key, item.crashes, LEASE_MS, is_claim=True)
 
     @staticmethod
     def _may_claim(key: int, item: _Suspect, vm: str, now_ms: float) -> bool:
@@ -263,8 +263,8 @@
         self._suspects[key] = item
         return item
 
-    def _suspicion(self, key: int, item: _Suspect, now_ms: float) -> Suspicion:
-        return Suspicion(key, item.crashes, max(0.0, item.until_ms - now_ms))
+    def _suspicion(self, key: int, item: _Suspect, now_ms: float) -> CrashRecord:
+        return CrashRecord(key, item.crashes, max(0.0, item.until_ms - now_ms))
 
 
 def _is_quarantined(item: _Suspect, now_ms: float) -> bool:
@@ -279,7 +279,7 @@
 
 def _has_precedence(key: int, vm: str, other: str) -> bool:
     """Return whether a VM has precedence over another one; all VMs compute the same result."""
-    return rank_weight(str(key), vm) > rank_weight(str(key), other)
+    return rendezvous_weight(str(key), vm) > rendezvous_weight(str(key), other)
 
 
 def _weakest(items: Iterable[tuple[int, _Suspect]]) -> int:
--- a/cloverhook/gateway/quarantine_keeper.py
+++ b/cloverhook/gateway/quarantine_keeper.py
@@ -10,12 +10,12 @@
 
 from cloverhook.clock import monotonic_ms, wall_ms
 from cloverhook.errors import PlatformError
-from cloverhook.gateway.event_log import EventLog, Kind
-from cloverhook.gateway.peer_messages import Suspicion
+from cloverhook.gateway.event_log import EventKind, EventLog
+from cloverhook.gateway.peer_messages import CrashRecord
 from cloverhook.gateway.quarantine import Quarantine
 from cloverhook.gateway.store import QuarantineRecord, Store
 
-__all__ = ["QuarantineKeeper"]
+__all__ = ["QuarantinePersistence"]
 
 RECORDS_LIMIT = 200
 BATCH_DELAY_MS = 100.0
@@ -27,7 +27,7 @@
 requests to quarantine itself."""
 
 
-class QuarantineKeeper:
+class QuarantinePersistence:
     """Writes the quarantine to the store and reads it back."""
 
     def __init__(self, store: Store, quarantine: Quarantine, log: EventLog) -> None:
@@ -36,7 +36,7 @@
         self._log = log
         self._changed = asyncio.Event()
 
-    def changed(self) -> None:
+    def mark_changed(self) -> None:
         """Mark the quarantine as changed, so that it is written to the store."""
         self._changed.set()
 
@@ -48,7 +48,7 @@
             await asyncio.sleep(BATCH_DELAY_MS / 1000)
             self._changed.clear()
             try:
-                await self._store.keep_quarantine(self._records())
+                await self._store.save_quarantine(self._records())
             except PlatformError as error:
                 self._note("lost", error=str(error))
                 self._changed.set()
@@ -61,7 +61,7 @@
         """Read the quarantine that other VMs have written to the store, and adopt it."""
         for failures in range(READ_ATTEMPTS_LIMIT):
             try:
-                stored = await self._store.quarantine()
+                stored = await self._store.load_quarantine()
             except PlatformError as error:
                 self._note("lost", error=str(error))
                 await asyncio.sleep(_retry_ms(failures) / 1000)
@@ -75,21 +75,21 @@
         now_ms, unix_ms = monotonic_ms(), wall_ms()
         valid = [item for item in records[:RECORDS_LIMIT] if item.until_unix_ms > unix_ms]
         for item in valid:
-            suspicion = Suspicion(item.key, item.crashes, item.until_unix_ms - unix_ms)
-            self._quarantine.received("", suspicion, now_ms)
+            suspicion = CrashRecord(item.key, item.crashes, item.until_unix_ms - unix_ms)
+            self._quarantine.apply_update("", suspicion, now_ms)
         if valid:
-            self._log.note(Kind.QUARANTINE, source="store", keys=len(valid))
+            self._log.note(EventKind.QUARANTINE, source="store", keys=len(valid))
 
     def _records(self) -> tuple[QuarantineRecord, ...]:
         now_ms, unix_ms = monotonic_ms(), wall_ms()
-        in_quarantine = self._quarantine.barred(now_ms)[:RECORDS_LIMIT]
+        in_quarantine = self._quarantine.quarantined(now_ms)[:RECORDS_LIMIT]
         return tuple(
-            QuarantineRecord(item.key, item.crashes, round(unix_ms + item.held_ms))
+            QuarantineRecord(item.key, item.crashes, round(unix_ms + item.hold_ms))
             for item in in_quarantine
         )
 
     def _note(self, state: str, **fields: str) -> None:
-        self._log.note(Kind.STORE, feed="quarantine", state=state, **fields)
+        self._log.note(EventKind.STORE, feed="quarantine", state=state, **fields)
 
 
 def _retry_ms(failures: int) -> float:
--- a/cloverhook/gateway/request_report.py
+++ b/cloverhook/gateway/request_report.py
@@ -12,9 +12,9 @@
 from cloverhook.gateway.calls import CallerAnswer, CallerRequest
 from cloverhook.gateway.choice import Choice
 from cloverhook.gateway.counters import Counters
-from cloverhook.gateway.event_log import EventLog, Kind
-from cloverhook.gateway.knowledge import Knowledge
-from cloverhook.gateway.request_run import RequestRun
+from cloverhook.gateway.event_log import EventKind, EventLog
+from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.request_run import RequestState
 
 __all__ = ["RequestReport"]
 
@@ -24,21 +24,21 @@
 class RequestReport:
     """Records requests in the counters and in the event log."""
 
-    def __init__(self, knowledge: Knowledge, log: EventLog, counters: Counters) -> None:
+    def __init__(self, knowledge: GatewayState, log: EventLog, counters: Counters) -> None:
         self._knowledge = knowledge
         self._log = log
         self._counters = counters
 
-    def repeated(self, service: str, allowed: bool) -> None:
+    def record_retry(self, service: str, allowed: bool) -> None:
         """Count a retry, or one that was not made because the retry budget was exhausted."""
         self._counters.add("repeats" if allowed else "repeats_denied", service=service)
 
-    def fault(self, request_id: bytes) -> None:
+    def record_internal_error(self, request_id: bytes) -> None:
         """Log the exception that is being handled."""
         trace = traceback.format_exc()
-        self._log.note(Kind.FAULT, part="forwarding", id=_text(request_id), error=trace)
+        self._log.note(EventKind.FAULT, part="forwarding", id=_text(request_id), error=trace)
 
-    def turned_away(
+    def record_unrouted(
         self,
         request: CallerRequest,
         request_id: bytes,
@@ -49,7 +49,7 @@
         """Count and log a request that is refused because no route is known for it."""
         self._counters.add("answers", service="", cause=kind.value)
         self._log.note(
-            Kind.ANSWER,
+            EventKind.ANSWER,
             id=_text(request_id),
             host=request.host,
             path=request.path,
@@ -59,7 +59,7 @@
             config=self._knowledge.config_version,
         )
 
-    def ended(self, run: RequestRun, answer: CallerAnswer) -> None:
+    def record_end(self, run: RequestState, answer: CallerAnswer) -> None:
         """Count a request that has ended; log it if it had trouble or is in the sample.
 
         A request had trouble if the gateway answered it itself, the response has a failure status
@@ -75,7 +75,7 @@
         had_trouble = (
             not answered_by_server or answer.status >= FAILURE_STATUS_MIN or len(run.attempts) > 1
         )
-        if not had_trouble and not self._log.sampled(request_id):
+        if not had_trouble and not self._log.is_sampled(request_id):
             return
         config = self._knowledge.config
         for result in run.results:
@@ -84,7 +84,7 @@
         for attempt in run.attempts:
             self._log_attempt(run, attempt, request_id)
         self._log.note(
-            Kind.ANSWER if had_trouble else Kind.SAMPLE,
+            EventKind.ANSWER if had_trouble else EventKind.SAMPLE,
             id=request_id,
             **_content_fields(run),
             route=run.route.name,
@@ -99,11 +99,11 @@
             registry=self._knowledge.registry.version,
         )
 
-    def _log_attempt(self, run: RequestRun, attempt: Attempt, request_id: str) -> None:
+    def _log_attempt(self, run: RequestState, attempt: Attempt, request_id: str) -> None:
         choice: Choice = attempt.choice
         result = next((item for item in run.results if item.choice is choice), None)
         self._log.note(
-            Kind.ATTEMPT,
+            EventKind.ATTEMPT,
             id=request_id,
             **_content_fields(run),
             server=choice.server.incarnation,
@@ -111,19 +111,19 @@
             expected_ms=round(choice.expected_ms),
             load=choice.load,
             slots=choice.server.slots,
-            pace=round(choice.pace, 2),
-            figure_age_ms=round(min(choice.figure_age_ms, 1e6)),
+            pace=round(choice.slowdown, 2),
+            figure_age_ms=round(min(choice.load_report_age_ms, 1e6)),
             candidates=choice.candidates,
             outcome="given-up" if result is None else result.outcome.value,
             status=0 if result is None else result.status,
             crashed=result is not None and result.crashed,
             latency_ms=-1 if result is None else round(result.latency_ms, 1),
-            usual_ms=-1 if result is None else round(result.usual_ms, 1),
+            usual_ms=-1 if result is None else round(result.nominal_ms, 1),
             detail="" if result is None else result.detail,
         )
 
 
-def _content_fields(run: RequestRun) -> dict[str, str]:
+def _content_fields(run: RequestState) -> dict[str, str]:
     """Return the log fields that identify a request's content and its caller."""
     return {
         "content": f"{run.keys.content:016x}",
--- a/cloverhook/gateway/request_run.py
+++ b/cloverhook/gateway/request_run.py
@@ -12,11 +12,11 @@
 from cloverhook.gateway.request_key import RequestKeys
 from cloverhook.gateway.routes import Route
 
-__all__ = ["RequestRun"]
+__all__ = ["RequestState"]
 
 
 @dataclass(slots=True, eq=False)
-class RequestRun:
+class RequestState:
     """A request that is being forwarded, with its attempts and their results."""
 
     request: CallerRequest
@@ -28,12 +28,12 @@
     attempts: list[Attempt] = field(default_factory=list)
     results: list[AttemptResult] = field(default_factory=list)
     tasks: dict[asyncio.Task[AttemptResult], Attempt] = field(default_factory=dict)
-    crashes_known: dict[str, tuple[int, ...]] = field(default_factory=dict)
+    crash_counts_at_send: dict[str, tuple[int, ...]] = field(default_factory=dict)
     """For each incarnation that it was sent to, the crash counts of its keys known at that time."""
-    quarantined_ms: float = 0.0
+    quarantine_left_ms: float = 0.0
     """How long the request remains in quarantine, if that is why it ends."""
     # While the request waits and could be hedged: completing it makes the request check again.
-    nudge: asyncio.Future[None] | None = None
+    recheck: asyncio.Future[None] | None = None
 
     @classmethod
     def of(
@@ -43,7 +43,7 @@
         route: Route,
         service: str,
         names: CallHeaders,
-    ) -> "RequestRun":
+    ) -> "RequestState":
         """Create the state of a new request.
 
         Its timeout is the lower of the one in its headers and the one of its route.
@@ -56,11 +56,11 @@
         return cls(request, request_id, route, service, deadline_ms, RequestKeys.of(request))
 
     @property
-    def tried(self) -> set[str]:
+    def tried_incarnations(self) -> set[str]:
         """The incarnations at which the request has been attempted."""
         return {attempt.choice.server.incarnation for attempt in self.attempts}
 
     @property
-    def maybe_runs(self) -> int:
+    def possible_executions(self) -> int:
         """The number of backend servers that may have run the request, or may be running it."""
         return sum(1 for attempt in self.attempts if attempt.sent)
--- a/cloverhook/gateway/retry_allowance.py
+++ b/cloverhook/gateway/retry_allowance.py
@@ -12,7 +12,7 @@
 
 from collections import deque
 
-__all__ = ["RetryAllowance"]
+__all__ = ["RetryBudget"]
 
 SAFETY_FACTOR = 0.7
 """The part of the budget that is used; the rest is a margin for moments when the VMs disagree on
@@ -27,7 +27,7 @@
         self.retries: deque[float] = deque()
 
 
-class RetryAllowance:
+class RetryBudget:
     """Counts the requests and the retries of each service in a sliding window."""
 
     def __init__(self, ratio: float, extra: float, window_ms: float) -> None:
@@ -36,11 +36,11 @@
         self._window_ms = window_ms
         self._windows: dict[str, _ServiceWindow] = {}
 
-    def count(self, service: str, now_ms: float) -> None:
+    def count_request(self, service: str, now_ms: float) -> None:
         """Count a request received from a caller."""
         self._window(service, now_ms).requests.append(now_ms)
 
-    def take(self, service: str, now_ms: float, vms: int) -> bool:
+    def try_take(self, service: str, now_ms: float, vms: int) -> bool:
         """Count a retry and return True, or return False if the budget is exhausted."""
         window = self._window(service, now_ms)
         budget = self._ratio * len(window.requests) + self._extra / max(1, vms)
@@ -56,7 +56,7 @@
             return 0.0
         return 1000 * len(requests) / max(now_ms - requests[0], RATE_PERIOD_MIN_MS)
 
-    def all_requests_per_s(self, now_ms: float) -> float:
+    def total_requests_per_s(self, now_ms: float) -> float:
         """Return the rate of callers' requests to all services together."""
         return sum(self.requests_per_s(service, now_ms) for service in tuple(self._windows))
 
--- a/cloverhook/gateway/routes.py
+++ b/cloverhook/gateway/routes.py
@@ -28,11 +28,11 @@
 )
 from cloverhook.errors import MessageError
 
-__all__ = ["GatewayConfig", "IngressLimits", "Part", "Route", "ServiceSpec"]
+__all__ = ["GatewayConfig", "IngressLimits", "WeightedService", "Route", "ServiceSpec"]
 
 
 @dataclass(frozen=True, slots=True)
-class Part:
+class WeightedService:
     """A service that gets a share of a route's requests proportional to its weight."""
 
     service: str
@@ -52,7 +52,7 @@
     name: str
     host: str
     path_prefix: str
-    parts: tuple[Part, ...] = kind_field(Anything())
+    parts: tuple[WeightedService, ...] = kind_field(Anything())
     idempotent: bool = False
     timeout_ms: float = 10_000.0
     aim_ms: float = 1_000.0
@@ -89,7 +89,7 @@
         "version": Integer(),
         "routes": Items(
             Table(
-                {**table_of(Route).fields, "parts": Items(table_of(Part), 1)},
+                {**table_of(Route).fields, "parts": Items(table_of(WeightedService), 1)},
                 frozenset({"name", "host", "path_prefix", "parts"}),
             )
         ),
@@ -151,11 +151,11 @@
 
         Raises `MessageError` if the document doesn't match `CONFIG_DOCUMENT`.
         """
-        *_, config = cls.steps_from_document(document)
+        *_, config = cls.iter_from_document(document)
         return config
 
     @classmethod
-    def steps_from_document(cls, document: Mapping[str, Any]) -> Iterator["GatewayConfig | None"]:
+    def iter_from_document(cls, document: Mapping[str, Any]) -> Iterator["GatewayConfig | None"]:
         """Build a configuration in steps: yields None after each step, and the configuration last.
 
         The steps are short, so that an event loop can do other work between them.  Raises
@@ -195,7 +195,7 @@
 
 
 def _route_from_row(row: Mapping[str, Any]) -> Route:
-    parts = tuple(Part(**part) for part in row["parts"])
+    parts = tuple(WeightedService(**part) for part in row["parts"])
     return Route(**{**row, "parts": parts, "regions": tuple(row.get("regions", ()))})
 
 
