--- a/cloverhook/gateway/quarantine.py
+++ b/cloverhook/gateway/quarantine.py
@@ -16,12 +16,12 @@
 
 >>> vm = Quarantine("vm-1")
 >>> keys = RequestKeys(11, 12)
->>> _ = vm.record_crash(keys, vm.crash_counts(keys), 0.0)
->>> vm.send_permission(keys, 1.0), vm.try_begin_send(keys, 1.0)
-(<SendPermission.OWN_LEASE: 1>, True)
->>> _ = vm.record_crash(keys, vm.crash_counts(keys), 50.0)
->>> vm.send_permission(keys, 51.0), vm.send_permission(keys, 30_000.0)
-(<SendPermission.QUARANTINED: 4>, <SendPermission.LEASE_FREE: 2>)
+>>> _ = vm.crashed(keys, vm.crashes(keys), 0.0)
+>>> vm.standing(keys, 1.0), vm.begin(keys, 1.0)
+(<Standing.OURS: 1>, True)
+>>> _ = vm.crashed(keys, vm.crashes(keys), 50.0)
+>>> vm.standing(keys, 51.0), vm.standing(keys, 30_000.0)
+(<Standing.BARRED: 4>, <Standing.FREE: 2>)
 """
 
 from collections.abc import Iterable
