--- a/cloverhook/gateway/admission.py
+++ b/cloverhook/gateway/admission.py
@@ -1,7 +1,7 @@
-"""Makes requests wait until a backend server has room for them.
+"""Makes requests wait until a backend server has capacity for them.
 
-Layer: transport.  `WaitingLine` decides which requests leave the queue.  This module asks it for
-decisions whenever there may be room, and wakes the coroutines of the requests concerned.
+Layer: transport.  `RequestQueue` decides which requests leave the queue.  This module asks it for
+decisions whenever there may be capacity, and wakes the coroutines of the requests concerned.
 """
 
 import asyncio
@@ -15,12 +15,12 @@
 
 CHECK_DELAY_MS = 2.0
 CHECK_PAUSE_FACTOR = 4.0
-"""After updates of other VMs, the pause before the queues are checked is at least this many times
-the duration of the last check, so that checks take at most a fifth of the time."""
+"""After updates of other VMs, the pause before an admission check is at least this many times the
+duration of the last check, so that checks take at most a fifth of the time."""
 
 
 class Admission:
-    """The requests of this VM that wait for room at a backend server."""
+    """The requests of this VM that wait for capacity at a backend server."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         return len(self._line)
 
     async def wait(self, waiter: QueuedRequest) -> Choice | None:
-        """Wait for room; return the choice made for the request, or None if it is refused."""
+        """Wait for capacity; return the choice made for the request, or None if it is rejected."""
         future: asyncio.Future[Choice | None] = asyncio.get_running_loop().create_future()
         self._waits[waiter] = future
         self._line.add(waiter)
@@ -55,7 +55,7 @@
             raise
 
     def admit_ready(self, service: str) -> None:
-        """Start or refuse the waiting requests of a service that are due for a decision."""
+        """Start or reject the queued requests of a service that are due for a decision."""
         while (decision := self._line.next(service, monotonic_ms())) is not None:
             future = self._waits.pop(decision.waiter)
             if decision.choice is not None:
@@ -63,14 +63,14 @@
             future.set_result(decision.choice)
 
     def admit_all_ready(self) -> None:
-        """Start or refuse the waiting requests of all services that are due for a decision."""
+        """Start or reject the queued requests of all services that are due for a decision."""
         started_ms = monotonic_ms()
         for service in self._line.services():
             self.admit_ready(service)
         self._last_check_ms = monotonic_ms() - started_ms
 
     def schedule_admission(self) -> None:
-        """Schedule a check of all services after an update of another VM.
+        """Schedule an admission check of all services after an update of another VM.
 
         Updates may come in large numbers, and in overload each check takes long.  If the VM did
         nothing but check, no request would be answered in time.
--- a/cloverhook/gateway/attempt.py
+++ b/cloverhook/gateway/attempt.py
@@ -4,7 +4,7 @@
 `REJECTED` mean with certainty that the request did not run there.
 
 Before a request that must not be sent twice, the attempt probes the endpoint's load over the
-connection that it is about to use.  If the endpoint has become slow since the last load figure or
+connection that it is about to use.  If the endpoint has become slow since the last load report or
 does not answer the probe, the request goes to another endpoint: once sent, it could no longer be
 moved.
 """
@@ -41,7 +41,7 @@
 STALE_RESET_MS = 20.0
 """A reset this soon after the send shows that the peer had already dropped the idle connection."""
 LOAD_MAX_AGE_MS = 15.0
-"""Up to this age of the load figure no load probe is needed; within a data centre, the response to
+"""Up to this age of the load report no load probe is needed; within a data centre, the response to
 one takes about 1 ms."""
 LOAD_PROBE_TIMEOUT_MS = 60.0
 BUFFERED_BODY_BYTES = 262_144
@@ -82,7 +82,7 @@
     advertised_limit_per_s: float | None = None
     """The rate limit that the backend server advertised, in requests a second."""
     nominal_ms: float = 0.0
-    """How long the work would have taken at the usual pace, by the load figures of that time."""
+    """How long the work would have taken without slowdown, by the load reports of that time."""
 
     @property
     def arrived(self) -> bool:
@@ -143,9 +143,9 @@
             if self._probe_path and self._should_probe(load, started_ms):
                 await self._probe(connection, load, self._probe_path)
             head = await self._send(connection)
-            figure = parse_load(find(head.headers, self._headers.load))
-            if figure is not None:
-                load.update(figure, monotonic_ms(), ended_count=1)
+            load_report = parse_load(find(head.headers, self._headers.load))
+            if load_report is not None:
+                load.update(load_report, monotonic_ms(), ended_count=1)
             result = await self._read_response(head, connection, pool, started_ms)
             if head.status != MISDIRECTED_REQUEST:
                 limit_per_s = parse_rate_limit(head.headers, self._headers)
@@ -163,7 +163,9 @@
                 if quick and self.choice.load < server.slots:
                     pool.shorten_idle_limit(server, connection)
                 stale = quick and connection.idle_since_ms > 0.0
-            crashed = self.sent and not error.bad_answer and await pool.has_stopped_listening(server)
+            crashed = (
+                self.sent and not error.bad_answer and await pool.has_stopped_listening(server)
+            )
             result = replace(result, server_failed=self.sent and not stale, crashed=crashed)
         finally:
             if connection is not None and not still_in_use and not connection.usable:
@@ -176,7 +178,7 @@
         )
 
     def _should_probe(self, load: ServerLoad, now_ms: float) -> bool:
-        """Return whether to probe: the endpoint reports its load, but the figure isn't recent."""
+        """Return whether to probe: the endpoint reports its load, but not recently."""
         return load.latest_report is not None and load.age_ms(now_ms) > LOAD_MAX_AGE_MS
 
     async def _probe(self, connection: UpstreamConnection, load: ServerLoad, path: str) -> None:
@@ -184,21 +186,22 @@
         server = self.choice.server
         try:
             async with asyncio.timeout(LOAD_PROBE_TIMEOUT_MS / 1000):
-                head, figure = await probe_load(connection, server, path, self._headers)
+                head, load_report = await probe_load(connection, server, path, self._headers)
         except TimeoutError as error:
             connection.close()
             raise UpstreamError("no response to the load probe", sent=False) from error
         except UpstreamError as error:
             raise UpstreamError(f"load probe failed: {error}", sent=False) from error
-        if figure is None:
+        if load_report is None:
             return
-        load.update(figure, monotonic_ms(), ended_count=1)
-        if not figure.reachable:
+        load.update(load_report, monotonic_ms(), ended_count=1)
+        if not load_report.reachable:
             raise UpstreamError("another incarnation answered the load probe", sent=False)
-        if figure.slowdown >= SLOW_FACTOR > self.choice.slowdown:
+        if load_report.slowdown >= SLOW_FACTOR > self.choice.slowdown:
             self._declined = head
             raise UpstreamError(
-                f"load probe shows it has become slow, pace {latest_report.slowdown:g}", sent=False
+                f"load probe shows a slowdown of {load_report.slowdown:g}",
+                sent=False,
             )
 
     async def _send(self, connection: UpstreamConnection) -> AnswerHead:
@@ -224,7 +227,7 @@
     def _is_response_to_this(self, head: AnswerHead) -> bool:
         """Return whether a response belongs to this request.
 
-        One without a request identifier does if its status is one of a refusal or failure.
+        One without a request identifier does if its status means a rejection or a failure.
         """
         named = find(head.headers, self._headers.request_id)
         if named is None:
@@ -257,13 +260,13 @@
             )
         if head.status < 300 and find(head.headers, names.receipt) is None:
             raise UpstreamError("successful response without a receipt", sent=True, bad_answer=True)
-        rest = self._remaining_body(connection, pool, head) if more else None
+        remaining_body = self._remaining_body(connection, pool, head) if more else None
         length = find(head.headers, b"content-length") if more or not size_bytes else None
         answer = CallerAnswer(
             head.status,
             end_to_end_headers(head.headers, names.internal()),
             b"".join(parts),
-            rest,
+            remaining_body,
             int(length) if length is not None else None,
         )
         at_fault = head.status >= FAILURE_STATUS_MIN and head.status != GATEWAY_TIMEOUT
@@ -274,10 +277,10 @@
     def _has_room(self, head: AnswerHead) -> bool:
         """Return whether an endpoint has a free slot, by the response or else by the choice."""
         slots = self.choice.server.slots
-        figure = parse_load(find(head.headers, self._headers.load))
-        if figure is None:
+        load_report = parse_load(find(head.headers, self._headers.load))
+        if load_report is None:
             return self.choice.load < slots
-        return figure.running + figure.waiting < slots
+        return load_report.running + load_report.waiting < slots
 
     async def _remaining_body(
         self, connection: UpstreamConnection, pool: BackendPool, head: AnswerHead
@@ -307,7 +310,9 @@
         load.record_end(now_ms)
         if result.outcome is Outcome.NOT_SENT:
             load.record_unreachable(now_ms)
-        elif result.outcome in (Outcome.DECLINED, Outcome.WITHHELD) or result.refused_with_free_slot:
+        elif (
+            result.outcome in (Outcome.DECLINED, Outcome.WITHHELD) or result.refused_with_free_slot
+        ):
             return
         elif result.failed:
             load.record_failure(now_ms)
--- a/cloverhook/gateway/call_headers.py
+++ b/cloverhook/gateway/call_headers.py
@@ -37,9 +37,9 @@
 
     `receipt` marks a response that a backend server made itself; `not_run` marks a response by
     which it states that the request did not run there.  `load` holds the number of requests
-    running, requests waiting, slots and, if it is known, the pace in percent of the usual one.
-    `cold_ms` is the time for which an endpoint stays cold.  The first header present of
-    `rate_limits` is the number of requests a second that the endpoint accepts from all gateways
+    running, requests waiting, slots and, if it is known, the slowdown, with the usual work time as
+    100 percent.  `cold_ms` is the time for which an endpoint stays cold.  The first header present
+    of `rate_limits` is the number of requests a second that the endpoint accepts from all gateways
     together.
     """
 
@@ -108,14 +108,14 @@
 
 
 def parse_load(value: bytes | None) -> LoadReport | None:
-    """Parse the load figure of a header value; return None if it is absent or invalid."""
+    """Parse the load report in a header value; return None if it is absent or invalid."""
     if value is None:
         return None
     try:
-        figures = [int(item) for item in value.split(b",")]
+        numbers = [int(item) for item in value.split(b",")]
     except ValueError:
         return None
-    if len(figures) < 2 or min(figures) < 0:
+    if len(numbers) < 2 or min(numbers) < 0:
         return None
-    pace = figures[3] / PERCENT if len(figures) > 3 and figures[3] else 1.0
-    return LoadReport(figures[0], figures[1], pace)
+    slowdown = numbers[3] / PERCENT if len(numbers) > 3 and numbers[3] else 1.0
+    return LoadReport(numbers[0], numbers[1], slowdown)
--- a/cloverhook/gateway/calls.py
+++ b/cloverhook/gateway/calls.py
@@ -31,9 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerAnswer:
-    """A response; `rest` yields the part of the body that follows `body`.
+    """A response; `remaining_body` yields the part of the body that follows `body`.
 
-    If `length_bytes` is None, the body's length is that of `body`, or unknown if there is a `rest`.
+    If `content_length` is None, the body's length is that of `body`, or unknown if there is a
+    `remaining_body`.
     """
 
     status: int
--- a/cloverhook/gateway/evacuation.py
+++ b/cloverhook/gateway/evacuation.py
@@ -5,10 +5,10 @@
 the one with the later offset is therefore valid, however it was received, and states need not be
 merged.
 
->>> state = Evacuations().after((Evacuation("papine", 4, wanted=True),))
+>>> state = Evacuations().with_records((Evacuation("papine", 4, is_evacuated=True),))
 >>> sorted(state.data_centers), state.version
 (['papine'], 4)
->>> state.after((Evacuation("papine", 3, wanted=False),)) == state
+>>> state.with_records((Evacuation("papine", 3, is_evacuated=False),)) == state
 True
 """
 
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evacuation:
-    """A log record that evacuates a data centre, or revokes that if `wanted` is False."""
+    """A log record that evacuates a data centre, or revokes that if `is_evacuated` is False."""
 
     data_center: str
     offset: int
--- a/cloverhook/gateway/final_answer.py
+++ b/cloverhook/gateway/final_answer.py
@@ -1,6 +1,6 @@
 """The gateway's own response to a request that no backend server has answered successfully.
 
-Layer: transport.  The error kind is the reason.  If the request was refused, the response has a
+Layer: transport.  The error kind is the reason.  If the request was rejected, the response has a
 `Retry-After` header.
 """
 
@@ -14,7 +14,7 @@
 __all__ = ["error_answer", "final_error_kind"]
 
 RETRY_AFTER_RANGE_MS = (30.0, 80.0)
-"""The range of the random `Retry-After` for refused requests; it is random so that the callers
+"""The range of the random `Retry-After` for rejected requests; it is random so that the callers
 don't all retry at once.  It is long enough for a slot to become free, and short enough for the
 response to be in time."""
 EVACUATED_RETRY_AFTER_MS = (700.0, 1_400.0)
@@ -31,35 +31,35 @@
 
 
 def final_error_kind(
-    run: RequestState, late: bool, evacuated: bool, known: bool, rate_limited: bool = False
+    state: RequestState, late: bool, evacuated: bool, known: bool, rate_limited: bool = False
 ) -> ErrorKind:
     """Return why a request ends without a response from a backend server.
 
     `late` means that its deadline has passed, `evacuated` that all endpoints of its service are in
     evacuated data centres, `known` that the service has any endpoints, and `rate_limited` that
-    their rate limits leave no room for requests of this VM at present.
+    their rate limits leave nothing for requests of this VM at present.
     """
-    if run.possible_executions:
+    if state.possible_executions:
         return ErrorKind.DEADLINE_IN_RUN if late else ErrorKind.CONNECTION_CUT
-    if run.quarantine_left_ms > 0.0:
+    if state.quarantine_left_ms > 0.0:
         return ErrorKind.QUARANTINED
-    if any(item.outcome is Outcome.REJECTED for item in run.results):
+    if any(item.outcome is Outcome.REJECTED for item in state.results):
         return ErrorKind.REFUSED
     if evacuated:
         return ErrorKind.EVACUATED
-    if rate_limited and not run.attempts:
+    if rate_limited and not state.attempts:
         return ErrorKind.RATE_LIMITED
-    if run.attempts or not known:
+    if state.attempts or not known:
         return ErrorKind.NO_BACKEND_SERVER
     return ErrorKind.OVERLOADED
 
 
-def error_answer(kind: ErrorKind, held_ms: float = 0.0) -> CallerAnswer:
-    """Return the response for an error kind; a `Retry-After` in it is at least `held_ms`."""
+def error_answer(kind: ErrorKind, least_retry_ms: float = 0.0) -> CallerAnswer:
+    """Return the response for an error kind; any `Retry-After` is at least `least_retry_ms`."""
     answer = answer_for(kind)
     headers = [(b"content-type", b"text/plain")]
     if answer.retry_after:
         range_ms = RETRY_AFTER_BY_KIND_MS.get(kind, RETRY_AFTER_RANGE_MS)
-        retry_after_ms = max(random.uniform(*range_ms), held_ms)
+        retry_after_ms = max(random.uniform(*range_ms), least_retry_ms)
         headers.append((b"retry-after", b"%.3f" % (retry_after_ms / 1000)))
     return CallerAnswer(answer.status, headers, kind.value.encode())
--- a/cloverhook/gateway/forwarding.py
+++ b/cloverhook/gateway/forwarding.py
@@ -33,18 +33,18 @@
 __all__ = ["Forwarder"]
 
 ATTEMPTS_LIMIT = 4
-"""A request that is rejected repeatedly is refused after attempts at this many backend servers."""
+"""If this many backend servers have rejected a request, the gateway rejects it too."""
 LOAD_PROBES_LIMIT = 2
 """At most this many attempts of a request begin with a load probe; the next one sends at once."""
 HEDGE_SHARE = 0.7
-"""If an endpoint that works at its usual pace has not answered after this share of the latency
+"""If an endpoint that works without slowdown has not answered after this share of the latency
 objective, a hedged request is sent."""
-SPARE_SHARE = 0.5
-"""A hedged request is sent only while this share of the service's endpoints has room: in overload
-it would take a slot from a request that has not been attempted yet."""
-FIGURE_LAG_MS = 150.0
-"""A request is worked at the pace at which it began, and a load figure may report that pace this
-much later."""
+AVAILABLE_SHARE_MIN = 0.5
+"""A hedged request is sent only while this share of the service's endpoints has capacity: in
+overload it would take a slot from a request that has not been attempted yet."""
+LOAD_REPORT_LAG_MS = 150.0
+"""A request keeps the slowdown with which its work began, and a load report may show that slowdown
+this much later."""
 QUARANTINE_WAIT_SHARE = 0.5
 """The share of its latency objective for which a request waits to learn whether another copy of it
 crashes an endpoint."""
@@ -66,7 +66,7 @@
         balancer: Balancer,
         estimates: WorkEstimates,
         pool: BackendPool,
-        allowance: RetryBudget,
+        retry_budget: RetryBudget,
         headers: CallHeaders,
         vms: Callable[[], int],
         on_count: Callable[[str], None],
@@ -79,7 +79,7 @@
         self._knowledge = knowledge
         self._balancer = balancer
         self._pool = pool
-        self._allowance = allowance
+        self._retry_budget = retry_budget
         self._headers = headers
         self._vms = vms
         self._on_count = on_count
@@ -99,23 +99,25 @@
 
     def slowdown_changed(self, incarnation: str) -> None:
         """Recheck for hedging the requests sent to a backend server just before it became slow."""
-        runs = self._running.get(incarnation)
-        if not runs:
+        states = self._running.get(incarnation)
+        if not states:
             return
         now_ms = monotonic_ms()
         if self._knowledge.load_table.get_or_create(incarnation).slowdown(now_ms) < SLOW_FACTOR:
             return
-        for run in runs:
-            is_recent = now_ms - run.attempts[-1].began_ms < FIGURE_LAG_MS
-            if is_recent and run.recheck is not None and not run.recheck.done():
-                run.recheck.set_result(None)
+        for state in states:
+            is_recent = now_ms - state.attempts[-1].began_ms < LOAD_REPORT_LAG_MS
+            if is_recent and state.recheck is not None and not state.recheck.done():
+                state.recheck.set_result(None)
 
     async def handle(self, request: CallerRequest) -> CallerAnswer:
         """Return the response to a request; an exception is logged and gives an internal error."""
         try:
             return await self._route_and_forward(request)
         except Exception:
-            self._report.record_internal_error(find(request.headers, self._headers.request_id) or b"")
+            self._report.record_internal_error(
+                find(request.headers, self._headers.request_id) or b""
+            )
             return error_answer(ErrorKind.INTERNAL)
 
     async def _route_and_forward(self, request: CallerRequest) -> CallerAnswer:
@@ -129,73 +131,79 @@
             kind, reason = ErrorKind.UNKNOWN_HOST, "no route matches the host and path"
             return self._reject_unrouted(request, request_id, kind, reason)
         service = self._splits.next_service(route)
-        run = RequestState.of(request, request_id, route, service, self._headers)
-        self._allowance.count_request(service, request.arrived_ms)
+        state = RequestState.of(request, request_id, route, service, self._headers)
+        self._retry_budget.count_request(service, request.arrived_ms)
         try:
-            answer = await self._forward(run)
+            answer = await self._forward(state)
         except asyncio.CancelledError:
-            self._report.record_end(run, error_answer(ErrorKind.CALLER_GONE))
+            self._report.record_end(state, error_answer(ErrorKind.CALLER_GONE))
             raise
         finally:
-            for task, attempt in run.tasks.items():
+            for task, attempt in state.tasks.items():
                 task.cancel()
-                self._record_if_unanswered(run, attempt)
-            for attempt in run.attempts:
-                self._remove_running(run, attempt)
-        self._report.record_end(run, answer)
+                self._record_if_unanswered(state, attempt)
+            for attempt in state.attempts:
+                self._remove_running(state, attempt)
+        self._report.record_end(state, answer)
         return answer
 
-    async def _forward(self, run: RequestState) -> CallerAnswer:
-        choice = await self._wait_for_room(run) if await self._passes_quarantine(run) else None
+    async def _forward(self, state: RequestState) -> CallerAnswer:
+        choice = (
+            await self._wait_for_capacity(state) if await self._passes_quarantine(state) else None
+        )
         if choice is None:
-            return self._final_response(run)
-        self._start_attempt(run, choice)
-        while run.tasks:
-            done = await self._wait(run)
+            return self._final_response(state)
+        self._start_attempt(state, choice)
+        while state.tasks:
+            done = await self._wait(state)
             for task in done:
-                attempt = run.tasks.pop(task)
-                run.results.append(task.result())
-                self._record_result(run, task.result(), attempt)
-            successful = next((item for item in run.results if not item.failed), None)
+                attempt = state.tasks.pop(task)
+                state.results.append(task.result())
+                self._record_result(state, task.result(), attempt)
+            successful = next((item for item in state.results if not item.failed), None)
             if successful is not None:
-                self._quarantine_updates.record_success(run.keys)
-                self._record_latency(run, successful)
+                self._quarantine_updates.record_success(state.keys)
+                self._record_latency(state, successful)
                 return successful.answer
-            if monotonic_ms() >= run.deadline_ms:
+            if monotonic_ms() >= state.deadline_ms:
                 break
             if done:
-                start_another = self._may_retry(run) and await self._passes_quarantine(run)
+                start_another = self._may_retry(state) and await self._passes_quarantine(state)
             else:
-                start_another = self._should_hedge(run)
+                start_another = self._should_hedge(state)
             if start_another:
-                self._try_start_attempt(run)
-        return self._final_response(run)
+                self._try_start_attempt(state)
+        return self._final_response(state)
 
-    async def _passes_quarantine(self, run: RequestState) -> bool:
+    async def _passes_quarantine(self, state: RequestState) -> bool:
         """Return whether the quarantine allows a request to be sent.
 
         While another copy with the same content is being tried under a lease, the request waits for
         the outcome for as long as it may still be answered in time.
         """
-        updates, aim_ms = self._quarantine_updates, run.route.aim_ms
-        if await updates.admit(run.keys, run.request.arrived_ms + QUARANTINE_WAIT_SHARE * aim_ms):
+        updates, aim_ms = self._quarantine_updates, state.route.aim_ms
+        if await updates.admit(
+            state.keys, state.request.arrived_ms + QUARANTINE_WAIT_SHARE * aim_ms
+        ):
             return True
-        run.quarantine_left_ms = updates.quarantine.remaining_ms(run.keys, monotonic_ms())
+        state.quarantine_left_ms = updates.quarantine.remaining_ms(state.keys, monotonic_ms())
         return False
 
-    def _record_result(self, run: RequestState, result: AttemptResult, attempt: Attempt) -> None:
+    def _record_result(self, state: RequestState, result: AttemptResult, attempt: Attempt) -> None:
         """Record what the result of an attempt shows about its endpoint."""
         incarnation = result.choice.server.incarnation
         self._record_rate_limit(incarnation, result)
         if result.refused_with_free_slot:
             self._on_refusal(incarnation)
         if result.crashed and not self._was_draining_or_gone(incarnation):
-            known = run.crash_counts_at_send[incarnation]
-            self._quarantine_updates.record_crash(run.keys, known, incarnation)
+            known = state.crash_counts_at_send[incarnation]
+            self._quarantine_updates.record_crash(state.keys, known, incarnation)
         if result.server_failed:
             self._on_failure(incarnation, attempt.began_ms)
         elif not result.failed:
-            self._knowledge.load_table.get_or_create(incarnation).circuit_breaker.record_answer(monotonic_ms())
+            self._knowledge.load_table.get_or_create(incarnation).circuit_breaker.record_answer(
+                monotonic_ms()
+            )
 
     def _record_rate_limit(self, incarnation: str, result: AttemptResult) -> None:
         """Record the rate limit that an endpoint advertises, or that it no longer advertises one.
@@ -205,15 +213,17 @@
         succeeded = result.outcome is Outcome.ANSWERED and not result.failed
         if result.advertised_limit_per_s is not None or succeeded:
             now_ms = monotonic_ms()
-            self._rate_limit_updates.record_response(incarnation, result.advertised_limit_per_s, now_ms)
+            self._rate_limit_updates.record_response(
+                incarnation, result.advertised_limit_per_s, now_ms
+            )
 
     def _was_draining_or_gone(self, incarnation: str) -> bool:
-        """Return whether an endpoint is draining, gone, or known only by a held registry entry."""
+        """Return whether an endpoint is draining or gone, or its entry is in its grace period."""
         registry = self._knowledge.registry
         server = registry.get(incarnation)
         return server is None or server.draining or registry.in_grace_period(server)
 
-    def _record_if_unanswered(self, run: RequestState, attempt: Attempt) -> None:
+    def _record_if_unanswered(self, state: RequestState, attempt: Attempt) -> None:
         """Count an abandoned attempt as a failure if its work should have been done long ago.
 
         An endpoint that is full, or has answered other requests meanwhile, is only slow or has
@@ -221,52 +231,52 @@
         """
         server, now_ms = attempt.choice.server, monotonic_ms()
         load = self._knowledge.load_table.get_or_create(server.incarnation)
-        figure = load.latest_report
+        load_report = load.latest_report
         if not attempt.sent or load.circuit_breaker.answered_since(attempt.began_ms):
             return
-        if figure is not None and figure.running + figure.waiting >= server.slots:
+        if load_report is not None and load_report.running + load_report.waiting >= server.slots:
             return
-        work_ms = self._estimates.work_ms(run.route.name, run.route.aim_ms)
+        work_ms = self._estimates.work_ms(state.route.name, state.route.aim_ms)
         work_done_ms = load.expected_progress_ms(now_ms) - attempt.progress_at_start_ms
-        if figure is None:
+        if load_report is None:
             work_done_ms = now_ms - attempt.began_ms
         if work_done_ms >= UNANSWERED_WORK_FACTOR * work_ms:
             self._on_failure(server.incarnation, attempt.began_ms)
 
-    async def _wait(self, run: RequestState) -> set[asyncio.Task[AttemptResult]]:
+    async def _wait(self, state: RequestState) -> set[asyncio.Task[AttemptResult]]:
         """Wait until an attempt ends, or until the request has to be checked again."""
-        awaited: set[asyncio.Future] = set(run.tasks)
-        if self._can_hedge(run):
-            run.recheck = asyncio.get_running_loop().create_future()
-            awaited.add(run.recheck)
-        timeout_s = max(0.0, self._wait_ms(run)) / 1000
+        awaited: set[asyncio.Future] = set(state.tasks)
+        if self._can_hedge(state):
+            state.recheck = asyncio.get_running_loop().create_future()
+            awaited.add(state.recheck)
+        timeout_s = max(0.0, self._wait_ms(state)) / 1000
         done, _ = await asyncio.wait(
             awaited, timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED
         )
-        done.discard(run.recheck)
-        run.recheck = None
+        done.discard(state.recheck)
+        state.recheck = None
         return done
 
-    def _remove_running(self, run: RequestState, attempt: Attempt) -> None:
+    def _remove_running(self, state: RequestState, attempt: Attempt) -> None:
         incarnation = attempt.choice.server.incarnation
-        runs = self._running.get(incarnation)
-        if runs is not None:
-            runs.discard(run)
-            if not runs:
+        states = self._running.get(incarnation)
+        if states is not None:
+            states.discard(state)
+            if not states:
                 del self._running[incarnation]
 
-    async def _wait_for_room(self, run: RequestState) -> Choice | None:
-        """Wait for room at a backend server; return None if the request is refused."""
-        route = run.route
+    async def _wait_for_capacity(self, state: RequestState) -> Choice | None:
+        """Wait for capacity at a backend server; return None if the request is rejected."""
+        route = state.route
         first_priorities = self._knowledge.config.first_priorities
         waiter = QueuedRequest(
-            run.service,
+            state.service,
             route.priority,
             self._estimates.work_ms(route.name, route.aim_ms),
-            run.request.arrived_ms,
+            state.request.arrived_ms,
             route.aim_ms,
-            run.deadline_ms,
-            is_top_priority=route.priority <= first_priorities.get(run.service, 0),
+            state.deadline_ms,
+            is_top_priority=route.priority <= first_priorities.get(state.service, 0),
             retryable=route.idempotent,
             regions=route.regions,
         )
@@ -282,67 +292,75 @@
         self._knowledge.load_table.get_or_create(incarnation).in_flight += change
         self._on_count(incarnation)
 
-    def _try_start_attempt(self, run: RequestState) -> bool:
+    def _try_start_attempt(self, state: RequestState) -> bool:
         """Start another attempt if one is allowed and a backend server is available for it."""
         now_ms = monotonic_ms()
-        if run.deadline_ms - now_ms < ATTEMPT_TIME_MIN_MS:
+        if state.deadline_ms - now_ms < ATTEMPT_TIME_MIN_MS:
             return False
-        route = run.route
+        route = state.route
         work_ms = self._estimates.work_ms(route.name, route.aim_ms)
         # A hedged attempt must not make another request wait.
-        room = CapacityRequirement.NO_SLOWDOWN if run.tasks else CapacityRequirement.FREE_SLOT
+        required_capacity = (
+            CapacityRequirement.NO_SLOWDOWN if state.tasks else CapacityRequirement.FREE_SLOT
+        )
         choice = self._balancer.choose(
-            run.service, work_ms, now_ms, run.tried_incarnations, room, route.idempotent, route.regions
+            state.service,
+            work_ms,
+            now_ms,
+            state.tried_incarnations,
+            required_capacity,
+            route.idempotent,
+            route.regions,
         )
-        if choice is None or (run.tasks and choice.available_share < SPARE_SHARE):
+        if choice is None or (state.tasks and choice.available_share < AVAILABLE_SHARE_MIN):
             return False
-        if choice.expected_ms > run.deadline_ms - now_ms:
+        if choice.expected_ms > state.deadline_ms - now_ms:
             return False  # It would occupy a slot for long and still answer after the deadline.
-        arrived = any(item.arrived for item in run.results) or run.tasks
-        if arrived and not self._allowance.try_take(run.service, now_ms, self._vms()):
-            self._report.record_retry(run.service, allowed=False)
+        arrived = any(item.arrived for item in state.results) or state.tasks
+        if arrived and not self._retry_budget.try_take(state.service, now_ms, self._vms()):
+            self._report.record_retry(state.service, allowed=False)
             return False
         if arrived:
-            self._report.record_retry(run.service, allowed=True)
+            self._report.record_retry(state.service, allowed=True)
         self._count_placed(choice)
-        self._start_attempt(run, choice)
+        self._start_attempt(state, choice)
         return True
 
-    def _start_attempt(self, run: RequestState, choice: Choice) -> None:
+    def _start_attempt(self, state: RequestState, choice: Choice) -> None:
         """Start an attempt at a backend server whose in-flight count already includes it."""
         attempt = Attempt(
-            run.request,
-            run.request_id,
+            state.request,
+            state.request_id,
             choice,
-            run.deadline_ms,
-            run.route.idempotent,
+            state.deadline_ms,
+            state.route.idempotent,
             self._headers,
-            self._load_probe_path(run),
-            lambda server: self._reason_not_to_send(run, server),
+            self._load_probe_path(state),
+            lambda server: self._reason_not_to_send(state, server),
         )
-        limit = self._connection_limit(run.service)
+        limit = self._connection_limit(state.service)
         work = attempt.run(self._pool, self._knowledge.load_table, limit)
         task = asyncio.get_running_loop().create_task(work)
         task.add_done_callback(lambda _: self._on_attempt_end(choice))
-        run.tasks[task] = attempt
-        run.attempts.append(attempt)
-        self._running.setdefault(choice.server.incarnation, set()).add(run)
+        state.tasks[task] = attempt
+        state.attempts.append(attempt)
+        self._running.setdefault(choice.server.incarnation, set()).add(state)
 
-    def _reason_not_to_send(self, run: RequestState, server: BackendServer) -> str:
+    def _reason_not_to_send(self, state: RequestState, server: BackendServer) -> str:
         """Return why a request must not be sent to the chosen backend server; "" if it may be."""
         if not self._balancer.may_receive(server):
             return "its data centre is evacuated"
-        if not self._quarantine_updates.try_begin_send(run.keys):
+        if not self._quarantine_updates.try_begin_send(state.keys):
             return "endpoints crashed while they ran requests with this content"
-        known = self._quarantine_updates.quarantine.crash_counts(run.keys)
-        run.crash_counts_at_send[server.incarnation] = known
+        known = self._quarantine_updates.quarantine.crash_counts(state.keys)
+        state.crash_counts_at_send[server.incarnation] = known
         return ""
 
-    def _load_probe_path(self, run: RequestState) -> str | None:
+    def _load_probe_path(self, state: RequestState) -> str | None:
         """Return the path for a load probe before a request that is not idempotent, or None."""
-        if run.route.idempotent or len(run.attempts) >= LOAD_PROBES_LIMIT:
+        if state.route.idempotent or len(state.attempts) >= LOAD_PROBES_LIMIT:
             return None
-        spec = self._knowledge.config.services.get(run.service)
+        spec = self._knowledge.config.services.get(state.service)
         return None if spec is None else spec.health_path
 
     def _on_attempt_end(self, choice: Choice) -> None:
@@ -360,60 +378,62 @@
             return 1
         return max(2, int(CONNECTION_SHARE * spec.connections / self._vms()))
 
-    def _may_retry(self, run: RequestState) -> bool:
+    def _may_retry(self, state: RequestState) -> bool:
         """Return whether the request may be retried after a failure."""
-        if len(run.attempts) >= ATTEMPTS_LIMIT or run.tasks:
+        if len(state.attempts) >= ATTEMPTS_LIMIT or state.tasks:
             return False
-        if run.possible_executions == 0:
+        if state.possible_executions == 0:
             return True
-        return run.route.idempotent and run.possible_executions < run.route.attempts
+        return state.route.idempotent and state.possible_executions < state.route.attempts
 
-    def _wait_ms(self, run: RequestState) -> float:
+    def _wait_ms(self, state: RequestState) -> float:
         """Return how long to wait before the request is checked again."""
         now_ms = monotonic_ms()
-        waits = [run.deadline_ms]
-        if self._can_hedge(run):
-            elapsed_ms = now_ms - run.request.arrived_ms
-            if elapsed_ms < HEDGE_SHARE * run.route.aim_ms:
-                waits.append(run.request.arrived_ms + HEDGE_SHARE * run.route.aim_ms)
+        waits = [state.deadline_ms]
+        if self._can_hedge(state):
+            elapsed_ms = now_ms - state.request.arrived_ms
+            if elapsed_ms < HEDGE_SHARE * state.route.aim_ms:
+                waits.append(state.request.arrived_ms + HEDGE_SHARE * state.route.aim_ms)
         return min(waits) - now_ms + 0.1
 
-    def _can_hedge(self, run: RequestState) -> bool:
+    def _can_hedge(self, state: RequestState) -> bool:
         return (
-            run.route.idempotent
-            and len(run.tasks) == 1
-            and len(run.attempts) < ATTEMPTS_LIMIT
-            and run.possible_executions < run.route.attempts
-            and not any(self._quarantine_updates.quarantine.crash_counts(run.keys))
+            state.route.idempotent
+            and len(state.tasks) == 1
+            and len(state.attempts) < ATTEMPTS_LIMIT
+            and state.possible_executions < state.route.attempts
+            and not any(self._quarantine_updates.quarantine.crash_counts(state.keys))
         )
 
-    def _should_hedge(self, run: RequestState) -> bool:
+    def _should_hedge(self, state: RequestState) -> bool:
         """Return whether the request should be hedged now: sent to a second backend server."""
-        if not self._can_hedge(run):
+        if not self._can_hedge(state):
             return False
         now_ms = monotonic_ms()
-        elapsed_ms = now_ms - run.request.arrived_ms
-        if elapsed_ms >= HEDGE_SHARE * run.route.aim_ms:
+        elapsed_ms = now_ms - state.request.arrived_ms
+        if elapsed_ms >= HEDGE_SHARE * state.route.aim_ms:
             return True
-        attempt = next(iter(run.tasks.values()))
+        attempt = next(iter(state.tasks.values()))
         load = self._knowledge.load_table.get_or_create(attempt.choice.server.incarnation)
         return load.slowdown(now_ms) >= SLOW_FACTOR
 
-    def _final_response(self, run: RequestState) -> CallerAnswer:
+    def _final_response(self, state: RequestState) -> CallerAnswer:
         """Return the response to a request that no backend server has answered successfully."""
-        answered = [item for item in run.results if item.answer is not None]
+        answered = [item for item in state.results if item.answer is not None]
         if answered:
             return answered[-1].answer
-        late = monotonic_ms() >= run.deadline_ms
-        known = bool(self._knowledge.registry.of_service(run.service))
-        limited = self._balancer.is_rate_limited(run.service, monotonic_ms(), 0.0)
-        kind = final_error_kind(run, late, self._balancer.is_evacuated(run.service), known, limited)
-        return error_answer(kind, run.quarantine_left_ms)
+        late = monotonic_ms() >= state.deadline_ms
+        known = bool(self._knowledge.registry.of_service(state.service))
+        limited = self._balancer.is_rate_limited(state.service, monotonic_ms(), 0.0)
+        kind = final_error_kind(
+            state, late, self._balancer.is_evacuated(state.service), known, limited
+        )
+        return error_answer(kind, state.quarantine_left_ms)
 
-    def _record_latency(self, run: RequestState, result: AttemptResult) -> None:
+    def _record_latency(self, state: RequestState, result: AttemptResult) -> None:
         choice = result.choice
         if choice.load < choice.server.slots:
-            route = run.route
+            route = state.route
             self._estimates.record_latency(route.name, route.aim_ms, result.latency_ms, choice)
 
     def _reject_unrouted(
--- a/cloverhook/gateway/quarantine.py
+++ b/cloverhook/gateway/quarantine.py
@@ -16,12 +16,12 @@
 
 >>> vm = Quarantine("vm-1")
 >>> keys = RequestKeys(11, 12)
->>> _ = vm.crashed(keys, vm.crashes(keys), 0.0)
->>> vm.standing(keys, 1.0), vm.begin(keys, 1.0)
-(<Standing.OURS: 1>, True)
->>> _ = vm.crashed(keys, vm.crashes(keys), 50.0)
->>> vm.standing(keys, 51.0), vm.standing(keys, 30_000.0)
-(<Standing.BARRED: 4>, <Standing.FREE: 2>)
+>>> _ = vm.record_crash(keys, vm.crash_counts(keys), 0.0)
+>>> vm.send_permission(keys, 1.0), vm.try_begin_send(keys, 1.0)
+(<SendPermission.OWN_LEASE: 1>, True)
+>>> _ = vm.record_crash(keys, vm.crash_counts(keys), 50.0)
+>>> vm.send_permission(keys, 51.0), vm.send_permission(keys, 30_000.0)
+(<SendPermission.QUARANTINED: 4>, <SendPermission.LEASE_FREE: 2>)
 """
 
 from collections.abc import Iterable
@@ -45,18 +45,19 @@
 """The length of the quarantine after the second, third, ... crash; the last value is used for all
 further crashes."""
 EXPIRY_MS = 600_000.0
-"""A suspicion is dropped if its request has crashed no endpoint for this long and is not in
+"""A crash record is dropped if its request has crashed no endpoint for this long and is not in
 quarantine; a later crash then counts as a first one."""
 SUSPECTS_LIMIT = 1_024
 CRASH_RECORDS_PER_DATAGRAM = 40
-"""The number of suspicions that fit into one datagram."""
+"""The number of crash records that fit into one datagram."""
 
 
 class SendPermission(IntEnum):
     """Whether this VM may send a request now; of the values for several keys, the greatest applies.
 
-    `CLEAR`: no crash is known.  `OURS`: this VM holds the lease and has not used it.  `FREE`: the
-    lease can be claimed.  `HELD`: another copy is being tried.  `BARRED`: in quarantine.
+    `CLEAR`: no crash is recorded.  `OWN_LEASE`: this VM holds the lease and has not used it.
+    `LEASE_FREE`: the lease can be claimed.  `LEASE_TAKEN`: another copy is being tried.
+    `QUARANTINED`: no VM may send the request.
     """
 
     CLEAR = 0
@@ -81,7 +82,7 @@
 class UpdateResponse(NamedTuple):
     """The messages that an update of another VM calls for.
 
-    `answer` goes back to that VM, and `pass_on` to all VMs.
+    `reply` goes back to that VM, and `relay` to all VMs.
     """
 
     reply: CrashRecord | None = None
@@ -144,7 +145,9 @@
             item.lease_used = True
         return True
 
-    def record_crash(self, keys: RequestKeys, known: tuple[int, ...], now_ms: float) -> list[CrashRecord]:
+    def record_crash(
+        self, keys: RequestKeys, known: tuple[int, ...], now_ms: float
+    ) -> list[CrashRecord]:
         """Record that an endpoint has crashed while it ran a request of this VM.
 
         `known` holds the crash counts that were known when the request was sent.  Returns the
@@ -182,16 +185,16 @@
         if self._served.has(key, now_ms):
             return UpdateResponse(reply=CrashRecord(key, 0))
         if known is not None and update.crashes < known.crashes:
-            return UpdateResponse(reply=self._suspicion(key, known, now_ms))
+            return UpdateResponse(reply=self._crash_record(key, known, now_ms))
         self._adopt(vm, update, now_ms)
         return UpdateResponse()
 
     def suspicions(self, now_ms: float) -> list[CrashRecord]:
-        """Return the suspicions to send to a VM that has just joined, most crashes first."""
+        """Return the crash records to send to a new VM, those with the most crashes first."""
         return self._by_crashes(now_ms)[:CRASH_RECORDS_PER_DATAGRAM]
 
     def remove_expired(self, now_ms: float) -> list[int]:
-        """Remove the suspicions that have expired, and return their keys."""
+        """Remove the crash records that have expired, and return their keys."""
         old = [
             key
             for key, item in self._suspects.items()
@@ -217,7 +220,7 @@
 
     def _by_crashes(self, now_ms: float) -> list[CrashRecord]:
         found = sorted(self._suspects.items(), key=lambda pair: -pair[1].crashes)
-        return [self._suspicion(key, item, now_ms) for key, item in found]
+        return [self._crash_record(key, item, now_ms) for key, item in found]
 
     def _standing(self, key: int, now_ms: float) -> SendPermission:
         item = self._suspects.get(key)
@@ -234,7 +237,7 @@
         item = self._put(key, _Suspect(crashes, now_ms + _hold_ms(crashes), now_ms))
         if crashes == 1:
             return self._claim(key, now_ms)
-        return self._suspicion(key, item, now_ms)
+        return self._crash_record(key, item, now_ms)
 
     def _claim(self, key: int, now_ms: float) -> CrashRecord:
         item = self._suspects[key]
@@ -263,7 +266,7 @@
         self._suspects[key] = item
         return item
 
-    def _suspicion(self, key: int, item: _Suspect, now_ms: float) -> CrashRecord:
+    def _crash_record(self, key: int, item: _Suspect, now_ms: float) -> CrashRecord:
         return CrashRecord(key, item.crashes, max(0.0, item.until_ms - now_ms))
 
 
--- a/cloverhook/gateway/quarantine_keeper.py
+++ b/cloverhook/gateway/quarantine_keeper.py
@@ -1,7 +1,7 @@
 """Persists the requests in quarantine in the store, for VMs that start when no peer has the data.
 
-Layer: coordination.  VMs exchange their suspicions against requests, and a VM that joins gets them
-from its neighbours.  If all VMs lose power at once, only the store still has the data.  The VM that
+Layer: coordination.  VMs exchange their crash records of requests, and a new VM gets them from its
+neighbours.  If all VMs lose power at once, only the store still has the data.  The VM that
 puts a request into quarantine, or clears one, writes all requests in quarantine to the store; each
 VM that starts reads them once.
 """
@@ -75,8 +75,8 @@
         now_ms, unix_ms = monotonic_ms(), wall_ms()
         valid = [item for item in records[:RECORDS_LIMIT] if item.until_unix_ms > unix_ms]
         for item in valid:
-            suspicion = CrashRecord(item.key, item.crashes, item.until_unix_ms - unix_ms)
-            self._quarantine.apply_update("", suspicion, now_ms)
+            record = CrashRecord(item.key, item.crashes, item.until_unix_ms - unix_ms)
+            self._quarantine.apply_update("", record, now_ms)
         if valid:
             self._log.note(EventKind.QUARANTINE, source="store", keys=len(valid))
 
--- a/cloverhook/gateway/request_report.py
+++ b/cloverhook/gateway/request_report.py
@@ -1,7 +1,7 @@
 """Counts and logs the requests that have ended.
 
 Layer: transport.  The log lines of a request are written together when it ends.  Every request that
-failed, was refused or was attempted more than once is logged, and a sample of the others.
+failed, was rejected or was attempted more than once is logged, and a sample of the others.
 """
 
 import traceback
@@ -46,7 +46,7 @@
         reason: str,
         answer: CallerAnswer,
     ) -> None:
-        """Count and log a request that is refused because no route is known for it."""
+        """Count and log a request that is rejected because no route is known for it."""
         self._counters.add("answers", service="", cause=kind.value)
         self._log.note(
             EventKind.ANSWER,
@@ -59,53 +59,53 @@
             config=self._knowledge.config_version,
         )
 
-    def record_end(self, run: RequestState, answer: CallerAnswer) -> None:
+    def record_end(self, state: RequestState, answer: CallerAnswer) -> None:
         """Count a request that has ended; log it if it had trouble or is in the sample.
 
         A request had trouble if the gateway answered it itself, the response has a failure status
         or there was more than one attempt.
         """
         now_ms = monotonic_ms()
-        latency_ms = now_ms - run.request.arrived_ms
-        answered_by_server = any(item.answer is answer for item in run.results)
+        latency_ms = now_ms - state.request.arrived_ms
+        answered_by_server = any(item.answer is answer for item in state.results)
         cause = "answered" if answered_by_server else answer.body.decode()
-        self._counters.add("answers", service=run.service, cause=cause)
-        self._counters.observe("latency", latency_ms, route=run.route.name)
-        request_id = _text(run.request_id)
+        self._counters.add("answers", service=state.service, cause=cause)
+        self._counters.observe("latency", latency_ms, route=state.route.name)
+        request_id = _text(state.request_id)
         had_trouble = (
-            not answered_by_server or answer.status >= FAILURE_STATUS_MIN or len(run.attempts) > 1
+            not answered_by_server or answer.status >= FAILURE_STATUS_MIN or len(state.attempts) > 1
         )
         if not had_trouble and not self._log.is_sampled(request_id):
             return
         config = self._knowledge.config
-        for result in run.results:
+        for result in state.results:
             if result.crashed:
-                self._counters.add("crashes", service=run.service)
-        for attempt in run.attempts:
-            self._log_attempt(run, attempt, request_id)
+                self._counters.add("crashes", service=state.service)
+        for attempt in state.attempts:
+            self._log_attempt(state, attempt, request_id)
         self._log.note(
             EventKind.ANSWER if had_trouble else EventKind.SAMPLE,
             id=request_id,
-            **_content_fields(run),
-            route=run.route.name,
-            service=run.service,
+            **_content_fields(state),
+            route=state.route.name,
+            service=state.service,
             status=answer.status,
             cause=cause,
             latency_ms=round(latency_ms, 1),
-            time_limit_ms=round(run.deadline_ms - run.request.arrived_ms),
-            attempts=len(run.attempts),
+            time_limit_ms=round(state.deadline_ms - state.request.arrived_ms),
+            attempts=len(state.attempts),
             config=config.version if config is not None else -1,
             config_age_ms=round(now_ms - self._knowledge.config_at_ms),
             registry=self._knowledge.registry.version,
         )
 
-    def _log_attempt(self, run: RequestState, attempt: Attempt, request_id: str) -> None:
+    def _log_attempt(self, state: RequestState, attempt: Attempt, request_id: str) -> None:
         choice: Choice = attempt.choice
-        result = next((item for item in run.results if item.choice is choice), None)
+        result = next((item for item in state.results if item.choice is choice), None)
         self._log.note(
             EventKind.ATTEMPT,
             id=request_id,
-            **_content_fields(run),
+            **_content_fields(state),
             server=choice.server.incarnation,
             address=choice.server.address,
             expected_ms=round(choice.expected_ms),
@@ -123,12 +123,12 @@
         )
 
 
-def _content_fields(run: RequestState) -> dict[str, str]:
+def _content_fields(state: RequestState) -> dict[str, str]:
     """Return the log fields that identify a request's content and its caller."""
     return {
-        "content": f"{run.keys.content:016x}",
-        "content_of_caller": f"{run.keys.of_caller:016x}",
-        "caller": run.request.caller,
+        "content": f"{state.keys.content:016x}",
+        "content_of_caller": f"{state.keys.of_caller:016x}",
+        "caller": state.request.caller,
     }
 
 
--- a/cloverhook/gateway/retry_allowance.py
+++ b/cloverhook/gateway/retry_allowance.py
@@ -5,8 +5,8 @@
 and takes an equal part of the extra.  The VMs therefore need not exchange messages, and the total
 stays within its bound when a VM joins or leaves.
 
->>> allowance = RetryAllowance(ratio=0.5, extra=4, window_ms=1_000)
->>> [allowance.take("s", 0.0, vms=2) for _ in range(2)]
+>>> budget = RetryBudget(ratio=0.5, extra=4, window_ms=1_000)
+>>> [budget.try_take("s", 0.0, vms=2) for _ in range(2)]
 [True, False]
 """
 
