--- a/cloverhook/gateway/admission.py
+++ b/cloverhook/gateway/admission.py
@@ -24,40 +24,40 @@
 
     def __init__(
         self,
-        line: RequestQueue,
+        queue: RequestQueue,
         place: Callable[[Choice], None],
         release: Callable[[Choice], None],
     ) -> None:
         """`place` counts a request at the endpoint chosen for it, and `release` undoes that."""
-        self._line = line
+        self._queue = queue
         self._place = place
         self._release = release
-        self._waits: dict[QueuedRequest, asyncio.Future[Choice | None]] = {}
+        self._futures: dict[QueuedRequest, asyncio.Future[Choice | None]] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._last_check_ms = 0.0
 
     def __len__(self) -> int:
-        return len(self._line)
+        return len(self._queue)
 
-    async def wait(self, waiter: QueuedRequest) -> Choice | None:
+    async def wait(self, queued: QueuedRequest) -> Choice | None:
         """Wait for capacity; return the choice made for the request, or None if it is rejected."""
         future: asyncio.Future[Choice | None] = asyncio.get_running_loop().create_future()
-        self._waits[waiter] = future
-        self._line.add(waiter)
-        self.admit_ready(waiter.service)
+        self._futures[queued] = future
+        self._queue.add(queued)
+        self.admit_ready(queued.service)
         try:
             return await future
         except asyncio.CancelledError:
-            self._line.remove(waiter)
-            self._waits.pop(waiter, None)
+            self._queue.remove(queued)
+            self._futures.pop(queued, None)
             if future.done() and not future.cancelled() and future.result() is not None:
                 self._release(future.result())
             raise
 
     def admit_ready(self, service: str) -> None:
         """Start or reject the queued requests of a service that are due for a decision."""
-        while (decision := self._line.next(service, monotonic_ms())) is not None:
-            future = self._waits.pop(decision.waiter)
+        while (decision := self._queue.next(service, monotonic_ms())) is not None:
+            future = self._futures.pop(decision.waiter)
             if decision.choice is not None:
                 self._place(decision.choice)
             future.set_result(decision.choice)
@@ -65,7 +65,7 @@
     def admit_all_ready(self) -> None:
         """Start or reject the queued requests of all services that are due for a decision."""
         started_ms = monotonic_ms()
-        for service in self._line.services():
+        for service in self._queue.services():
             self.admit_ready(service)
         self._last_check_ms = monotonic_ms() - started_ms
 
@@ -75,7 +75,7 @@
         Updates may come in large numbers, and in overload each check takes long.  If the VM did
         nothing but check, no request would be answered in time.
         """
-        if self._timer is None and len(self._line):
+        if self._timer is None and len(self._queue):
             delay_ms = max(CHECK_DELAY_MS, CHECK_PAUSE_FACTOR * self._last_check_ms)
             self._timer = asyncio.get_running_loop().call_later(delay_ms / 1000, self._on_timer)
 
--- a/cloverhook/gateway/attempt.py
+++ b/cloverhook/gateway/attempt.py
@@ -129,10 +129,10 @@
         self._idempotent = idempotent
         self._headers = headers
 
-    async def run(self, pool: BackendPool, board: LoadTable, limit: int) -> AttemptResult:
+    async def run(self, pool: BackendPool, load_table: LoadTable, limit: int) -> AttemptResult:
         """Make the attempt; cancelling it also ends the work at the backend server."""
         server = self.choice.server
-        load = board.get_or_create(server.incarnation)
+        load = load_table.get_or_create(server.incarnation)
         started_ms = monotonic_ms()
         self.progress_at_start_ms = load.expected_progress_ms(started_ms)
         connection: UpstreamConnection | None = None
@@ -172,7 +172,7 @@
                 connection.close()
         if self._declined is not None:
             pool.release(server, connection, self._declined)
-        self._update_load(result, board)
+        self._update_load(result, load_table)
         return replace(
             result, nominal_ms=load.expected_progress_ms(monotonic_ms()) - self.progress_at_start_ms
         )
@@ -303,10 +303,10 @@
             outcome = Outcome.WITHHELD
         return AttemptResult(outcome, self.choice, latency_ms, detail=str(error))
 
-    def _update_load(self, result: AttemptResult, board: LoadTable) -> None:
+    def _update_load(self, result: AttemptResult, load_table: LoadTable) -> None:
         """Update the load data of the backend server from the result of the attempt."""
         now_ms = monotonic_ms()
-        load = board.get_or_create(self.choice.server.incarnation)
+        load = load_table.get_or_create(self.choice.server.incarnation)
         load.record_end(now_ms)
         if result.outcome is Outcome.NOT_SENT:
             load.record_unreachable(now_ms)
--- a/cloverhook/gateway/call_headers.py
+++ b/cloverhook/gateway/call_headers.py
@@ -13,10 +13,10 @@
 __all__ = [
     "CallHeaders",
     "HeaderList",
-    "parse_cold_ms",
+    "end_to_end_headers",
     "find",
+    "parse_cold_ms",
     "parse_load",
-    "end_to_end_headers",
     "parse_rate_limit",
 ]
 
--- a/cloverhook/gateway/forwarding.py
+++ b/cloverhook/gateway/forwarding.py
@@ -52,7 +52,7 @@
 """An endpoint has failed a request if it has not answered in a time in which it could have done the
 work this many times; an endpoint that merely takes a few times as long as it reports has not."""
 ATTEMPT_TIME_MIN_MS = 10.0
-"""No further attempt is started with less time than this left before the deadline."""
+"""With less time than this left before the deadline, a further attempt isn't worth starting."""
 CONNECTION_SHARE = 0.8
 """The share of an endpoint's connections that all gateways together may use."""
 
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        knowledge: GatewayState,
+        gateway_state: GatewayState,
         balancer: Balancer,
         estimates: WorkEstimates,
         pool: BackendPool,
@@ -76,7 +76,7 @@
         rate_limit_updates: RateLimitUpdates,
         report: RequestReport,
     ) -> None:
-        self._knowledge = knowledge
+        self._gateway_state = gateway_state
         self._balancer = balancer
         self._pool = pool
         self._retry_budget = retry_budget
@@ -103,7 +103,7 @@
         if not states:
             return
         now_ms = monotonic_ms()
-        if self._knowledge.load_table.get_or_create(incarnation).slowdown(now_ms) < SLOW_FACTOR:
+        if self._gateway_state.load_table.get_or_create(incarnation).slowdown(now_ms) < SLOW_FACTOR:
             return
         for state in states:
             is_recent = now_ms - state.attempts[-1].began_ms < LOAD_REPORT_LAG_MS
@@ -121,7 +121,7 @@
             return error_answer(ErrorKind.INTERNAL)
 
     async def _route_and_forward(self, request: CallerRequest) -> CallerAnswer:
-        config = self._knowledge.config
+        config = self._gateway_state.config
         request_id = find(request.headers, self._headers.request_id) or b""
         if config is None:
             kind, reason = ErrorKind.NO_BACKEND_SERVER, "no configuration received yet"
@@ -201,7 +201,7 @@
         if result.server_failed:
             self._on_failure(incarnation, attempt.began_ms)
         elif not result.failed:
-            self._knowledge.load_table.get_or_create(incarnation).circuit_breaker.record_answer(
+            self._gateway_state.load_table.get_or_create(incarnation).circuit_breaker.record_answer(
                 monotonic_ms()
             )
 
@@ -219,7 +219,7 @@
 
     def _was_draining_or_gone(self, incarnation: str) -> bool:
         """Return whether an endpoint is draining or gone, or its entry is in its grace period."""
-        registry = self._knowledge.registry
+        registry = self._gateway_state.registry
         server = registry.get(incarnation)
         return server is None or server.draining or registry.in_grace_period(server)
 
@@ -230,7 +230,7 @@
         queued the request, so no failure is counted.
         """
         server, now_ms = attempt.choice.server, monotonic_ms()
-        load = self._knowledge.load_table.get_or_create(server.incarnation)
+        load = self._gateway_state.load_table.get_or_create(server.incarnation)
         load_report = load.latest_report
         if not attempt.sent or load.circuit_breaker.answered_since(attempt.began_ms):
             return
@@ -268,8 +268,8 @@
     async def _wait_for_capacity(self, state: RequestState) -> Choice | None:
         """Wait for capacity at a backend server; return None if the request is rejected."""
         route = state.route
-        first_priorities = self._knowledge.config.first_priorities
-        waiter = QueuedRequest(
+        first_priorities = self._gateway_state.config.first_priorities
+        queued_request = QueuedRequest(
             state.service,
             route.priority,
             self._estimates.work_ms(route.name, route.aim_ms),
@@ -280,7 +280,7 @@
             retryable=route.idempotent,
             regions=route.regions,
         )
-        return await self.admission.wait(waiter)
+        return await self.admission.wait(queued_request)
 
     def _count_placed(self, choice: Choice) -> None:
         """Count a request at the chosen backend server, before the next choice is made."""
@@ -289,7 +289,7 @@
 
     def _change_in_flight(self, choice: Choice, change: int) -> None:
         incarnation = choice.server.incarnation
-        self._knowledge.load_table.get_or_create(incarnation).in_flight += change
+        self._gateway_state.load_table.get_or_create(incarnation).in_flight += change
         self._on_count(incarnation)
 
     def _try_start_attempt(self, state: RequestState) -> bool:
@@ -339,7 +339,7 @@
             lambda server: self._reason_not_to_send(state, server),
         )
         limit = self._connection_limit(state.service)
-        work = attempt.run(self._pool, self._knowledge.load_table, limit)
+        work = attempt.run(self._pool, self._gateway_state.load_table, limit)
         task = asyncio.get_running_loop().create_task(work)
         task.add_done_callback(lambda _: self._on_attempt_end(choice))
         state.tasks[task] = attempt
@@ -360,7 +360,7 @@
         """Return the path for a load probe before a request that is not idempotent, or None."""
         if state.route.idempotent or len(state.attempts) >= LOAD_PROBES_LIMIT:
             return None
-        spec = self._knowledge.config.services.get(state.service)
+        spec = self._gateway_state.config.services.get(state.service)
         return None if spec is None else spec.health_path
 
     def _on_attempt_end(self, choice: Choice) -> None:
@@ -372,7 +372,7 @@
         self.admission.admit_ready(choice.server.service)
 
     def _connection_limit(self, service: str) -> int:
-        config = self._knowledge.config
+        config = self._gateway_state.config
         spec = config.services.get(service)
         if spec is None:
             return 1
@@ -414,7 +414,7 @@
         if elapsed_ms >= HEDGE_SHARE * state.route.aim_ms:
             return True
         attempt = next(iter(state.tasks.values()))
-        load = self._knowledge.load_table.get_or_create(attempt.choice.server.incarnation)
+        load = self._gateway_state.load_table.get_or_create(attempt.choice.server.incarnation)
         return load.slowdown(now_ms) >= SLOW_FACTOR
 
     def _final_response(self, state: RequestState) -> CallerAnswer:
@@ -423,7 +423,7 @@
         if answered:
             return answered[-1].answer
         late = monotonic_ms() >= state.deadline_ms
-        known = bool(self._knowledge.registry.of_service(state.service))
+        known = bool(self._gateway_state.registry.of_service(state.service))
         limited = self._balancer.is_rate_limited(state.service, monotonic_ms(), 0.0)
         kind = final_error_kind(
             state, late, self._balancer.is_evacuated(state.service), known, limited
--- a/cloverhook/gateway/quarantine.py
+++ b/cloverhook/gateway/quarantine.py
@@ -34,7 +34,7 @@
 from cloverhook.gateway.request_key import RequestKeys
 from cloverhook.gateway.served_requests import ServedRequests
 
-__all__ = ["CRASH_RECORDS_PER_DATAGRAM", "Quarantine", "UpdateResponse", "SendPermission"]
+__all__ = ["CRASH_RECORDS_PER_DATAGRAM", "Quarantine", "SendPermission", "UpdateResponse"]
 
 LEASE_MS = 1_000.0
 """How long a VM that has claimed the lease has for sending its copy and learning the outcome."""
@@ -116,7 +116,7 @@
         """Return whether this VM may send a request now."""
         if not self._suspects:
             return SendPermission.CLEAR
-        return max(self._standing(key, now_ms) for key in keys)
+        return max(self._permission_for(key, now_ms) for key in keys)
 
     def remaining_ms(self, keys: RequestKeys, now_ms: float) -> float:
         """Return the time until the lease on a request, or its quarantine, expires."""
@@ -132,7 +132,9 @@
 
     def claim(self, keys: RequestKeys, now_ms: float) -> list[CrashRecord]:
         """Claim the lease for each key where it is free; return the updates for the other VMs."""
-        claimed = [key for key in keys if self._standing(key, now_ms) is SendPermission.LEASE_FREE]
+        claimed = [
+            key for key in keys if self._permission_for(key, now_ms) is SendPermission.LEASE_FREE
+        ]
         return [self._claim(key, now_ms) for key in claimed]
 
     def try_begin_send(self, keys: RequestKeys, now_ms: float) -> bool:
@@ -222,7 +224,7 @@
         found = sorted(self._suspects.items(), key=lambda pair: -pair[1].crashes)
         return [self._crash_record(key, item, now_ms) for key, item in found]
 
-    def _standing(self, key: int, now_ms: float) -> SendPermission:
+    def _permission_for(self, key: int, now_ms: float) -> SendPermission:
         item = self._suspects.get(key)
         if item is None:
             return SendPermission.CLEAR
--- a/cloverhook/gateway/request_report.py
+++ b/cloverhook/gateway/request_report.py
@@ -24,8 +24,8 @@
 class RequestReport:
     """Records requests in the counters and in the event log."""
 
-    def __init__(self, knowledge: GatewayState, log: EventLog, counters: Counters) -> None:
-        self._knowledge = knowledge
+    def __init__(self, gateway_state: GatewayState, log: EventLog, counters: Counters) -> None:
+        self._gateway_state = gateway_state
         self._log = log
         self._counters = counters
 
@@ -56,7 +56,7 @@
             status=answer.status,
             cause=kind.value,
             reason=reason,
-            config=self._knowledge.config_version,
+            config=self._gateway_state.config_version,
         )
 
     def record_end(self, state: RequestState, answer: CallerAnswer) -> None:
@@ -77,7 +77,7 @@
         )
         if not had_trouble and not self._log.is_sampled(request_id):
             return
-        config = self._knowledge.config
+        config = self._gateway_state.config
         for result in state.results:
             if result.crashed:
                 self._counters.add("crashes", service=state.service)
@@ -95,8 +95,8 @@
             time_limit_ms=round(state.deadline_ms - state.request.arrived_ms),
             attempts=len(state.attempts),
             config=config.version if config is not None else -1,
-            config_age_ms=round(now_ms - self._knowledge.config_at_ms),
-            registry=self._knowledge.registry.version,
+            config_age_ms=round(now_ms - self._gateway_state.config_at_ms),
+            registry=self._gateway_state.registry.version,
         )
 
     def _log_attempt(self, state: RequestState, attempt: Attempt, request_id: str) -> None:
