--- a/cloverhook/gateway/daemon.py
+++ b/cloverhook/gateway/daemon.py
@@ -118,7 +118,7 @@
             store, self._knowledge, self._on_change, self._log, self._counters
         )
         self._pool = BackendPool()
-        self._prober = Prober(headers, self._on_figure)
+        self._prober = Prober(headers, self._on_load_report)
         estimates = WorkEstimates()
         self._cold_limit = ColdLimit(
             settings.vm,
@@ -449,7 +449,7 @@
             if server.service in config.services
         )
 
-    def _on_figure(self, server: BackendServer, figure: LoadReport, at_ms: float) -> None:
+    def _on_load_report(self, server: BackendServer, figure: LoadReport, at_ms: float) -> None:
         load = self._knowledge.load_table.get_or_create(server.incarnation)
         before = load.latest_report
         load.update_from_probe(figure, at_ms)
--- a/cloverhook/gateway/forwarding.py
+++ b/cloverhook/gateway/forwarding.py
@@ -26,7 +26,7 @@
 from cloverhook.gateway.request_report import RequestReport
 from cloverhook.gateway.request_run import RequestState
 from cloverhook.gateway.retry_allowance import RetryBudget
-from cloverhook.gateway.splits import TrafficSplitter
+from cloverhook.gateway.splits import WeightedRoundRobin
 from cloverhook.gateway.waiting_line import QueuedRequest, RequestQueue
 
 __all__ = ["Forwarder"]
@@ -89,7 +89,7 @@
         self.admission = Admission(
             RequestQueue(balancer), self._place, lambda choice: self._count(choice, -1)
         )
-        self._splits = TrafficSplitter()
+        self._splits = WeightedRoundRobin()
         self._running: dict[str, set[RequestState]] = {}
 
     def slowdown_changed(self, incarnation: str) -> None:
