--- a/cloverhook/gateway/forwarding.py
+++ b/cloverhook/gateway/forwarding.py
@@ -27,7 +27,7 @@
 from cloverhook.gateway.request_report import RequestReport
 from cloverhook.gateway.request_run import RequestState
 from cloverhook.gateway.retry_allowance import RetryBudget
-from cloverhook.gateway.splits import ServiceSplitter
+from cloverhook.gateway.splits import WeightedRoundRobin
 from cloverhook.gateway.waiting_line import QueuedRequest, RequestQueue
 
 __all__ = ["Forwarder"]
@@ -94,7 +94,7 @@
             self._count_placed,
             lambda choice: self._change_in_flight(choice, -1),
         )
-        self._splits = ServiceSplitter()
+        self._splits = WeightedRoundRobin()
         self._running: dict[str, set[RequestState]] = {}
 
     def slowdown_changed(self, incarnation: str) -> None:
--- a/cloverhook/gateway/splits.py
+++ b/cloverhook/gateway/splits.py
@@ -8,10 +8,10 @@
 
 from cloverhook.gateway.routes import Route, WeightedService
 
-__all__ = ["ServiceSplitter"]
+__all__ = ["WeightedRoundRobin"]
 
 
-class ServiceSplitter:
+class WeightedRoundRobin:
     """The credit of each part of each route."""
 
     def __init__(self, source: random.Random | None = None) -> None:
--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -24,7 +24,7 @@
 from cloverhook.gateway.registry import Registry
 from cloverhook.gateway.retry_allowance import RetryBudget
 from cloverhook.gateway.routes import WeightedService
-from cloverhook.gateway.splits import ServiceSplitter
+from cloverhook.gateway.splits import WeightedRoundRobin
 from cloverhook.gateway.waiting_line import QueuedRequest, RequestQueue
 from features import gateway_fleet as fleet
 
@@ -87,7 +87,7 @@
 @then("of 200 requests within 2 go to the part of weight 10 as its share says")
 def step_shares(context):
     for seed in range(20):
-        splits = ServiceSplitter(random.Random(seed))
+        splits = WeightedRoundRobin(random.Random(seed))
         given_to = [splits.next_service(context.route) for _ in range(200)]
         assert abs(given_to.count("b") - 20) <= 2
 
