--- a/cloverhook/gateway/balancer.py
+++ b/cloverhook/gateway/balancer.py
@@ -1,12 +1,13 @@
 """Chooses the backend server for a request.
 
-Layer: coordination.  Each candidate gets an expected time: the work at its present pace and the
-wait for a free slot.  For the choice, surcharges are added for another data centre, for slots in
-use and for recent failures.  The least one wins; a little chance keeps VMs that see the same
-figures from all choosing the same.
-
-Not all endpoints of a large service are weighed: some with room are drawn from the own data centre,
-and some from the others unless one is found that a crossing could hardly better.
+Layer: coordination.  Each candidate gets an expected duration: the work at its present speed plus
+the wait for a free slot. To compare candidates, surcharges are added for another data centre, for
+slots in use and for recent failures. The candidate with the lowest cost wins. A small random factor
+keeps VMs that have the same load reports from all choosing the same endpoint.
+
+Not all endpoints of a large service are compared. Some that have room are sampled from the local
+data centre, and some from the other ones unless a local one is found that another data centre could
+hardly improve on.
 """
 
 import random
@@ -24,38 +25,44 @@
 __all__ = ["Balancer"]
 
 CROSSING_MS = 3.0
-"""The way to another data centre and back, about what the deployments state."""
+"""The round trip to another data centre, about as long as the deployments state it."""
 CROSSING_SHARE = 0.25
-"""A crossing pays when it saves this share of the work: bytes between data centres are priced."""
+"""Another data centre is worth using if that saves this share of the work, because traffic between
+data centres is charged for."""
 COLD_PACE = 2.0
 """A backend server works about half as fast for some seconds after its start."""
 CROWD_SHARE = 0.15
-"""Each slot in use makes an endpoint a little less welcome: some slow down when nearly full."""
+"""Each slot in use makes an endpoint a little less preferred, because some endpoints slow down when
+they are nearly full."""
 CHANCE = 0.1
 NEAR_DRAWN = 24
-"""So many of the own data centre are weighed: where two in five are slow at any time, one of these
-is at its usual pace with near certainty, and the VMs don't all choose the same."""
+"""How many endpoints of the local data centre are compared. Where two in five are slow at any time,
+at least one of these runs at its usual speed with near certainty, and the VMs don't all choose the
+same one."""
 FAR_DRAWN = 16
-"""So many of the others are weighed: they are asked for where the own ones have little room."""
+"""How many endpoints of the other data centres are compared. They are considered when the local
+ones have little room."""
 CONNECT_SHARE = 0.07
-"""A new connection costs its endpoint some time, and a price; less than a busier one is worth."""
+"""A new connection takes some time of its endpoint and is charged for, but that is less than the
+advantage of an endpoint that is less busy."""
 FAILURE_WEIGHT = 8.0
 REFUSAL_WEIGHT = 1.0
-"""A request that is turned away costs little time, but a repeat, and few of those are allowed."""
+"""A refused request costs little time, but it costs a retry, and few retries are allowed."""
 DOUBT_WEIGHT = 6.0
-"""So much worse others must be before a request that can't be repeated goes where one failed."""
+"""How many times as bad the other endpoints must be before a request that can't be retried goes to
+one that has failed recently."""
 PANIC_SHARE = 0.7
-"""With more of a service's endpoints suspended than this, all are used as if none were: it is more
-likely that the way there fails than that so few are left."""
+"""If more than this share of a service's endpoints is suspended, all are used as if none were: a
+network failure on the way there is more likely than so few working endpoints."""
 PANIC_MS = 200.0
-"""That share is worked out anew after this time."""
+"""The share of suspended endpoints is recalculated after this time."""
 HELD_WEIGHT = 4.0
-"""An entry that has vanished from the store may still serve, but others go first."""
+"""An endpoint whose entry has vanished from the store may still serve, but others are preferred."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Usable:
-    """The endpoints of a service that requests may go to, and what they were worked out from."""
+    """The endpoints of a service that may get requests, and the inputs they were computed from."""
 
     servers: tuple[BackendServer, ...]
     evacuated: frozenset[str]
@@ -64,7 +71,7 @@
 
 
 class _Look:
-    """One choice under way: what is wanted, and the best endpoint so far."""
+    """The state of one selection: what is required, and the best endpoint so far."""
 
     __slots__ = (
         "_limits",
@@ -126,11 +133,11 @@
         region_of: Callable[[str], str | None] = lambda data_center: None,
         rate_limits: RateLimits | None = None,
     ) -> None:
-        """`has_connection` says whether a request to an incarnation needs no new connection.
+        """`has_connection` tells whether a request to an incarnation needs no new connection.
 
-        Nothing is sent to the `evacuated` data centres, `cold_limit` bounds what cold endpoints
-        get, and `rate_limits` what those get that name a limit.  `region_of` tells the region of a
-        data centre, where it is known.
+        Nothing is sent to the `evacuated` data centres. `cold_limit` bounds the requests to cold
+        endpoints, and `rate_limits` those to endpoints that advertise a rate limit. `region_of`
+        returns the region of a data centre, or None if it is unknown.
         """
         self._evacuated = evacuated
         self._cold_limit = cold_limit
@@ -158,9 +165,10 @@
     ) -> Choice | None:
         """Return the best backend server found that has not been tried and has room, or None.
 
-        One that can't be reached has no room: it would use up a request's attempts while others
-        are full, and a slot there comes free in time for most.
-        A request that is not `repeatable` goes nowhere on trial, one with `regions` only there.
+        An endpoint that can't be reached counts as having no room: it would use up a request's
+        attempts while the others are full, and for most requests a slot becomes free in time. A
+        request that is not `repeatable` never goes to an endpoint whose circuit breaker is
+        half-open, and one with `regions` goes only to data centres in these.
         """
         look = _Look(service, work_ms, now_ms, tried, room, repeatable, self._estimates)
         near, far = self._candidates_of(service, room, regions)
@@ -185,7 +193,7 @@
     def _candidates_of(
         self, service: str, room: Room, regions: tuple[str, ...]
     ) -> tuple[Candidates, Candidates]:
-        """Return those of the own data centre and the others; each room has its own."""
+        """Return the candidates of the local and of the other data centres, kept for each room."""
         servers, left = self._registry.of_service(service), self._evacuated()
         known = self._candidates.get((service, room, regions))
         if known is not None and known.servers is servers and known.evacuated == left:
@@ -202,11 +210,11 @@
         return known.near, known.far
 
     def may_get(self, server: BackendServer) -> bool:
-        """Return whether a request that was placed at a backend server may still be sent there."""
+        """Return whether a request placed at a backend server may still be sent there."""
         return server.data_center not in self._evacuated()
 
     def is_evacuated(self, service: str) -> bool:
-        """Return whether a service has endpoints, but in evacuated data centres only."""
+        """Return whether a service has endpoints, but only in evacuated data centres."""
         left = self._evacuated()
         if not left:
             return False
@@ -215,7 +223,7 @@
         return next(places, False) and all(places)
 
     def _weigh(self, look: "_Look", candidates: Candidates, count: int) -> None:
-        """Draw some candidates and keep the best one."""
+        """Sample some candidates and keep the best one."""
         now_ms, work_ms, board = look.now_ms, look.work_ms, self._board
         for server in candidates.draw(count, now_ms):
             look.drawn += 1
@@ -242,7 +250,7 @@
                 look.best, look.best_expected_ms, look.best_rank = server, expected_ms, rank
 
     def placed(self, server: BackendServer, now_ms: float) -> None:
-        """Count a request that goes to a backend server, against its limit if that is cold."""
+        """Count a placed request against the backend server's cold limit and rate limit, if any."""
         load = self._board.of(server.incarnation)
         if self._cold_limit is not None and self._is_cold(server, load, now_ms):
             self._cold_limit.sent(server, now_ms)
@@ -251,20 +259,21 @@
             self._rate_limits.sent(server, now_ms)
 
     def _limit_allows(self, server: BackendServer, now_ms: float) -> bool:
-        """Return whether an endpoint has no limit, or this VM's part of it is not used up."""
+        """Return whether an endpoint has no rate limit, or this VM's share of it is not used up."""
         limits = self._rate_limits
         if not limits or server.incarnation not in limits:
             return True
         return limits.may_send(server, now_ms)
 
     def knows_rate_limits(self) -> bool:
-        """Return whether any endpoint has named a limit."""
+        """Return whether any endpoint has advertised a rate limit."""
         return bool(self._rate_limits)
 
     def is_rate_limited(self, service: str, now_ms: float, time_ms: float, before: int = 0) -> bool:
-        """Return whether limits leave no place for a request within a time, `before` others first.
+        """Return whether rate limits leave no room for a request within `time_ms`.
 
-        That is so where all endpoints have named a limit, and what they take from this VM is less.
+        `before` requests are served first. None is left if all usable endpoints have advertised a
+        limit, and these requests use up what the endpoints accept from this VM in that time.
         """
         limits = self._rate_limits
         if not limits:
@@ -280,7 +289,7 @@
         return places <= before
 
     def _is_cold(self, server: BackendServer, load: ServerLoad, now_ms: float) -> bool:
-        """Return whether an endpoint is cold by its entry or by its newest probe."""
+        """Return whether an endpoint is cold according to its entry or its latest probe."""
         return server.warm_at_ms > now_ms or load.is_cold(now_ms)
 
     def _cold_may_get(self, server: BackendServer, now_ms: float) -> bool:
@@ -297,7 +306,7 @@
         return allowed or self._panics(look.service, now_ms)
 
     def _panics(self, service: str, now_ms: float) -> bool:
-        """Return whether so many endpoints of a service are suspended that none should be."""
+        """Return whether so many endpoints of a service are suspended that all are used anyway."""
         due_ms, panics = self._panic.get(service, (0.0, False))
         if now_ms < due_ms:
             return panics
@@ -311,7 +320,7 @@
     def _expected_ms(
         self, server: BackendServer, pace: float, busy: float, work_ms: float, crowding: float
     ) -> float:
-        """Return how long a request is expected to take at a backend server of this pace."""
+        """Return how long a request is expected to take at a backend server with this slowdown."""
         slots = server.slots
         expected_ms = work_ms * pace
         if busy >= slots:
@@ -331,7 +340,7 @@
         work_ms: float,
         now_ms: float,
     ) -> float:
-        """Return what speaks against a backend server, as a time; the least is chosen."""
+        """Return the cost of choosing a backend server, as a time; the lowest cost wins."""
         rank = expected_ms + work_ms * CROWD_SHARE * busy / server.slots
         failures = load.failure_share(now_ms)
         if failures:
--- a/cloverhook/gateway/candidates.py
+++ b/cloverhook/gateway/candidates.py
@@ -1,13 +1,14 @@
-"""The endpoints of a service that may have room, to be drawn from by chance.
+"""Random sampling of the endpoints of a service that may have room.
 
-Layer: state.  A walk over all endpoints costs a VM more with each of them, most of all in overload,
-when requests wait and look again at every change.  So those found full are set aside, and come
-back when something is heard of them or after a while, as counts and figures also go out of date.
-Drawing from the others costs the same however many there are, and nothing once all are full.
+Layer: state.  Iterating over all endpoints costs a VM more with each of them, above all in
+overload, when queued requests are reconsidered at every change. So endpoints that are found full
+are set aside. They return when there is news of their load or after a while, because counts and
+load reports also expire. Sampling from the others costs the same however many there are, and
+nothing once all are full.
 
 >>> servers = tuple(BackendServer(f"i-{n}", "bookings", f"10.0.0.{n}:80", "here") for n in range(9))
->>> found = Candidates(servers, random.Random(1))
->>> len(tuple(found.draw(4, 0.0)))
+>>> candidates = Candidates(servers, random.Random(1))
+>>> len(tuple(candidates.draw(4, 0.0)))
 4
 """
 
@@ -22,7 +23,8 @@
 __all__ = ["Candidates"]
 
 RETURN_MS = 100.0
-"""Counts and figures that are not repeated expire without a word; this is sooner than either."""
+"""Counts and load reports that are not repeated expire without an event. This is shorter than the
+lifetime of either."""
 
 
 class Candidates:
@@ -38,18 +40,19 @@
         self._watched: set[str] = set()
 
     def __len__(self) -> int:
-        """Return how many are not set aside."""
+        """Return how many endpoints are not set aside."""
         return len(self._open)
 
     @property
     def total(self) -> int:
-        """How many there are, those set aside included."""
+        """The number of endpoints, including those set aside."""
         return self._total
 
     def draw(self, count: int, now_ms: float) -> Iterator[BackendServer]:
-        """Yield endpoints by chance, each once, until so many were kept or all were seen.
+        """Yield random endpoints, each once, until `count` have been kept or all have been seen.
 
-        One that is full is to be set aside before the next one is asked for: it doesn't count.
+        An endpoint that is full must be set aside before the next one is requested; it doesn't
+        count.
         """
         self._take_back(now_ms)
         found, source = self._open, self._source
@@ -63,7 +66,7 @@
             self._place += 1
 
     def set_aside(self, load: ServerLoad, now_ms: float) -> None:
-        """Leave out the endpoint that was drawn last, until its load changes or for a while."""
+        """Set aside the endpoint yielded last, until its load changes or for a limited time."""
         found, place = self._open, self._place
         server = found[place]
         found[place] = found[-1]
--- a/cloverhook/gateway/choice.py
+++ b/cloverhook/gateway/choice.py
@@ -1,4 +1,4 @@
-"""The choice of a backend server for a request, and what is learned from how choices turn out.
+"""The choice of a backend server for a request, and the estimates learned from past choices.
 
 Layer: coordination.
 """
@@ -12,28 +12,29 @@
 __all__ = ["Choice", "Room", "WorkEstimates", "nearly_full"]
 
 NEARLY_FULL = 0.8
-"""Some backend servers slow down once this part of their slots is in use."""
+"""Some backend servers slow down once this share of their slots is in use."""
 CROWDING_GUESS = 1.2
 CROWDING_STEP = 0.05
 CROWDING_LIMIT = 5.0
 CROWDING_HARMS = 1.35
-"""With work this many times as long, the last slots yield less than they cost the others."""
+"""If work takes this many times as long, using the last slots gains less than it costs the other
+requests."""
 WORK_STEP = 0.1
 WORK_GUESS_SHARE = 0.4
-"""Before a route has been measured, its work is taken for this share of its objective."""
+"""Until a route has been measured, its work is estimated as this share of its latency target."""
 
 
 class Room(Enum):
-    """How much room an endpoint must have to be chosen."""
+    """How much free capacity an endpoint must have to be chosen."""
 
     ANY = "any"
     SLOT = "slot"
     UNHARMED = "unharmed"
 
     def limit(self, slots: int, harmed_when_full: bool) -> float:
-        """Return the number of requests from which on an endpoint has no such room.
+        """Return the number of requests from which on an endpoint lacks this capacity.
 
-        `UNHARMED` leaves the last slots free where they make the other work slow.
+        `UNHARMED` leaves the last slots free if their use slows down the other work.
         """
         if self is Room.ANY:
             return math.inf
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """The backend server chosen, what was expected of it, and what the choice rested on."""
+    """The backend server chosen, the expected duration, and what the choice was based on."""
 
     server: BackendServer
     expected_ms: float
@@ -61,14 +62,14 @@
 
 
 class WorkEstimates:
-    """How long the work of each route takes, and how services bear being nearly full."""
+    """How long the work of each route takes, and how services perform when nearly full."""
 
     def __init__(self) -> None:
         self._work_ms: dict[str, float] = {}
         self._crowding: dict[str, float] = {}
 
     def work_ms(self, route: str, aim_ms: float) -> float:
-        """Return the estimate for a route at an endpoint that runs at its usual pace."""
+        """Return the estimated work of a route at an endpoint that runs at its usual speed."""
         return self._work_ms.get(route, aim_ms * WORK_GUESS_SHARE)
 
     def crowding(self, service: str) -> float:
@@ -76,7 +77,7 @@
         return self._crowding.get(service, CROWDING_GUESS)
 
     def measured(self, route: str, aim_ms: float, latency_ms: float, choice: Choice) -> None:
-        """Take the latency of a request that found a free slot."""
+        """Update the estimates with the latency of a request that found a free slot."""
         usual_ms = latency_ms / max(choice.pace, 0.1)
         before_ms = self.work_ms(route, aim_ms)
         if not nearly_full(choice.load, choice.server.slots):
@@ -88,7 +89,7 @@
         self._crowding[service] = before + CROWDING_STEP * (ratio - before)
 
     def harmed_when_full(self, service: str) -> bool:
-        """Return whether a service's endpoints yield less with their last slots in use."""
+        """Return whether a service's endpoints get less done when their last slots are in use."""
         return self.crowding(service) >= CROWDING_HARMS
 
 
--- a/cloverhook/gateway/cold_limit.py
+++ b/cloverhook/gateway/cold_limit.py
@@ -1,12 +1,13 @@
 """Limits what the fleet sends to endpoints that are cold.
 
-Layer: coordination.  A cold endpoint bears a few requests a second and fails above that, yet it is
-idle, so it looks like the best choice to every VM at once: when a whole data centre comes back in a
-burst, each VM alone would stay below the rate and all together exceed it.  So only a few VMs use a
-cold endpoint, the first ones of an order that each VM works out for itself, and each of them keeps
-to its part of the rate, without saving up.  Nobody has to be asked.  Where lists of VMs differ, as
-with VMs that are cut off, a few more take themselves for one of those; each sends its part only, so
-twice as many still stay below what is borne.
+Layer: coordination.  A cold endpoint can serve a few requests a second and fails above that rate.
+Yet it is idle, so it looks like the best choice to every VM at once: when a whole data centre comes
+back in a burst, each VM alone would stay below the rate, and all together would exceed it. So only
+a few VMs use a cold endpoint, namely the first ones of an order that each VM computes for itself.
+Each of them keeps to its share of the rate, and unused shares don't accumulate. No communication is
+needed. Where the VMs' member lists differ, for instance because some VMs are cut off, a few more
+VMs count themselves among the first ones; each sends only its share, so that twice as many still
+stay below what the endpoint can serve.
 """
 
 from collections.abc import Callable
@@ -18,31 +19,32 @@
 __all__ = ["ColdBound", "ColdLimit"]
 
 MOST_USERS = 3
-"""So many VMs use a cold endpoint: with one, its loss would leave the endpoint idle; with all, each
-one's part would be a request in many seconds, and a first one from each at once too many."""
+"""How many VMs use a cold endpoint. With one, its loss would leave the endpoint idle. With all, the
+share of each would be one request in many seconds, and a first request from each at once would be
+too many."""
 LISTS = 2
-"""The bound still holds when the VMs are split in so many parts that don't hear each other."""
+"""The bound still holds if the VMs are split into this many partitions that can't communicate."""
 MS = 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class ColdBound:
-    """In a second, a cold endpoint gets at most `over` times its rate and `slack` requests."""
+    """In a second, a cold endpoint gets at most `over` times its rate plus `slack` requests."""
 
     over: float = 1.5
     slack: float = 8.0
 
     def users(self) -> int:
-        """Return how many VMs may use an endpoint: each may begin with a request at once."""
+        """Return how many VMs may use an endpoint; each may start with a request at once."""
         return max(1, min(MOST_USERS, int(self.slack / LISTS)))
 
     def spacing_ms(self, rate_per_s: float) -> float:
-        """Return the time between two requests of one of those VMs."""
+        """Return the time between two requests of one of these VMs."""
         return LISTS * self.users() * MS / (self.over * rate_per_s)
 
 
 class ColdLimit:
-    """This VM's part of the requests that cold endpoints may get; times are monotonic."""
+    """This VM's share of the requests that cold endpoints may get; times are monotonic."""
 
     def __init__(
         self,
@@ -51,9 +53,10 @@
         rate_per_s: Callable[[str], float],
         bound: ColdBound,
     ) -> None:
-        """`users_from` names the VMs that place requests at a data centre's endpoints.
+        """`users_from` returns the VMs that place requests at a data centre's endpoints.
 
-        `rate_per_s` tells what a cold endpoint of a service bears; 0 where that is not limited.
+        `rate_per_s` returns how many requests a second a cold endpoint of a service can serve; 0
+        means no limit.
         """
         self._own_vm = own_vm
         self._users_from = users_from
@@ -70,13 +73,13 @@
         return self._uses(server, now_ms)
 
     def sent(self, server: BackendServer, now_ms: float) -> None:
-        """Count a request that is placed at a cold endpoint: the next one may follow later."""
+        """Record a request placed at a cold endpoint, which delays the next one."""
         rate_per_s = self._rate_per_s(server.service)
         if rate_per_s:
             self._next_ms[server.incarnation] = now_ms + self._bound.spacing_ms(rate_per_s)
 
     def forget(self, incarnation: str) -> None:
-        """Drop what is known of an endpoint that is gone."""
+        """Drop the data on an endpoint that is gone."""
         self._next_ms.pop(incarnation, None)
 
     def _uses(self, server: BackendServer, now_ms: float) -> bool:
--- a/cloverhook/gateway/knowledge.py
+++ b/cloverhook/gateway/knowledge.py
@@ -1,7 +1,8 @@
-"""What a gateway believes, each with its version: configuration, evacuations, servers, loads.
+"""The state of a gateway, each item with its version: configuration, evacuations, servers, loads.
 
-Layer: state.  Everything that arrives, from the store, from a peer or by own observation, passes
-through here.  The newest version wins, and none goes back within the life of the process.
+Layer: state.  Every update passes through here, whether it comes from the store, from a peer or
+from this VM's own observation. The newest version wins, and no item returns to an older version
+during the life of the process.
 """
 
 from collections import Counter
@@ -17,17 +18,19 @@
 __all__ = ["Knowledge"]
 
 STORE_AWAY_MS = 4_000.0
-"""For this long after the store's return, entries that vanish may have lapsed while it was away."""
+"""For this long after the store's return, entries that vanish may have expired during its
+outage."""
 EVACUATION_HOLD_MS = 3_000.0
-"""For this long after the store's return from an older copy, evacuations that it lacks still hold:
-operators write them again."""
+"""For this long after the store has returned from an older copy, evacuations missing from that copy
+stay in force, because operators write them again."""
 CROSSING_LOOK_MS = 250.0
 CROSSING_SHARE = 0.5
-"""Without more than this share of its endpoints a data centre has no room for its own requests."""
+"""A data centre that has lost more than this share of its endpoints has no room for its own
+requests."""
 
 
 class Knowledge:
-    """The configuration in force, the evacuated data centres, the registry and the load board."""
+    """The configuration in force, the evacuated data centres, the registry and the loads."""
 
     def __init__(self, drain_ms: float = DRAIN_MS) -> None:
         self.config: GatewayConfig | None = None
@@ -47,27 +50,30 @@
 
     @property
     def config_version(self) -> int:
-        """The version in force, or -1 where there is none."""
+        """The version of the configuration in force, or -1 if there is none."""
         return -1 if self.config is None else self.config.version
 
     @property
     def store_era(self) -> int:
-        """The latest era of the store that anything known is of."""
+        """The latest era of the store that anything known here belongs to."""
         told = max(self.registry.as_of, self.evacuations.version)
         return max(self._entered_era, era_of(told))
 
     def enter_era(self, era: int, now_ms: float) -> None:
-        """Note that the store has come back from an older copy: what it lacks may be back soon."""
+        """Record that the store has returned from an older copy.
+
+        Entries missing from that copy may soon be written again.
+        """
         self._entered_era = era
         self.store_returned(now_ms)
 
     @property
     def complete(self) -> bool:
-        """Whether requests can be served: there is a configuration and someone to serve them."""
+        """Whether requests can be served: there are a configuration and a backend server."""
         return self.config is not None and len(self.registry) > 0
 
     def take_config(self, config: GatewayConfig, now_ms: float) -> bool:
-        """Put a configuration in force unless it is as old as the present one."""
+        """Put a configuration in force if it is newer than the present one; return if so."""
         if config.version <= self.config_version:
             return False
         self.config = config
@@ -75,27 +81,27 @@
         return True
 
     def encoded_config(self) -> EncodedConfig | None:
-        """Return the newest configuration in the form for peers, also before it is in force."""
+        """Return the newest configuration as encoded for peers, even before it is in force."""
         known = -1 if self._encoded is None else self._encoded.version
         if self.config is not None and self.config_version > known:
             self._encoded = EncodedConfig.from_config(self.config)
         return self._encoded
 
     def offer_config(self, encoded: EncodedConfig) -> None:
-        """Keep a configuration to hand it on, while it is decoded here."""
+        """Keep an encoded configuration to pass it on to peers while it is decoded here."""
         known = self.encoded_config()
         if known is None or encoded.version > known.version:
             self._encoded = encoded
 
     def withdraw_config(self, encoded: EncodedConfig) -> None:
-        """Hand on a configuration no longer, as it can't be decoded."""
+        """Stop passing on a configuration because it can't be decoded."""
         if self._encoded is encoded:
             self._encoded = None
 
     def crossing(self, now_ms: float) -> bool:
-        """Return whether some data centre can't serve itself, so that requests have to cross.
+        """Return whether some data centre can't serve its own requests, so that others have to.
 
-        Most of its endpoints are evacuated, out of reach or about to leave the registry.
+        Most of its endpoints are then evacuated, unreachable or about to leave the registry.
         """
         if now_ms >= self._crossing_due_ms:
             self._crossing_due_ms = now_ms + CROSSING_LOOK_MS
@@ -115,17 +121,17 @@
         return any(lost[name] > CROSSING_SHARE * count for name, count in total.items())
 
     def cold_per_s(self, service: str) -> float:
-        """Return how many requests a second a cold endpoint of a service bears; 0 for no limit."""
+        """Return the requests a second that a cold endpoint of a service can serve; 0: no limit."""
         spec = None if self.config is None else self.config.services.get(service)
         return 0.0 if spec is None else spec.cold_per_s
 
     def take_evacuations(
         self, found: Evacuations, now_ms: float, taken_back: frozenset[str] = frozenset()
     ) -> bool:
-        """Take a state of a later version; return whether other data centres are evacuated now.
+        """Apply a later version; return whether the evacuated data centres have changed.
 
-        One of a later era may lack what was written last; what operators have `taken_back` since
-        is not held.
+        A version of a later era may lack the last writes, so the evacuations missing from it stay
+        in force for a while, except those that operators have `taken_back` since.
         """
         if found.version <= self.evacuations.version:
             return False
@@ -138,21 +144,22 @@
         return before != self.evacuated()
 
     def evacuated(self) -> frozenset[str]:
-        """Return the data centres whose endpoints get nothing."""
+        """Return the data centres whose endpoints get no requests."""
         return self.evacuations.data_centers | self._held_evacuations
 
     def store_returned(self, now_ms: float) -> None:
-        """Note that the store answers again after a time in which it did not."""
+        """Record that the store answers again after an outage."""
         self._store_back_ms = now_ms
 
     def store_was_away(self, now_ms: float) -> bool:
-        """Return whether the store has been away until a moment ago."""
+        """Return whether an outage of the store has ended only a short time ago."""
         return now_ms - self._store_back_ms < STORE_AWAY_MS
 
     def take_server(self, record: ServerRecord, now_ms: float, was_waited_for: bool = True) -> bool:
-        """Take what the store says of a backend server; return whether anything has changed.
+        """Apply the store's record of a backend server; return whether anything has changed.
 
-        A record that `was_waited_for` is new; another may have been there since the last look.
+        A record that `was_waited_for` came by a long poll and has just been written; another may
+        have been written at any time since the last read.
         """
         away = self.store_was_away(now_ms)
         return self.registry.apply(record, now_ms, away, was_waited_for=was_waited_for)
@@ -164,10 +171,10 @@
         now_ms: float,
         follows: bool = True,
     ) -> tuple[str, ...]:
-        """Take the store's whole list; return the names that changed or vanished.
+        """Apply the store's complete list; return the names that changed or vanished.
 
-        A list that ends before what is known was read from a copy that lags, and is left out.
-        Others rely on a VM that `follows` the store from then on, and ask for all it knows.
+        A list that ends before what is known was read from a copy that lags, and is ignored. Other
+        VMs rely on a VM that `follows` the store from then on, and request all that it knows.
         """
         newest_offset = end_offset - 1
         if newest_offset < self.registry.as_of:
@@ -179,7 +186,10 @@
         return touched
 
     def heard_config_as_of(self, config: int, evacuations: int, as_of: int) -> None:
-        """Take another VM's word that after these versions nothing was written up to `as_of`."""
+        """Record another VM's report that nothing newer was written up to `as_of`.
+
+        `config` and `evacuations` are the versions that the other VM knows.
+        """
         if config <= self.config_version and evacuations <= self.evacuations.version:
             self.config_as_of = max(self.config_as_of, as_of)
 
--- a/cloverhook/gateway/load.py
+++ b/cloverhook/gateway/load.py
@@ -1,8 +1,8 @@
-"""What is known of the load and health of each backend server, with the age of each figure.
+"""The known load and health of each backend server, with the age of each report.
 
-Layer: state.  Figures come from probes of this VM or of a peer, and from the answers to requests.
-Between two figures the requests that this VM and its neighbours have started and ended are counted
-on top.
+Layer: state.  Load reports come from probes by this VM or a peer, and from the answers to requests.
+Requests that this VM and its neighbours have started since the last report are added to it, and
+those that have ended since are subtracted.
 """
 
 from collections.abc import Callable
@@ -15,26 +15,29 @@
 __all__ = ["SLOW_PACE", "LoadBoard", "LoadFigure", "ServerLoad"]
 
 SLOW_PACE = 2.5
-"""Work that takes this many times as long is worth asking a second endpoint for, or avoiding the
-endpoint where that can't be done."""
+"""If work takes this many times as long, it is worth sending a request to a second endpoint as
+well, or avoiding the endpoint if that isn't possible."""
 USUAL_PACE = 1.0
 UNKNOWN_PACE = 2.0
-"""What is assumed without a fresh figure: worse than usual, better than a known slow one."""
+"""Assumed without a fresh load report: worse than usual, better than an endpoint known to be
+slow."""
 FRESH_FIGURE_MS = 1_500.0
-"""Other data centres send a figure when it changes and after a second; one may be lost."""
+"""Other data centres send a load report when it changes and again after a second; one may be
+lost."""
 FRESH_COUNT_MS = 700.0
-"""A peer repeats its counts four times a second; one that has stopped no longer counts."""
+"""A peer repeats its counts four times a second; the counts of a peer that has stopped expire."""
 FAILURE_STEP = 0.25
 FAILURE_HALF_LIFE_MS = 2_000.0
 UNREACHABLE_MS = 1_500.0
-"""How long an endpoint without a connection is avoided if no probe says otherwise."""
+"""How long an endpoint that can't be connected to is avoided, unless a probe shows otherwise."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadFigure:
-    """One report: requests running and waiting, and how long work takes compared with usual.
+    """A load report: requests running, requests waiting and the slowdown against usual.
 
-    An endpoint that is cold stays so for `cold_ms`; only probes tell that.
+    `pace` is how many times as long as usual work takes. A cold endpoint stays cold for `cold_ms`;
+    only probes report that.
     """
 
     running: int
@@ -67,7 +70,7 @@
     )
 
     def __init__(self, used: Callable[[int], None] = lambda count: None) -> None:
-        """Start with nothing known; `used` hears each count of requests in flight here."""
+        """Start without any data; `used` is called with each new count of this VM's requests."""
         self._used = used
         self._in_flight = 0
         self._changed: list[Callable[[], None]] = []
@@ -87,7 +90,7 @@
 
     @property
     def in_flight(self) -> int:
-        """How many requests this VM has in flight there."""
+        """The number of requests that this VM has in flight there."""
         return self._in_flight
 
     @in_flight.setter
@@ -97,7 +100,7 @@
         self._tell_change()
 
     def when_changed(self, callback: Callable[[], None]) -> None:
-        """Call back once, when the load may be another than now."""
+        """Call back once, at the next change that may affect the load."""
         self._changed.append(callback)
 
     def _tell_change(self) -> None:
@@ -108,15 +111,15 @@
 
     @property
     def figure(self) -> LoadFigure | None:
-        """The newest figure, whatever its age."""
+        """The latest load report, whatever its age, or None."""
         return self._figure
 
     def age_ms(self, now_ms: float) -> float:
-        """Return the age of the newest figure."""
+        """Return the age of the latest load report."""
         return now_ms - self._figure_ms
 
     def peer_has(self, vm: str, count: int, now_ms: float) -> None:
-        """Take how many requests another VM has in flight there."""
+        """Set how many requests another VM has in flight there."""
         before, _ = self._peers.get(vm, (0, 0.0))
         if before > count:
             self._refusals.ended(before - count, now_ms)
@@ -128,17 +131,17 @@
             self._tell_change()
 
     def shared(self, now_ms: float) -> int:
-        """Return the requests that this VM and those that tell it have in flight there."""
+        """Return the requests in flight there of this VM and of those that send it their counts."""
         if not self._peers:
             return self._in_flight
         oldest_ms = now_ms - FRESH_COUNT_MS
         return self._in_flight + sum(n for n, at_ms in self._peers.values() if at_ms >= oldest_ms)
 
     def report(self, figure: LoadFigure, at_ms: float, counted: int = 0) -> None:
-        """Take a figure of the time `at_ms`; an older one than known is left out.
+        """Store a load report of the time `at_ms`; ignore it if it is older than the latest one.
 
-        `counted` is how many requests in flight here the figure no longer counts: an answer's
-        figure leaves its own request out.
+        `counted` is how many requests in flight here the report no longer includes: the report in
+        an answer leaves out the request answered.
         """
         if at_ms < self._figure_ms:
             return
@@ -151,24 +154,24 @@
         self._tell_change()
 
     def measured(self, figure: LoadFigure, at_ms: float) -> None:
-        """Take the figure of a probe, by this VM or another one."""
+        """Store the load report of a probe by this VM or another one."""
         if self._measured_ms is None or at_ms >= self._measured_ms:
             self._cold_until_ms = at_ms + figure.cold_ms if figure.cold_ms else 0.0
         self._measured_ms = max(at_ms, self._measured_ms or at_ms)
         self.report(figure, at_ms)
 
     def is_cold(self, now_ms: float) -> bool:
-        """Return whether the newest probe found the endpoint cold, and it still must be."""
+        """Return whether the latest probe found the endpoint cold and its cold time is not over."""
         return now_ms < self._cold_until_ms
 
     def unmeasured_ms(self, now_ms: float) -> float:
-        """Return for how long no probe has brought a figure; the first question starts the time."""
+        """Return the time since the last probe's report; without one, since the first call."""
         if self._measured_ms is None:
             self._measured_ms = now_ms
         return now_ms - self._measured_ms
 
     def load(self, now_ms: float) -> float:
-        """Return the requests that the endpoint has, as far as this VM can tell."""
+        """Return the number of requests at the endpoint, as far as this VM knows."""
         shared = self.shared(now_ms)
         if self._figure is None or self.age_ms(now_ms) > FRESH_FIGURE_MS:
             return shared
@@ -176,53 +179,53 @@
         return max(shared, reported + shared - self._base)
 
     def pace(self, now_ms: float) -> float:
-        """Return how long work takes there now, as a multiple of usual."""
+        """Return how many times as long as usual work takes there now."""
         if self._figure is None or self.age_ms(now_ms) > FRESH_FIGURE_MS:
             return UNKNOWN_PACE if self._figure is not None else USUAL_PACE
         return self._figure.pace
 
     def progress_ms(self, now_ms: float) -> float:
-        """Return how much work a request would have had done there since the first figure.
+        """Return how much work a single request would have received there since the first report.
 
-        The unit is a millisecond at the usual pace.  The difference between two times says how
-        much work an endpoint should have done meanwhile, however its pace has changed.
+        The unit is a millisecond at the usual speed. The difference between two times is the work
+        that an endpoint should have done in between, however its speed has changed.
         """
         if self._figure is None:
             return 0.0
         return self._progress_ms + (now_ms - self._progress_to_ms) / max(self._figure.pace, 0.1)
 
     def unreachable(self, now_ms: float) -> bool:
-        """Return whether no connection could be made there a moment ago."""
+        """Return whether the endpoint has recently been found unreachable."""
         return now_ms < self._unreachable_until_ms
 
     def not_reached(self, now_ms: float) -> None:
-        """Count an attempt that found nobody."""
+        """Record an attempt that could not reach the endpoint."""
         self._unreachable_until_ms = now_ms + UNREACHABLE_MS
         self.failed(now_ms)
 
     def failure_share(self, now_ms: float) -> float:
-        """Return the share of recent requests that failed there; it fades with time."""
+        """Return the share of recent requests that failed there; it decays over time."""
         return self._failure * 0.5 ** ((now_ms - self._failure_ms) / FAILURE_HALF_LIFE_MS)
 
     def failed(self, now_ms: float) -> None:
-        """Count a failed request."""
+        """Record a failed request."""
         self._count(1.0, now_ms)
 
     def succeeded(self, now_ms: float) -> None:
-        """Count a request that was answered well."""
+        """Record a request that was answered well."""
         if self._failure:
             self._count(0.0, now_ms)
 
     def refused(self, now_ms: float) -> None:
-        """Count a request, of this VM or another one, that was turned away with free slots."""
+        """Record a request of this VM or another one that was refused despite free slots."""
         self._refusals.refused(now_ms)
 
     def refusal_share(self, now_ms: float) -> float:
-        """Return the share of requests that are turned away there with free slots."""
+        """Return the share of requests that are refused there despite free slots."""
         return self._refusals.at(now_ms)
 
     def ended_here(self, now_ms: float) -> None:
-        """Count a request of this VM that has ended there."""
+        """Record that a request of this VM has ended there."""
         self._refusals.ended(1, now_ms)
 
     def _count(self, value: float, now_ms: float) -> None:
@@ -239,14 +242,14 @@
         self._in_flight: dict[str, int] = {}
 
     def of(self, incarnation: str) -> ServerLoad:
-        """Return the load of an incarnation, kept from its first use on."""
+        """Return the load of an incarnation; it is created on first use and kept."""
         load = self._loads.get(incarnation)
         if load is None:
             load = self._loads[incarnation] = ServerLoad(partial(self._used, incarnation))
         return load
 
     def get(self, incarnation: str) -> ServerLoad | None:
-        """Return the load of an incarnation if anything is known of it."""
+        """Return the load of an incarnation, or None if nothing is known of it."""
         return self._loads.get(incarnation)
 
     def _used(self, incarnation: str, count: int) -> None:
@@ -260,17 +263,20 @@
         return bool(self._in_flight)
 
     def in_flight(self) -> dict[str, int]:
-        """Return the requests that this VM has in flight, where there are any."""
+        """Return this VM's counts of requests in flight by incarnation, without zeros."""
         return dict(self._in_flight)
 
     def forget(self, incarnation: str) -> None:
-        """Drop what is known of an incarnation that is gone, once nothing is in flight there."""
+        """Drop the load of an incarnation that is gone, unless requests are in flight there."""
         load = self._loads.get(incarnation)
         if load is not None and not load.in_flight:
             del self._loads[incarnation]
 
     def sweep(self, known: Callable[[str], object]) -> None:
-        """Forget every incarnation that is not `known`: updates on one may come late."""
+        """Forget every incarnation that is not `known`.
+
+        Updates on an incarnation may arrive after its removal and create its load again.
+        """
         for incarnation in tuple(self._loads):
             if not known(incarnation):
                 self.forget(incarnation)
--- a/cloverhook/gateway/load_probe.py
+++ b/cloverhook/gateway/load_probe.py
@@ -1,4 +1,4 @@
-"""Asks a backend server for its load, over a connection that is open already.
+"""Probes a backend server for its load over a connection that is already open.
 
 Layer: transport.
 """
@@ -13,15 +13,15 @@
 __all__ = ["NOBODY", "ask_load"]
 
 NOBODY = LoadFigure(0, 0, 1.0, reachable=False)
-"""The figure of an endpoint that can't be reached."""
+"""The load report of an endpoint that can't be reached."""
 
 
 async def ask_load(
     connection: UpstreamConnection, server: BackendServer, path: str, names: CallHeaders
 ) -> tuple[AnswerHead, LoadFigure | None]:
-    """Return the answer's head and the load figure; `NOBODY` where another incarnation answers.
+    """Return the head of the answer and the load report; `NOBODY` if another incarnation answers.
 
-    The figure is None where the endpoint tells none.  Raises `UpstreamError`.
+    The report is None if the endpoint provides none. Raises `UpstreamError`.
     """
     host = [(b"host", server.address.encode())]
     head = await connection.send(RequestHead(b"GET", path.encode(), host))
--- a/cloverhook/gateway/ranking.py
+++ b/cloverhook/gateway/ranking.py
@@ -1,7 +1,8 @@
-"""Orders VMs for a task, the same on every VM, without a word between them.
+"""Rendezvous hashing: an order of the VMs for a task, the same on every VM without communication.
 
-Layer: state.  Each VM weighs all that it knows by a hash of the task and the name; the heaviest
-gets the task.  When one comes or goes, only its own tasks move.
+Layer: state.  Each VM computes a weight for every VM it knows from a hash of the task and the VM's
+name; the one with the highest weight gets the task. When a VM joins or leaves, only its own tasks
+move.
 
 >>> rank_weight("reader", "vm-1") == rank_weight("reader", "vm-1")
 True
@@ -15,11 +16,11 @@
 
 
 def rank_weight(key: str, vm: str) -> int:
-    """Return the weight of a VM for a task; all VMs give the task to the heaviest that lives."""
+    """Return the weight of a VM for a task; the live VM with the highest weight gets the task."""
     return xxhash.xxh3_64_intdigest(f"{key}\0{vm}".encode())
 
 
 def place_in_order(key: str, own: str, others: Iterable[str]) -> int:
-    """Return how many others come before a VM in the order for a task."""
+    """Return how many others precede a VM in the order for a task."""
     weight = rank_weight(key, own)
     return sum(1 for other in others if rank_weight(key, other) > weight)
--- a/cloverhook/gateway/rate_limits.py
+++ b/cloverhook/gateway/rate_limits.py
@@ -1,10 +1,10 @@
-"""Keeps the limits that endpoints in need name, over the fleet and without a coordinator.
+"""Enforces the rate limits that endpoints advertise, across the fleet without a coordinator.
 
-Layer: coordination.  An endpoint names a limit of requests a second that it takes from all VMs
-together.  Some VMs use it, the first ones of an order that each VM works out for itself, and each
-of them sends its equal part, evenly spaced.  The higher a limit, the more VMs share it, so that no
-part is less than about a request a second: with few requests at each VM, smaller parts would stay
-unused.  Where lists of VMs differ for a moment, one VM more may take part.
+Layer: coordination.  An endpoint in need advertises how many requests a second it accepts from all
+VMs together. Some VMs use it, namely the first ones of an order that each VM computes for itself,
+and each of them sends an equal share, evenly spaced. The higher the limit, the more VMs share it,
+so that no share is less than about one request a second: with few requests at each VM, smaller
+shares would stay unused. While the VMs' member lists differ, one VM more may take part.
 
 >>> limits = RateLimits("vm-1", lambda data_center, now_ms: ("vm-1",))
 >>> server = BackendServer("i-1", "orders", "10.0.0.1:9000", "papine")
@@ -24,19 +24,21 @@
 __all__ = ["NamedLimit", "RateLimits"]
 
 LEAST_USERS = 3
-"""With one, its loss would leave the endpoint unused until that shows."""
+"""The fewest VMs that share a limit. With a single one, its loss would leave the endpoint unused
+until the loss is noticed."""
 SAVED = 1.0
-"""A VM may make up for so many requests that it had no use for at their time."""
+"""How many requests a VM may catch up on that it had no use for when they were due."""
 LEAST_SAVED_PER_S = 1.0
-"""Below this limit nothing is saved: all parts at once would exceed it."""
+"""Below this limit a VM can't catch up on requests: all shares at once would exceed the limit."""
 SILENT_MS = 30_000.0
-"""A limit that nobody has named again for so long has ended: the endpoint says so all the while."""
+"""A limit that has not been advertised for this long has ended, because an endpoint repeats its
+limit for as long as it applies."""
 MS = 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class NamedLimit:
-    """What an endpoint has named, and when it did so first and last."""
+    """The limit that an endpoint has advertised, and when it first and last did so."""
 
     per_s: float
     first_ms: float
@@ -44,10 +46,10 @@
 
 
 class RateLimits:
-    """The limits that are in force, and this VM's part of them; times are monotonic."""
+    """The limits in force, and this VM's share of them; times are monotonic."""
 
     def __init__(self, own_vm: str, users_from: Callable[[str, float], tuple[str, ...]]) -> None:
-        """`users_from` names the VMs that place requests at a data centre's endpoints."""
+        """`users_from` returns the VMs that place requests at a data centre's endpoints."""
         self._own_vm = own_vm
         self._users_from = users_from
         self._limits: dict[str, NamedLimit] = {}
@@ -64,11 +66,11 @@
         return iter(self._limits)
 
     def get(self, incarnation: str) -> NamedLimit | None:
-        """Return the limit of an endpoint that has named one."""
+        """Return the limit of an endpoint, or None if it has advertised none."""
         return self._limits.get(incarnation)
 
     def named(self, incarnation: str, per_s: float, at_ms: float) -> bool:
-        """Take a limit that an endpoint named at a time; return whether that is another one."""
+        """Record a limit that an endpoint advertised at `at_ms`; return whether it is different."""
         known = self._limits.get(incarnation)
         if known is None:
             self._limits[incarnation] = NamedLimit(per_s, at_ms, at_ms)
@@ -79,7 +81,7 @@
         return per_s != known.per_s
 
     def not_named(self, incarnation: str, at_ms: float) -> bool:
-        """Take an answer of a time that named no limit; return whether one has ended by that."""
+        """Record an answer of a time that advertised no limit; return whether that ends a limit."""
         known = self._limits.get(incarnation)
         if known is None or at_ms <= known.last_ms:
             return False
@@ -87,7 +89,7 @@
         return True
 
     def expire(self, now_ms: float) -> tuple[str, ...]:
-        """End the limits that were not named for long; return the incarnations."""
+        """End the limits that have not been advertised for long; return their incarnations."""
         ended = tuple(
             name for name, limit in self._limits.items() if now_ms - limit.last_ms > SILENT_MS
         )
@@ -96,17 +98,17 @@
         return ended
 
     def forget(self, incarnation: str) -> None:
-        """Drop what is known of an endpoint that is gone, or has ended its limit."""
+        """Drop the data on an endpoint that is gone or has ended its limit."""
         self._limits.pop(incarnation, None)
         self._next_ms.pop(incarnation, None)
         self._places.pop(incarnation, None)
 
     def may_send(self, server: BackendServer, now_ms: float) -> bool:
-        """Return whether this VM may send an endpoint a request now."""
+        """Return whether this VM may send a request to an endpoint with a limit now."""
         return self.places_within(server, now_ms, 0.0) >= 1
 
     def places_within(self, server: BackendServer, now_ms: float, time_ms: float) -> float:
-        """Return how many requests this VM may send an endpoint with a limit in a time from now."""
+        """Return how many requests this VM may send to an endpoint with a limit within a time."""
         limit = self._limits[server.incarnation]
         spacing_ms = self._spacing_ms(server, limit, now_ms)
         if spacing_ms is None:
@@ -115,7 +117,7 @@
         return max(0, 1 + (now_ms + time_ms - first_ms) // spacing_ms)
 
     def sent(self, server: BackendServer, now_ms: float) -> None:
-        """Count a request that is placed at an endpoint: the next one may follow later."""
+        """Record a request placed at an endpoint, which delays the next one if there is a limit."""
         limit = self._limits.get(server.incarnation)
         spacing_ms = None if limit is None else self._spacing_ms(server, limit, now_ms)
         if spacing_ms is None:
@@ -125,7 +127,7 @@
         self._next_ms[server.incarnation] = due_ms + spacing_ms
 
     def _spacing_ms(self, server: BackendServer, limit: NamedLimit, now_ms: float) -> float | None:
-        """Return the time between two requests of this VM, or None where it is to send none."""
+        """Return the time between two requests of this VM, or None if it may send none."""
         vms = self._users_from(server.data_center, now_ms)
         if limit.per_s <= 0.0 or self._own_vm not in vms:
             return None
@@ -135,7 +137,7 @@
         return users * MS / limit.per_s
 
     def _place_among(self, incarnation: str, vms: tuple[str, ...]) -> int:
-        """Return how many VMs come before this one in the order for an endpoint."""
+        """Return how many VMs precede this one in the order for an endpoint."""
         known = self._places.get(incarnation)
         if known is None or known[0] != vms:
             place = place_in_order(incarnation, self._own_vm, vms)
--- a/cloverhook/gateway/refusals.py
+++ b/cloverhook/gateway/refusals.py
@@ -1,9 +1,10 @@
-"""What share of the requests that came to an endpoint it has turned away though it had room.
+"""The share of requests that an endpoint refused although it had room.
 
-Layer: state.  Such an endpoint looks idle, and so the best choice; each request that it turns away
-costs a repeat.  It still serves a part of what it gets, so it is neither suspended nor left alone,
-but used after others, by the share that it takes.  Only requests show that share: those that other
-VMs sent count here too, as one VM alone meets an endpoint seldom.
+Layer: state.  Such an endpoint looks idle and therefore like the best choice, and each request that
+it refuses costs a retry. It still serves some of its requests, so it is neither suspended nor left
+unused, but ranked after others according to the share that it accepts. Only requests reveal that
+share. Refusals of other VMs' requests count here too, because a single VM seldom sends requests to
+a given endpoint.
 
 >>> share = RefusalShare()
 >>> for at_ms in range(0, 400, 100):
@@ -16,13 +17,14 @@
 __all__ = ["RefusalShare"]
 
 HALF_LIFE_MS = 2_000.0
-"""An endpoint that has ceased to turn requests away is used as before after a few of these."""
+"""An endpoint that no longer refuses requests is used as before after a few of these."""
 PRIOR = 2.0
-"""So many requests are taken to have been served besides: a single refusal says little."""
+"""How many additional requests are assumed to have been served, since a single refusal says
+little."""
 
 
 class RefusalShare:
-    """Requests that ended at one endpoint, and those that it turned away; both fade with time."""
+    """Requests that ended at one endpoint, and those that it refused; both decay over time."""
 
     __slots__ = ("_at_ms", "_ended", "_refused")
 
@@ -30,21 +32,21 @@
         self._refused = self._ended = self._at_ms = 0.0
 
     def refused(self, now_ms: float) -> None:
-        """Count a request that was turned away."""
+        """Record a refused request."""
         self._fade(now_ms)
         self._refused += 1.0
 
     def ended(self, count: int, now_ms: float) -> None:
-        """Count requests that have ended, in whatever way.
+        """Record requests that have ended, in whatever way.
 
-        Only what follows a refusal matters: before one, nothing is kept.
+        Only requests that end after a refusal matter: nothing is counted before the first one.
         """
         if self._refused:
             self._fade(now_ms)
             self._ended += count
 
     def at(self, now_ms: float) -> float:
-        """Return the share that is turned away, from 0 to 1."""
+        """Return the share of requests refused, from 0 to 1."""
         if not self._refused:
             return 0.0
         self._fade(now_ms)
--- a/cloverhook/gateway/served_requests.py
+++ b/cloverhook/gateway/served_requests.py
@@ -1,8 +1,8 @@
-"""Which requests have been answered well a short time ago, by the keys of their content.
+"""Remembers which requests were recently answered well, by keys of their content.
 
-Layer: state.  Memory is fixed: two tables that take turns, in which a key has one place and may
-push another one out.  A request that comes often is put back each time, so it is found; one that
-comes seldom may be missing.
+Layer: state.  Memory is fixed: there are two tables, used in rotation, in each of which a key has
+one slot and may replace another key there. A frequent request is added again each time, so it is
+found; a rare one may be missing.
 
 >>> served = ServedRequests()
 >>> served.add(7, 0.0)
@@ -17,11 +17,12 @@
 PLACES = 8_192
 KEY_BYTES = 8
 TURN_MS = 10_000.0
-"""A key is kept for one to two of these.  What has changed since may have made a request fatal."""
+"""A key is kept for one to two of these periods, and not for longer: a change since then may have
+made the request fatal to an endpoint."""
 
 
 class ServedRequests:
-    """Keys that were added lately; times are on the monotonic clock."""
+    """Keys that were added recently; times are on the monotonic clock."""
 
     __slots__ = ("_before", "_now", "_turn_ms")
 
@@ -30,12 +31,12 @@
         self._turn_ms = 0.0
 
     def add(self, key: int, now_ms: float) -> None:
-        """Keep a key, which must not be 0."""
+        """Add a key, which must not be 0."""
         self._take_turns(now_ms)
         self._now[key % PLACES] = key
 
     def has(self, key: int, now_ms: float) -> bool:
-        """Return whether a key was added lately."""
+        """Return whether a key was added recently."""
         self._take_turns(now_ms)
         place = key % PLACES
         return key in (self._now[place], self._before[place])
--- a/cloverhook/gateway/splits.py
+++ b/cloverhook/gateway/splits.py
@@ -1,7 +1,7 @@
 """Divides the requests of a route among its parts by weight.
 
-Layer: coordination.  Smooth weighted round robin: over any run of requests each part is within one
-request of its share, so the shares hold on every VM by themselves.
+Layer: coordination.  Smooth weighted round robin: over any sequence of requests each part is within
+one request of its share, so the shares hold on every VM without coordination.
 """
 
 import random
@@ -12,7 +12,7 @@
 
 
 class Splits:
-    """The credit of each part of each route."""
+    """The round-robin credits of the parts of each route."""
 
     def __init__(self, source: random.Random | None = None) -> None:
         self._random = source or random.Random()
--- a/cloverhook/gateway/trust.py
+++ b/cloverhook/gateway/trust.py
@@ -1,11 +1,13 @@
-"""Whether an endpoint can be trusted with requests, by what became of those that it got.
+"""Circuit breaker that suspends an endpoint whose requests fail.
 
-Layer: state.  An endpoint may say that it is well and fail all it gets, and it then looks idle and
-draws ever more; or it may say that it is ill and answer well.  So neither its own word nor the
-answer to a probe counts here, only requests: two that failed without one between that was answered
-well suspend the endpoint.  Failures are told to the other VMs, so that it is not found out by each
-of them.  After its time it is on trial: one request at a time that can be repeated, until one is
-answered well; a failure then suspends it for twice as long.
+Layer: state.  An endpoint that reports itself healthy may still fail every request; it then looks
+idle and attracts ever more of them. Another one may report itself unhealthy and answer well. So
+neither the endpoint's own report nor the answer to a probe counts here, only the outcome of
+requests: two failed requests without a successful one between them suspend the endpoint. Failures
+are reported to the other VMs, so that not every VM has to discover the faulty endpoint by itself.
+After the suspension the circuit breaker is half-open: the endpoint gets one request at a time, and
+only requests that can be retried, until one is answered well. A failure in this state suspends the
+endpoint for twice as long.
 
 >>> trust = Trust()
 >>> trust.failed(0.0, began_ms=-5.0), trust.failed(10.0, began_ms=5.0)
@@ -19,27 +21,28 @@
 __all__ = ["ANSWERED_MS", "Accusations", "Trust"]
 
 FAILURES = 2
-"""A single failure may be a connection's fault."""
+"""A single failure may be caused by the connection."""
 FAILURES_MS = 1_500.0
-"""Two failures further apart are no row."""
+"""Failures further apart than this don't count as consecutive."""
 ANSWERED_MS = 3_000.0
-"""A failure that is told counts as no more than one where its sender or this VM has had an answer
-within this time: answers are not told, and an endpoint that loses a few answers would look dead."""
+"""If the reporting VM or this VM has had an answer from the endpoint within this time, a failure
+reported by another VM raises the count to one at most. Answers are not reported between VMs, so
+without this rule an endpoint that loses a few answers would look dead."""
 SUSPEND_MS = 1_000.0
 SUSPEND_MOST_MS = 8_000.0
-"""An endpoint that is mended is used again within this time."""
+"""The longest suspension. An endpoint that has recovered is used again within this time."""
 PARDON_MS = 10_000.0
-"""After this time a failure is no longer held against an endpoint that has answered nothing since,
-and after as long without a suspension the next one is a short one again."""
+"""After this time a failure no longer counts against an endpoint, even if it has answered nothing
+since. A suspension that starts this long after the end of the previous one is short again."""
 ACCUSE_MS = 2_000.0
 ACCUSE_SHARE = 0.3
 ACCUSE_FEWEST = 4
-"""A VM that sees more endpoints fail within that time than this share of all, and than this number,
-is taken to be in trouble itself."""
+"""A VM that sees more endpoints fail within the time above than this number, and than the share
+above of all endpoints, is assumed to have a problem of its own."""
 
 
 class Trust:
-    """What requests have shown of one incarnation; times are on the monotonic clock."""
+    """The circuit breaker of one incarnation of an endpoint; times are on the monotonic clock."""
 
     __slots__ = (
         "_answered_ms",
@@ -59,13 +62,14 @@
 
     @property
     def in_question(self) -> bool:
-        """Whether there is anything to ask further: most endpoints have failed nobody lately."""
+        """Whether a failure or a half-open state has to be considered; false for most endpoints."""
         return self._failures > 0 or self._on_trial
 
     def failed(self, now_ms: float, began_ms: float) -> bool:
-        """Take a failure that was met here; return whether it suspends.
+        """Record a request of this VM that failed; return whether that suspends the endpoint.
 
-        Requests that were under way when another one failed, as in a crash, count with that one.
+        Requests that were already in flight when another one failed, as in a crash, count together
+        with that one.
         """
         if began_ms < self._failed_ms:
             return False
@@ -79,9 +83,9 @@
         return False
 
     def peer_failed(self, now_ms: float, began_ms: float, peer_answered: bool) -> bool:
-        """Take a failure that another VM met; return whether it suspends.
+        """Record a failure that another VM reports; return whether that suspends the endpoint.
 
-        `peer_answered` says that the endpoint had answered that VM lately.
+        `peer_answered` tells whether the endpoint had answered that VM recently.
         """
         if not peer_answered and not self.answered_since(now_ms - ANSWERED_MS):
             return self.failed(now_ms, began_ms)
@@ -90,26 +94,30 @@
         return False
 
     def answered_since(self, since_ms: float) -> bool:
-        """Return whether a request was answered well there since a time."""
+        """Return whether the endpoint has answered a request well at or after a time."""
         return self._answered_ms >= since_ms
 
     def answered(self, now_ms: float) -> None:
-        """Take an answer; one that comes during a suspension was asked for before it."""
+        """Record a successful answer.
+
+        An answer that arrives during a suspension belongs to a request that was sent before it, so
+        it doesn't end the suspension.
+        """
         self._answered_ms = now_ms
         if not self.is_suspended(now_ms):
             self._failures = 0
             self._on_trial = False
 
     def is_suspended(self, now_ms: float) -> bool:
-        """Return whether no request should go there now."""
+        """Return whether the endpoint should get no requests now."""
         return now_ms < self._until_ms
 
     def is_on_trial(self, now_ms: float) -> bool:
-        """Return whether it was suspended, may be tried again and has answered nothing since."""
+        """Return whether the suspension is over and the endpoint has answered nothing since."""
         return self._on_trial and now_ms >= self._until_ms
 
     def is_doubted(self, now_ms: float) -> bool:
-        """Return whether a failure has not been followed by an answer here."""
+        """Return whether there is a recent failure that no answer to this VM has followed."""
         return self._failures > 0 and now_ms - self._failed_ms <= PARDON_MS
 
     def _suspend(self, now_ms: float) -> None:
@@ -123,10 +131,10 @@
 
 
 class Accusations:
-    """The failures that each VM has told of, to tell an endpoint's trouble from a VM's own.
+    """The failures that each VM has reported, to tell a faulty endpoint from a faulty VM.
 
-    >>> heard = Accusations()
-    >>> [heard.believed("vm-1", f"i-{n}", 10, 0.0) for n in range(6)]
+    >>> reports = Accusations()
+    >>> [reports.believed("vm-1", f"i-{n}", 10, 0.0) for n in range(6)]
     [True, True, True, True, False, False]
     """
 
@@ -134,7 +142,7 @@
         self._told: dict[str, deque[tuple[float, str]]] = {}
 
     def believed(self, vm: str, incarnation: str, endpoints: int, now_ms: float) -> bool:
-        """Take a VM's word that an endpoint has failed; return whether that counts."""
+        """Record a VM's report that an endpoint has failed; return whether the report counts."""
         told = self._told.setdefault(vm, deque())
         told.append((now_ms, incarnation))
         while told[0][0] < now_ms - ACCUSE_MS:
@@ -143,7 +151,7 @@
         return accused <= max(ACCUSE_FEWEST, ACCUSE_SHARE * endpoints)
 
     def forget(self, now_ms: float) -> None:
-        """Drop the VMs that have told nothing lately."""
+        """Drop the VMs that have reported nothing recently."""
         for vm, told in tuple(self._told.items()):
             if told[-1][0] < now_ms - ACCUSE_MS:
                 del self._told[vm]
--- a/cloverhook/gateway/waiting_line.py
+++ b/cloverhook/gateway/waiting_line.py
@@ -1,14 +1,15 @@
-"""Requests that wait in the VM until a backend server has room for them.
-
-Layer: coordination.  A request that is queued at a backend server is lost to every other one, and
-one request more than is good for a server makes all its work slow; so requests wait here, the most
-important first, for as long as they can still meet their objective.  A last slot is left free until
-a request would be late without it: at low load another server is free by then, in overload all
-slots are in use.  Who can't be in time any more is served late where that keeps nobody waiting who
-can be, or refused at once, as is soon who may be put off: a caller that returns finds another
-server free, one that waits in overload makes those behind it late as well.
-
-The line takes waiters and times and returns decisions; it does no input or output.
+"""Queue of the requests that wait in the VM until a backend server has room for them.
+
+Layer: coordination.  A request that is queued at a backend server can no longer go to another one,
+and one request more than a server handles well slows down all its work. So requests wait here, the
+most important first, for as long as they can still meet their latency target. A last slot is left
+free until a request would be late without it: at low load another server becomes free by then, and
+in overload all slots are in use. A request that can no longer be in time is served late if that
+delays no request that still can be, and is refused at once otherwise. A request of lower importance
+that finds no free slot is refused soon: a caller that retries later finds another server free,
+while a request that keeps waiting in overload also makes those behind it late.
+
+The queue takes requests and times and returns decisions; it does no input or output.
 """
 
 from bisect import insort
@@ -22,29 +23,36 @@
 __all__ = ["Decision", "Waiter", "WaitingLine"]
 
 AIM_SHARE = 0.85
-"""The part of the objective that a gateway may use; the rest is the way to the caller and back."""
+"""The share of the latency target that a gateway may use. The rest is for the way from the caller
+and back."""
 WORK_MARGIN = 1.2
-"""A request waits for a slot only while its work, taken for this much longer, would be in time."""
+"""A request waits for a slot only as long as work that takes this many times its estimate would
+still be in time."""
 PUT_OFF_SHARE = 0.04
-"""One that is not among the most important of its service waits for this share of its objective at
-most: who waits long begins too late to be in time, and takes a slot from one that still could."""
+"""A request that is not among the most important of its service waits for at most this share of its
+latency target. After a longer wait it would start too late to be in time, and would take a slot
+from a request that still can be."""
 LAST_SLACK = 0.2
-"""A last slot, which makes other work slow, is taken when waiting longer would make the request
-late: taken at once it slows others down for nothing, never taken it is idle in overload."""
+"""A last slot, whose use slows down other work, is taken only when the time to spare is down to
+this share of the request's work, so that waiting longer would make the request late. Taken at once,
+it would slow down others for nothing; never taken, it would be idle in overload."""
 LATE_SHARE = 0.5
-"""A late request is started only if it is expected to use at most this part of the time it has."""
+"""A late request is started only if it is expected to use at most this share of the time left until
+its deadline."""
 LATE_WAIT_SHARE = 0.5
-"""An important request that can't be in time waits for a late start for half of its time at most,
-and begins only where nobody waits who can be."""
+"""An important request that can't be in time waits for a late start for at most this share of the
+time from its arrival to its deadline, and starts only if no request that can be in time is
+waiting."""
 LOOKS_LIMIT = 16
-"""How many waiting requests are weighed at a change."""
+"""How many queued requests of a service are considered at each change."""
 WORK_STEPS = 8
-"""Waiting requests whose work is within a 12th of each other weigh the endpoints once at a look."""
+"""Queued requests whose work is within a 12th of each other share one choice of endpoint per
+scan."""
 
 
 @dataclass(slots=True, eq=False)
 class Waiter:
-    """A request that wants a backend server; times are on the monotonic clock."""
+    """A request that waits for a backend server; times are on the monotonic clock."""
 
     service: str
     priority: int
@@ -60,46 +68,47 @@
 
     @property
     def in_aim_until_ms(self) -> float:
-        """When an answer would be too late for the objective."""
+        """The time after which an answer misses the latency target."""
         return self.arrived_ms + AIM_SHARE * self.aim_ms
 
     def can_be_in_time(self, now_ms: float) -> bool:
-        """Return whether a slot that came free now would still serve it."""
+        """Return whether the request would still be in time with a slot that became free now."""
         return now_ms + WORK_MARGIN * self.work_ms <= self.in_aim_until_ms
 
     @property
     def start_until_ms(self) -> float:
-        """When a slot would come too late for this request, as others would get it."""
+        """The time after which a free slot comes too late for this request and goes to others."""
         latest_ms = self.in_aim_until_ms - WORK_MARGIN * self.work_ms
         put_off_ms = self.arrived_ms + PUT_OFF_SHARE * self.aim_ms
         return latest_ms if self.urgent else min(latest_ms, put_off_ms)
 
     def may_be_late(self, now_ms: float) -> bool:
-        """Return whether an important request that is late already should wait on for a slot."""
+        """Return whether an important request that is already late should keep waiting."""
         if not self.urgent:
             return False
         wait_until_ms = self.arrived_ms + LATE_WAIT_SHARE * (self.deadline_ms - self.arrived_ms)
         return now_ms < min(wait_until_ms, self.deadline_ms - WORK_MARGIN * self.work_ms)
 
     def is_put_off(self, now_ms: float) -> bool:
-        """Return whether a request that finds no free slot should come back later instead."""
+        """Return whether a request without a free slot should be refused, to be retried later."""
         return not self.urgent and now_ms >= self.arrived_ms + PUT_OFF_SHARE * self.aim_ms
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """A waiter leaves the line: it starts at `choice`, or is refused where that is None."""
+    """A request leaves the queue: it starts at `choice`, or is refused if that is None."""
 
     waiter: Waiter
     choice: Choice | None
 
 
 Found = dict[tuple[Room, int, bool, tuple[str, ...], tuple[str, ...]], Choice | None]
-"""The choices of one look, by room, work, whether it can be repeated, endpoints tried, regions."""
+"""The choices made in one scan, by capacity required, work, whether the request can be retried,
+endpoints tried and regions."""
 
 
 class WaitingLine:
-    """The waiting requests of all services."""
+    """The queued requests of all services."""
 
     def __init__(self, balancer: Balancer) -> None:
         self._balancer = balancer
@@ -110,18 +119,18 @@
         return sum(len(line) for line in self._lines.values())
 
     def services(self) -> tuple[str, ...]:
-        """Return the services that requests wait for."""
+        """Return the services that have queued requests."""
         return tuple(self._lines)
 
     def add(self, waiter: Waiter) -> None:
-        """Put a request into its place: by priority, then by time."""
+        """Insert a request by priority, then by order of arrival."""
         self._count += 1
         waiter.number = self._count
         line = self._lines.setdefault(waiter.service, [])
         insort(line, waiter, key=lambda item: (item.priority, item.number))
 
     def remove(self, waiter: Waiter) -> None:
-        """Take out a request whose caller has gone."""
+        """Remove a request, for instance one whose caller has disconnected."""
         line = self._lines.get(waiter.service)
         if line is not None and waiter in line:
             line.remove(waiter)
@@ -129,10 +138,10 @@
                 del self._lines[waiter.service]
 
     def next(self, service: str, now_ms: float) -> Decision | None:
-        """Return the next request of a service to leave the line, if one should leave now.
+        """Return the next request of a service to leave the queue, or None if all should wait.
 
-        A decision counts only once its request is in flight, so each has to be acted on before
-        the next one is asked for.
+        A decision takes effect only once its request is counted as in flight, so each one has to be
+        carried out before the next one is requested.
         """
         found: Found = {}
         for waiter in self._lines.get(service, ())[:LOOKS_LIMIT]:
@@ -143,7 +152,7 @@
         return None
 
     def _best(self, waiter: Waiter, now_ms: float, room: Room, found: Found) -> Choice | None:
-        """Return the best endpoint for a waiter; `found` keeps those of one look."""
+        """Return the best endpoint for a request; `found` caches the choices of one scan."""
         work_step = int(WORK_STEPS * log2(max(1.0, waiter.work_ms)))
         key = room, work_step, waiter.repeatable, tuple(waiter.tried), waiter.regions
         if key not in found:
@@ -152,7 +161,7 @@
         return found[key]
 
     def _decide(self, waiter: Waiter, now_ms: float, found: Found) -> Decision | None:
-        """Return what becomes of a request now, or None while it waits."""
+        """Return the decision on a request, or None if it should wait."""
         left_ms = waiter.in_aim_until_ms - now_ms
         unharmed = self._best(waiter, now_ms, Room.UNHARMED, found)
         if unharmed is not None and unharmed.expected_ms <= left_ms:
@@ -173,7 +182,7 @@
         return None if waiter.may_be_late(now_ms) else Decision(waiter, None)
 
     def _is_rate_limited(self, waiter: Waiter, now_ms: float) -> bool:
-        """Return whether limits of endpoints leave no place that a request could wait for."""
+        """Return whether rate limits leave no capacity that the request could wait for."""
         if not self._balancer.knows_rate_limits():
             return False
         before = self._lines[waiter.service].index(waiter)
@@ -181,6 +190,6 @@
         return self._balancer.is_rate_limited(waiter.service, now_ms, left_ms, before)
 
     def _keeps_nobody(self, waiter: Waiter, now_ms: float) -> bool:
-        """Return whether nobody who can still be in time waits for the slot."""
+        """Return whether no other queued request of the service can still be in time."""
         others = (item for item in self._lines[waiter.service] if item is not waiter)
         return not any(item.can_be_in_time(now_ms) for item in others)
