--- a/cloverhook/gateway/balancer.py
+++ b/cloverhook/gateway/balancer.py
@@ -24,50 +24,50 @@
 
 __all__ = ["Balancer"]
 
-CROSSING_MS = 3.0
+CROSS_DATA_CENTER_MS = 3.0
 """The round trip to another data centre, about as long as the deployments state it."""
-CROSSING_SHARE = 0.25
+CROSS_DATA_CENTER_SHARE = 0.25
 """Another data centre is worth using if that saves this share of the work, because traffic between
 data centres is charged for."""
-COLD_PACE = 2.0
+COLD_SLOWDOWN = 2.0
 """A backend server works about half as fast for some seconds after its start."""
-CROWD_SHARE = 0.15
+BUSY_SHARE = 0.15
 """Each slot in use makes an endpoint a little less preferred, because some endpoints slow down when
 they are nearly full."""
-CHANCE = 0.1
-NEAR_DRAWN = 24
+JITTER = 0.1
+LOCAL_SAMPLE_SIZE = 24
 """How many endpoints of the local data centre are compared. Where two in five are slow at any time,
 at least one of these runs at its usual speed with near certainty, and the VMs don't all choose the
 same one."""
-FAR_DRAWN = 16
+REMOTE_SAMPLE_SIZE = 16
 """How many endpoints of the other data centres are compared. They are considered when the local
 ones have little room."""
-CONNECT_SHARE = 0.07
+NEW_CONNECTION_SHARE = 0.07
 """A new connection takes some time of its endpoint and is charged for, but that is less than the
 advantage of an endpoint that is less busy."""
 FAILURE_WEIGHT = 8.0
 REFUSAL_WEIGHT = 1.0
 """A refused request costs little time, but it costs a retry, and few retries are allowed."""
-DOUBT_WEIGHT = 6.0
+UNRESOLVED_FAILURE_WEIGHT = 6.0
 """How many times as bad the other endpoints must be before a request that can't be retried goes to
 one that has failed recently."""
 PANIC_SHARE = 0.7
 """If more than this share of a service's endpoints is suspended, all are used as if none were: a
 network failure on the way there is more likely than so few working endpoints."""
-PANIC_MS = 200.0
+PANIC_CHECK_MS = 200.0
 """The share of suspended endpoints is recalculated after this time."""
 HELD_WEIGHT = 4.0
 """An endpoint whose entry has vanished from the store may still serve, but others are preferred."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Usable:
+class _UsableEndpoints:
     """The endpoints of a service that may get requests, and the inputs they were computed from."""
 
     servers: tuple[BackendServer, ...]
     evacuated: frozenset[str]
-    near: Candidates
-    far: Candidates
+    local: Candidates
+    remote: Candidates
 
 
 class _Look:
@@ -76,17 +76,17 @@
     __slots__ = (
         "_limits",
         "best",
+        "best_cost",
         "best_expected_ms",
-        "best_rank",
-        "crowding",
-        "drawn",
-        "found",
-        "harmed",
+        "degrades_when_full",
+        "nearly_full_slowdown",
         "now_ms",
         "repeatable",
         "room",
+        "sampled",
         "service",
         "tried",
+        "usable",
         "work_ms",
     )
 
@@ -102,18 +102,18 @@
     ) -> None:
         self.service, self.work_ms, self.now_ms = service, work_ms, now_ms
         self.tried, self.room, self.repeatable = tried, room, repeatable
-        self.crowding = estimates.crowding(service)
-        self.harmed = estimates.harmed_when_full(service)
+        self.nearly_full_slowdown = estimates.crowding(service)
+        self.degrades_when_full = estimates.harmed_when_full(service)
         self._limits: dict[int, float] = {}
         self.best: BackendServer | None = None
-        self.best_expected_ms = self.best_rank = 0.0
-        self.drawn = self.found = 0
+        self.best_expected_ms = self.best_cost = 0.0
+        self.sampled = self.usable = 0
 
     def limit(self, slots: int) -> float:
-        """Return the number of requests from which on an endpoint has no room."""
+        """Return the number of requests at which an endpoint no longer has room."""
         limit = self._limits.get(slots)
         if limit is None:
-            limit = self._limits[slots] = self.room.limit(slots, self.harmed)
+            limit = self._limits[slots] = self.room.limit(slots, self.degrades_when_full)
         return limit
 
 
@@ -150,8 +150,8 @@
         self._data_center = data_center
         self._source = source
         self._random = source.random
-        self._panic: dict[str, tuple[float, bool]] = {}
-        self._candidates: dict[tuple[str, Room, tuple[str, ...]], _Usable] = {}
+        self._panic_checks: dict[str, tuple[float, bool]] = {}
+        self._candidates: dict[tuple[str, Room, tuple[str, ...]], _UsableEndpoints] = {}
 
     def choose(
         self,
@@ -166,27 +166,31 @@
         """Return the best backend server found that has not been tried and has room, or None.
 
         An endpoint that can't be reached counts as having no room: it would use up a request's
-        attempts while the others are full, and for most requests a slot becomes free in time. A
-        request that is not `repeatable` never goes to an endpoint whose circuit breaker is
-        half-open, and one with `regions` goes only to data centres in these.
+        attempts while the others are full, and at those a slot becomes free in time for most
+        requests. A request that is not `repeatable` never goes to an endpoint whose circuit breaker
+        is half-open, and one with `regions` goes only to data centres in these.
         """
-        look = _Look(service, work_ms, now_ms, tried, room, repeatable, self._estimates)
-        near, far = self._candidates_of(service, room, regions)
-        self._weigh(look, near, NEAR_DRAWN)
-        few_near = near.total <= NEAR_DRAWN
-        if look.best is None or few_near or look.best_rank > work_ms * (1.0 + CROSSING_SHARE):
-            self._weigh(look, far, FAR_DRAWN)
-        if look.best is None:
+        selection = _Look(service, work_ms, now_ms, tried, room, repeatable, self._estimates)
+        local, remote = self._candidates_of(service, room, regions)
+        self._compare_sample(selection, local, LOCAL_SAMPLE_SIZE)
+        few_local = local.total <= LOCAL_SAMPLE_SIZE
+        if (
+            selection.best is None
+            or few_local
+            or selection.best_cost > work_ms * (1.0 + CROSS_DATA_CENTER_SHARE)
+        ):
+            self._compare_sample(selection, remote, REMOTE_SAMPLE_SIZE)
+        if selection.best is None:
             return None
-        load = self._board.of(look.best.incarnation)
-        endpoints = near.total + far.total
+        load = self._board.of(selection.best.incarnation)
+        endpoints = local.total + remote.total
         return Choice(
-            look.best,
-            look.best_expected_ms,
+            selection.best,
+            selection.best_expected_ms,
             load.load(now_ms),
             load.pace(now_ms),
             load.age_ms(now_ms),
-            round((len(near) + len(far)) * look.found / look.drawn),
+            round((len(local) + len(remote)) * selection.usable / selection.sampled),
             endpoints,
         )
 
@@ -194,20 +198,22 @@
         self, service: str, room: Room, regions: tuple[str, ...]
     ) -> tuple[Candidates, Candidates]:
         """Return the candidates of the local and of the other data centres, kept for each room."""
-        servers, left = self._registry.of_service(service), self._evacuated()
+        servers, excluded = self._registry.of_service(service), self._evacuated()
         known = self._candidates.get((service, room, regions))
-        if known is not None and known.servers is servers and known.evacuated == left:
-            return known.near, known.far
-        usable = [item for item in servers if not item.draining and item.data_center not in left]
+        if known is not None and known.servers is servers and known.evacuated == excluded:
+            return known.local, known.remote
+        usable = [
+            item for item in servers if not item.draining and item.data_center not in excluded
+        ]
         if regions:
             usable = [item for item in usable if self._region_of(item.data_center) in regions]
-        near = tuple(item for item in usable if item.data_center == self._data_center)
-        far = tuple(item for item in usable if item.data_center != self._data_center)
-        known = _Usable(
-            servers, left, Candidates(near, self._source), Candidates(far, self._source)
+        local = tuple(item for item in usable if item.data_center == self._data_center)
+        remote = tuple(item for item in usable if item.data_center != self._data_center)
+        known = _UsableEndpoints(
+            servers, excluded, Candidates(local, self._source), Candidates(remote, self._source)
         )
         self._candidates[service, room, regions] = known
-        return known.near, known.far
+        return known.local, known.remote
 
     def may_get(self, server: BackendServer) -> bool:
         """Return whether a request placed at a backend server may still be sent there."""
@@ -215,39 +221,45 @@
 
     def is_evacuated(self, service: str) -> bool:
         """Return whether a service has endpoints, but only in evacuated data centres."""
-        left = self._evacuated()
-        if not left:
+        evacuated = self._evacuated()
+        if not evacuated:
             return False
         serving = (item for item in self._registry.of_service(service) if not item.draining)
-        places = (item.data_center in left for item in serving)
-        return next(places, False) and all(places)
+        in_evacuated = (item.data_center in evacuated for item in serving)
+        return next(in_evacuated, False) and all(in_evacuated)
 
-    def _weigh(self, look: "_Look", candidates: Candidates, count: int) -> None:
+    def _compare_sample(self, selection: "_Look", candidates: Candidates, count: int) -> None:
         """Sample some candidates and keep the best one."""
-        now_ms, work_ms, board = look.now_ms, look.work_ms, self._board
+        now_ms, work_ms, board = selection.now_ms, selection.work_ms, self._board
         for server in candidates.draw(count, now_ms):
-            look.drawn += 1
+            selection.sampled += 1
             load = board.of(server.incarnation)
             busy = load.load(now_ms)
-            if busy >= look.limit(server.slots) or load.unreachable(now_ms):
+            if busy >= selection.limit(server.slots) or load.unreachable(now_ms):
                 candidates.set_aside(load, now_ms)
                 continue
-            if server.incarnation in look.tried or not self._limit_allows(server, now_ms):
+            if server.incarnation in selection.tried or not self._rate_limit_allows(server, now_ms):
                 continue
-            if load.trust.in_question and not self._may_get(look, load):
+            if load.trust.in_question and not self._breaker_allows(selection, load):
                 continue
-            pace = load.pace(now_ms)
+            slowdown = load.pace(now_ms)
             if self._is_cold(server, load, now_ms):
-                if not self._cold_may_get(server, now_ms):
+                if not self._cold_limit_allows(server, now_ms):
                     continue
-                pace *= COLD_PACE
-            look.found += 1
-            expected_ms = self._expected_ms(server, pace, busy, work_ms, look.crowding)
-            rank = self._rank(server, load, busy, expected_ms, work_ms, now_ms)
-            if not look.repeatable and load.trust.is_doubted(now_ms):
-                rank *= DOUBT_WEIGHT
-            if look.best is None or rank < look.best_rank:
-                look.best, look.best_expected_ms, look.best_rank = server, expected_ms, rank
+                slowdown *= COLD_SLOWDOWN
+            selection.usable += 1
+            expected_ms = self._expected_ms(
+                server, slowdown, busy, work_ms, selection.nearly_full_slowdown
+            )
+            cost = self._cost(server, load, busy, expected_ms, work_ms, now_ms)
+            if not selection.repeatable and load.trust.is_doubted(now_ms):
+                cost *= UNRESOLVED_FAILURE_WEIGHT
+            if selection.best is None or cost < selection.best_cost:
+                selection.best, selection.best_expected_ms, selection.best_cost = (
+                    server,
+                    expected_ms,
+                    cost,
+                )
 
     def placed(self, server: BackendServer, now_ms: float) -> None:
         """Count a placed request against the backend server's cold limit and rate limit, if any."""
@@ -258,7 +270,7 @@
         if self._rate_limits is not None:
             self._rate_limits.sent(server, now_ms)
 
-    def _limit_allows(self, server: BackendServer, now_ms: float) -> bool:
+    def _rate_limit_allows(self, server: BackendServer, now_ms: float) -> bool:
         """Return whether an endpoint has no rate limit, or this VM's share of it is not used up."""
         limits = self._rate_limits
         if not limits or server.incarnation not in limits:
@@ -278,60 +290,65 @@
         limits = self._rate_limits
         if not limits:
             return False
-        left = self._evacuated()
-        places = 0.0
+        evacuated = self._evacuated()
+        available = 0.0
         for server in self._registry.of_service(service):
-            if server.draining or server.data_center in left:
+            if server.draining or server.data_center in evacuated:
                 continue
             if server.incarnation not in limits:
                 return False
-            places += limits.places_within(server, now_ms, time_ms)
-        return places <= before
+            available += limits.places_within(server, now_ms, time_ms)
+        return available <= before
 
     def _is_cold(self, server: BackendServer, load: ServerLoad, now_ms: float) -> bool:
         """Return whether an endpoint is cold according to its entry or its latest probe."""
         return server.warm_at_ms > now_ms or load.is_cold(now_ms)
 
-    def _cold_may_get(self, server: BackendServer, now_ms: float) -> bool:
+    def _cold_limit_allows(self, server: BackendServer, now_ms: float) -> bool:
         limit = self._cold_limit
         return limit is None or limit.may_send(server, now_ms)
 
-    def _may_get(self, look: "_Look", load: ServerLoad) -> bool:
+    def _breaker_allows(self, selection: "_Look", load: ServerLoad) -> bool:
         """Return whether an endpoint that has failed requests may get this one."""
-        trust, now_ms = load.trust, look.now_ms
+        trust, now_ms = load.trust, selection.now_ms
         if trust.is_on_trial(now_ms):
-            allowed = look.repeatable and not load.in_flight
+            allowed = selection.repeatable and not load.in_flight
         else:
             allowed = not trust.is_suspended(now_ms)
-        return allowed or self._panics(look.service, now_ms)
+        return allowed or self._in_panic(selection.service, now_ms)
 
-    def _panics(self, service: str, now_ms: float) -> bool:
+    def _in_panic(self, service: str, now_ms: float) -> bool:
         """Return whether so many endpoints of a service are suspended that all are used anyway."""
-        due_ms, panics = self._panic.get(service, (0.0, False))
+        due_ms, in_panic = self._panic_checks.get(service, (0.0, False))
         if now_ms < due_ms:
-            return panics
+            return in_panic
         servers = self._registry.of_service(service)
         loads = (self._board.of(server.incarnation) for server in servers)
         suspended = sum(1 for load in loads if load.trust.is_suspended(now_ms))
-        panics = suspended > PANIC_SHARE * len(servers)
-        self._panic[service] = now_ms + PANIC_MS, panics
-        return panics
+        in_panic = suspended > PANIC_SHARE * len(servers)
+        self._panic_checks[service] = now_ms + PANIC_CHECK_MS, in_panic
+        return in_panic
 
     def _expected_ms(
-        self, server: BackendServer, pace: float, busy: float, work_ms: float, crowding: float
+        self,
+        server: BackendServer,
+        slowdown: float,
+        busy: float,
+        work_ms: float,
+        nearly_full_slowdown: float,
     ) -> float:
         """Return how long a request is expected to take at a backend server with this slowdown."""
         slots = server.slots
-        expected_ms = work_ms * pace
+        expected_ms = work_ms * slowdown
         if busy >= slots:
             expected_ms *= 1.0 + (busy + 1 - slots) / slots
         if nearly_full(busy, slots):
-            expected_ms += work_ms * pace * (crowding - 1.0)
+            expected_ms += work_ms * slowdown * (nearly_full_slowdown - 1.0)
         if server.data_center != self._data_center:
-            expected_ms += CROSSING_MS
+            expected_ms += CROSS_DATA_CENTER_MS
         return expected_ms
 
-    def _rank(
+    def _cost(
         self,
         server: BackendServer,
         load: ServerLoad,
@@ -341,17 +358,17 @@
         now_ms: float,
     ) -> float:
         """Return the cost of choosing a backend server, as a time; the lowest cost wins."""
-        rank = expected_ms + work_ms * CROWD_SHARE * busy / server.slots
+        cost = expected_ms + work_ms * BUSY_SHARE * busy / server.slots
         failures = load.failure_share(now_ms)
         if failures:
-            rank *= 1.0 + FAILURE_WEIGHT * failures
+            cost *= 1.0 + FAILURE_WEIGHT * failures
         refusals = load.refusal_share(now_ms)
         if refusals:
-            rank *= 1.0 + REFUSAL_WEIGHT * refusals
+            cost *= 1.0 + REFUSAL_WEIGHT * refusals
         if self._registry.held(server):
-            rank *= HELD_WEIGHT
+            cost *= HELD_WEIGHT
         if server.data_center != self._data_center:
-            rank += CROSSING_SHARE * work_ms
+            cost += CROSS_DATA_CENTER_SHARE * work_ms
         if not self._has_connection(server.incarnation):
-            rank += CONNECT_SHARE * work_ms
-        return rank * (1.0 + CHANCE * self._random())
+            cost += NEW_CONNECTION_SHARE * work_ms
+        return cost * (1.0 + JITTER * self._random())
--- a/cloverhook/gateway/candidates.py
+++ b/cloverhook/gateway/candidates.py
@@ -1,6 +1,6 @@
 """Random sampling of the endpoints of a service that may have room.
 
-Layer: state.  Iterating over all endpoints costs a VM more with each of them, above all in
+Layer: state.  The cost of iterating over all endpoints grows with their number, and matters most in
 overload, when queued requests are reconsidered at every change. So endpoints that are found full
 are set aside. They return when there is news of their load or after a while, because counts and
 load reports also expire. Sampling from the others costs the same however many there are, and
@@ -33,15 +33,15 @@
     def __init__(self, servers: tuple[BackendServer, ...], source: random.Random) -> None:
         self._source = source.random
         self._total = len(servers)
-        self._open = list(servers)
-        self._place = 0
-        self._aside: dict[str, BackendServer] = {}
-        self._returns: deque[tuple[float, str]] = deque()
+        self._available = list(servers)
+        self._index = 0
+        self._full: dict[str, BackendServer] = {}
+        self._return_times: deque[tuple[float, str]] = deque()
         self._watched: set[str] = set()
 
     def __len__(self) -> int:
         """Return how many endpoints are not set aside."""
-        return len(self._open)
+        return len(self._available)
 
     @property
     def total(self) -> int:
@@ -54,41 +54,41 @@
         An endpoint that is full must be set aside before the next one is requested; it doesn't
         count.
         """
-        self._take_back(now_ms)
-        found, source = self._open, self._source
-        self._place = 0
-        while self._place < min(count, len(found)):
-            place = self._place
-            other = place + int(source() * (len(found) - place))
-            server = found[other]
-            found[place], found[other] = server, found[place]
+        self._restore_due(now_ms)
+        available, source = self._available, self._source
+        self._index = 0
+        while self._index < min(count, len(available)):
+            index = self._index
+            other = index + int(source() * (len(available) - index))
+            server = available[other]
+            available[index], available[other] = server, available[index]
             yield server
-            self._place += 1
+            self._index += 1
 
     def set_aside(self, load: ServerLoad, now_ms: float) -> None:
         """Set aside the endpoint yielded last, until its load changes or for a limited time."""
-        found, place = self._open, self._place
-        server = found[place]
-        found[place] = found[-1]
-        found.pop()
-        self._place -= 1
+        available, index = self._available, self._index
+        server = available[index]
+        available[index] = available[-1]
+        available.pop()
+        self._index -= 1
         incarnation = server.incarnation
-        self._aside[incarnation] = server
-        self._returns.append((now_ms + RETURN_MS, incarnation))
+        self._full[incarnation] = server
+        self._return_times.append((now_ms + RETURN_MS, incarnation))
         if incarnation not in self._watched:
             self._watched.add(incarnation)
             load.when_changed(partial(self._changed, incarnation))
 
     def _changed(self, incarnation: str) -> None:
         self._watched.discard(incarnation)
-        self._take(incarnation)
+        self._restore(incarnation)
 
-    def _take_back(self, now_ms: float) -> None:
-        returns = self._returns
-        while returns and returns[0][0] <= now_ms:
-            self._take(returns.popleft()[1])
+    def _restore_due(self, now_ms: float) -> None:
+        return_times = self._return_times
+        while return_times and return_times[0][0] <= now_ms:
+            self._restore(return_times.popleft()[1])
 
-    def _take(self, incarnation: str) -> None:
-        server = self._aside.pop(incarnation, None)
+    def _restore(self, incarnation: str) -> None:
+        server = self._full.pop(incarnation, None)
         if server is not None:
-            self._open.append(server)
+            self._available.append(server)
--- a/cloverhook/gateway/choice.py
+++ b/cloverhook/gateway/choice.py
@@ -11,16 +11,16 @@
 
 __all__ = ["Choice", "Room", "WorkEstimates", "nearly_full"]
 
-NEARLY_FULL = 0.8
+NEARLY_FULL_SHARE = 0.8
 """Some backend servers slow down once this share of their slots is in use."""
-CROWDING_GUESS = 1.2
-CROWDING_STEP = 0.05
-CROWDING_LIMIT = 5.0
-CROWDING_HARMS = 1.35
+INITIAL_NEARLY_FULL_SLOWDOWN = 1.2
+NEARLY_FULL_SMOOTHING = 0.05
+MAX_NEARLY_FULL_SLOWDOWN = 5.0
+DEGRADING_SLOWDOWN = 1.35
 """If work takes this many times as long, using the last slots gains less than it costs the other
 requests."""
-WORK_STEP = 0.1
-WORK_GUESS_SHARE = 0.4
+WORK_SMOOTHING = 0.1
+INITIAL_WORK_SHARE = 0.4
 """Until a route has been measured, its work is estimated as this share of its latency target."""
 
 
@@ -32,14 +32,14 @@
     UNHARMED = "unharmed"
 
     def limit(self, slots: int, harmed_when_full: bool) -> float:
-        """Return the number of requests from which on an endpoint lacks this capacity.
+        """Return the number of requests at which an endpoint no longer has this capacity.
 
         `UNHARMED` leaves the last slots free if their use slows down the other work.
         """
         if self is Room.ANY:
             return math.inf
         if self is Room.UNHARMED and harmed_when_full:
-            return max(1, int(NEARLY_FULL * slots))
+            return max(1, int(NEARLY_FULL_SHARE * slots))
         return slots
 
 
@@ -66,33 +66,33 @@
 
     def __init__(self) -> None:
         self._work_ms: dict[str, float] = {}
-        self._crowding: dict[str, float] = {}
+        self._nearly_full_slowdown: dict[str, float] = {}
 
     def work_ms(self, route: str, aim_ms: float) -> float:
         """Return the estimated work of a route at an endpoint that runs at its usual speed."""
-        return self._work_ms.get(route, aim_ms * WORK_GUESS_SHARE)
+        return self._work_ms.get(route, aim_ms * INITIAL_WORK_SHARE)
 
     def crowding(self, service: str) -> float:
         """Return how many times as long work takes at an endpoint that is nearly full."""
-        return self._crowding.get(service, CROWDING_GUESS)
+        return self._nearly_full_slowdown.get(service, INITIAL_NEARLY_FULL_SLOWDOWN)
 
     def measured(self, route: str, aim_ms: float, latency_ms: float, choice: Choice) -> None:
         """Update the estimates with the latency of a request that found a free slot."""
         usual_ms = latency_ms / max(choice.pace, 0.1)
         before_ms = self.work_ms(route, aim_ms)
         if not nearly_full(choice.load, choice.server.slots):
-            self._work_ms[route] = before_ms + WORK_STEP * (usual_ms - before_ms)
+            self._work_ms[route] = before_ms + WORK_SMOOTHING * (usual_ms - before_ms)
             return
         service = choice.server.service
         before = self.crowding(service)
-        ratio = min(usual_ms / max(before_ms, 1.0), CROWDING_LIMIT)
-        self._crowding[service] = before + CROWDING_STEP * (ratio - before)
+        ratio = min(usual_ms / max(before_ms, 1.0), MAX_NEARLY_FULL_SLOWDOWN)
+        self._nearly_full_slowdown[service] = before + NEARLY_FULL_SMOOTHING * (ratio - before)
 
     def harmed_when_full(self, service: str) -> bool:
         """Return whether a service's endpoints get less done when their last slots are in use."""
-        return self.crowding(service) >= CROWDING_HARMS
+        return self.crowding(service) >= DEGRADING_SLOWDOWN
 
 
 def nearly_full(busy: float, slots: int) -> bool:
     """Return whether one more request would make an endpoint nearly full."""
-    return busy + 1 > NEARLY_FULL * slots
+    return busy + 1 > NEARLY_FULL_SHARE * slots
--- a/cloverhook/gateway/cold_limit.py
+++ b/cloverhook/gateway/cold_limit.py
@@ -18,13 +18,13 @@
 
 __all__ = ["ColdBound", "ColdLimit"]
 
-MOST_USERS = 3
+MAX_SENDERS = 3
 """How many VMs use a cold endpoint. With one, its loss would leave the endpoint idle. With all, the
 share of each would be one request in many seconds, and a first request from each at once would be
 too many."""
-LISTS = 2
+PARTITIONS = 2
 """The bound still holds if the VMs are split into this many partitions that can't communicate."""
-MS = 1_000.0
+MS_PER_S = 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,11 +36,11 @@
 
     def users(self) -> int:
         """Return how many VMs may use an endpoint; each may start with a request at once."""
-        return max(1, min(MOST_USERS, int(self.slack / LISTS)))
+        return max(1, min(MAX_SENDERS, int(self.slack / PARTITIONS)))
 
     def spacing_ms(self, rate_per_s: float) -> float:
         """Return the time between two requests of one of these VMs."""
-        return LISTS * self.users() * MS / (self.over * rate_per_s)
+        return PARTITIONS * self.users() * MS_PER_S / (self.over * rate_per_s)
 
 
 class ColdLimit:
@@ -70,7 +70,7 @@
             return True
         if now_ms < self._next_ms.get(server.incarnation, 0.0):
             return False
-        return self._uses(server, now_ms)
+        return self._is_sender(server, now_ms)
 
     def sent(self, server: BackendServer, now_ms: float) -> None:
         """Record a request placed at a cold endpoint, which delays the next one."""
@@ -82,7 +82,7 @@
         """Drop the data on an endpoint that is gone."""
         self._next_ms.pop(incarnation, None)
 
-    def _uses(self, server: BackendServer, now_ms: float) -> bool:
+    def _is_sender(self, server: BackendServer, now_ms: float) -> bool:
         """Return whether this VM is one of the few that use a cold endpoint."""
         vms = self._users_from(server.data_center, now_ms)
         if self._own_vm not in vms:
--- a/cloverhook/gateway/knowledge.py
+++ b/cloverhook/gateway/knowledge.py
@@ -17,14 +17,14 @@
 
 __all__ = ["Knowledge"]
 
-STORE_AWAY_MS = 4_000.0
+STORE_RECOVERY_MS = 4_000.0
 """For this long after the store's return, entries that vanish may have expired during its
 outage."""
 EVACUATION_HOLD_MS = 3_000.0
 """For this long after the store has returned from an older copy, evacuations missing from that copy
 stay in force, because operators write them again."""
-CROSSING_LOOK_MS = 250.0
-CROSSING_SHARE = 0.5
+CAPACITY_CHECK_MS = 250.0
+LOST_SHARE = 0.5
 """A data centre that has lost more than this share of its endpoints has no room for its own
 requests."""
 
@@ -41,7 +41,7 @@
         self.drain_ms = drain_ms
         self.registry = Registry(drain_ms)
         self.board = LoadBoard()
-        self._store_back_ms = -STORE_AWAY_MS
+        self._store_recovered_ms = -STORE_RECOVERY_MS
         self._entered_era = 0
         self._held_evacuations: frozenset[str] = frozenset()
         self._held_until_ms = 0.0
@@ -56,8 +56,8 @@
     @property
     def store_era(self) -> int:
         """The latest era of the store that anything known here belongs to."""
-        told = max(self.registry.as_of, self.evacuations.version)
-        return max(self._entered_era, era_of(told))
+        known_version = max(self.registry.as_of, self.evacuations.version)
+        return max(self._entered_era, era_of(known_version))
 
     def enter_era(self, era: int, now_ms: float) -> None:
         """Record that the store has returned from an older copy.
@@ -104,7 +104,7 @@
         Most of its endpoints are then evacuated, unreachable or about to leave the registry.
         """
         if now_ms >= self._crossing_due_ms:
-            self._crossing_due_ms = now_ms + CROSSING_LOOK_MS
+            self._crossing_due_ms = now_ms + CAPACITY_CHECK_MS
             self._crossing = self._is_crossing(now_ms)
         return self._crossing
 
@@ -118,7 +118,7 @@
                 lost[server.data_center] += 1
         if any(name in total for name in self.evacuated()):
             return True
-        return any(lost[name] > CROSSING_SHARE * count for name, count in total.items())
+        return any(lost[name] > LOST_SHARE * count for name, count in total.items())
 
     def cold_per_s(self, service: str) -> float:
         """Return the requests a second that a cold endpoint of a service can serve; 0: no limit."""
@@ -149,11 +149,11 @@
 
     def store_returned(self, now_ms: float) -> None:
         """Record that the store answers again after an outage."""
-        self._store_back_ms = now_ms
+        self._store_recovered_ms = now_ms
 
     def store_was_away(self, now_ms: float) -> bool:
         """Return whether an outage of the store has ended only a short time ago."""
-        return now_ms - self._store_back_ms < STORE_AWAY_MS
+        return now_ms - self._store_recovered_ms < STORE_RECOVERY_MS
 
     def take_server(self, record: ServerRecord, now_ms: float, was_waited_for: bool = True) -> bool:
         """Apply the store's record of a backend server; return whether anything has changed.
@@ -161,8 +161,8 @@
         A record that `was_waited_for` came by a long poll and has just been written; another may
         have been written at any time since the last read.
         """
-        away = self.store_was_away(now_ms)
-        return self.registry.apply(record, now_ms, away, was_waited_for=was_waited_for)
+        recovering = self.store_was_away(now_ms)
+        return self.registry.apply(record, now_ms, recovering, was_waited_for=was_waited_for)
 
     def take_server_list(
         self,
@@ -179,8 +179,8 @@
         newest_offset = end_offset - 1
         if newest_offset < self.registry.as_of:
             return ()
-        away = self.store_was_away(now_ms)
-        touched = self.registry.take_list(records, newest_offset, now_ms, away)
+        recovering = self.store_was_away(now_ms)
+        touched = self.registry.take_list(records, newest_offset, now_ms, recovering)
         if follows:
             self.registry.position.assume_changed()
         return touched
--- a/cloverhook/gateway/load.py
+++ b/cloverhook/gateway/load.py
@@ -17,16 +17,16 @@
 SLOW_PACE = 2.5
 """If work takes this many times as long, it is worth sending a request to a second endpoint as
 well, or avoiding the endpoint if that isn't possible."""
-USUAL_PACE = 1.0
-UNKNOWN_PACE = 2.0
+USUAL_SLOWDOWN = 1.0
+UNKNOWN_SLOWDOWN = 2.0
 """Assumed without a fresh load report: worse than usual, better than an endpoint known to be
 slow."""
-FRESH_FIGURE_MS = 1_500.0
+REPORT_LIFETIME_MS = 1_500.0
 """Other data centres send a load report when it changes and again after a second; one may be
 lost."""
-FRESH_COUNT_MS = 700.0
+COUNT_LIFETIME_MS = 700.0
 """A peer repeats its counts four times a second; the counts of a peer that has stopped expire."""
-FAILURE_STEP = 0.25
+FAILURE_SMOOTHING = 0.25
 FAILURE_HALF_LIFE_MS = 2_000.0
 UNREACHABLE_MS = 1_500.0
 """How long an endpoint that can't be connected to is avoided, unless a probe shows otherwise."""
@@ -51,40 +51,40 @@
     """The load of one incarnation as this VM sees it."""
 
     __slots__ = (
-        "_base",
-        "_changed",
+        "_change_callbacks",
         "_cold_until_ms",
-        "_failure",
+        "_failure_average",
         "_failure_ms",
-        "_figure",
-        "_figure_ms",
         "_in_flight",
-        "_measured_ms",
-        "_peers",
+        "_in_flight_at_report",
+        "_last_probe_ms",
+        "_latest_report",
+        "_latest_report_ms",
+        "_on_in_flight",
+        "_peer_counts",
+        "_progress_at_ms",
         "_progress_ms",
-        "_progress_to_ms",
         "_refusals",
         "_unreachable_until_ms",
-        "_used",
         "trust",
     )
 
-    def __init__(self, used: Callable[[int], None] = lambda count: None) -> None:
+    def __init__(self, on_in_flight: Callable[[int], None] = lambda count: None) -> None:
         """Start without any data; `used` is called with each new count of this VM's requests."""
-        self._used = used
+        self._on_in_flight = on_in_flight
         self._in_flight = 0
-        self._changed: list[Callable[[], None]] = []
+        self._change_callbacks: list[Callable[[], None]] = []
         self.trust = Trust()
         self._refusals = RefusalShare()
-        self._peers: dict[str, tuple[int, float]] = {}
-        self._figure: LoadFigure | None = None
-        self._figure_ms = -1e12
-        self._measured_ms: float | None = None
+        self._peer_counts: dict[str, tuple[int, float]] = {}
+        self._latest_report: LoadFigure | None = None
+        self._latest_report_ms = -1e12
+        self._last_probe_ms: float | None = None
         self._progress_ms = 0.0
-        self._progress_to_ms = 0.0
-        self._base = 0
+        self._progress_at_ms = 0.0
+        self._in_flight_at_report = 0
         self._cold_until_ms = 0.0
-        self._failure = 0.0
+        self._failure_average = 0.0
         self._failure_ms = 0.0
         self._unreachable_until_ms = 0.0
 
@@ -96,46 +96,48 @@
     @in_flight.setter
     def in_flight(self, count: int) -> None:
         self._in_flight = count
-        self._used(count)
-        self._tell_change()
+        self._on_in_flight(count)
+        self._notify_change()
 
     def when_changed(self, callback: Callable[[], None]) -> None:
         """Call back once, at the next change that may affect the load."""
-        self._changed.append(callback)
+        self._change_callbacks.append(callback)
 
-    def _tell_change(self) -> None:
-        if self._changed:
-            callbacks, self._changed = self._changed, []
+    def _notify_change(self) -> None:
+        if self._change_callbacks:
+            callbacks, self._change_callbacks = self._change_callbacks, []
             for callback in callbacks:
                 callback()
 
     @property
     def figure(self) -> LoadFigure | None:
         """The latest load report, whatever its age, or None."""
-        return self._figure
+        return self._latest_report
 
     def age_ms(self, now_ms: float) -> float:
         """Return the age of the latest load report."""
-        return now_ms - self._figure_ms
+        return now_ms - self._latest_report_ms
 
     def peer_has(self, vm: str, count: int, now_ms: float) -> None:
         """Set how many requests another VM has in flight there."""
-        before, _ = self._peers.get(vm, (0, 0.0))
+        before, _ = self._peer_counts.get(vm, (0, 0.0))
         if before > count:
             self._refusals.ended(before - count, now_ms)
         if count:
-            self._peers[vm] = (count, now_ms)
+            self._peer_counts[vm] = (count, now_ms)
         else:
-            self._peers.pop(vm, None)
+            self._peer_counts.pop(vm, None)
         if count != before:
-            self._tell_change()
+            self._notify_change()
 
     def shared(self, now_ms: float) -> int:
         """Return the requests in flight there of this VM and of those that send it their counts."""
-        if not self._peers:
+        if not self._peer_counts:
             return self._in_flight
-        oldest_ms = now_ms - FRESH_COUNT_MS
-        return self._in_flight + sum(n for n, at_ms in self._peers.values() if at_ms >= oldest_ms)
+        oldest_ms = now_ms - COUNT_LIFETIME_MS
+        return self._in_flight + sum(
+            n for n, at_ms in self._peer_counts.values() if at_ms >= oldest_ms
+        )
 
     def report(self, figure: LoadFigure, at_ms: float, counted: int = 0) -> None:
         """Store a load report of the time `at_ms`; ignore it if it is older than the latest one.
@@ -143,21 +145,21 @@
         `counted` is how many requests in flight here the report no longer includes: the report in
         an answer leaves out the request answered.
         """
-        if at_ms < self._figure_ms:
+        if at_ms < self._latest_report_ms:
             return
         self._progress_ms = self.progress_ms(at_ms)
-        self._progress_to_ms = at_ms
-        self._figure = figure
-        self._figure_ms = at_ms
-        self._base = self.shared(at_ms) - counted
+        self._progress_at_ms = at_ms
+        self._latest_report = figure
+        self._latest_report_ms = at_ms
+        self._in_flight_at_report = self.shared(at_ms) - counted
         self._unreachable_until_ms = 0.0 if figure.reachable else at_ms + UNREACHABLE_MS
-        self._tell_change()
+        self._notify_change()
 
     def measured(self, figure: LoadFigure, at_ms: float) -> None:
         """Store the load report of a probe by this VM or another one."""
-        if self._measured_ms is None or at_ms >= self._measured_ms:
+        if self._last_probe_ms is None or at_ms >= self._last_probe_ms:
             self._cold_until_ms = at_ms + figure.cold_ms if figure.cold_ms else 0.0
-        self._measured_ms = max(at_ms, self._measured_ms or at_ms)
+        self._last_probe_ms = max(at_ms, self._last_probe_ms or at_ms)
         self.report(figure, at_ms)
 
     def is_cold(self, now_ms: float) -> bool:
@@ -166,23 +168,23 @@
 
     def unmeasured_ms(self, now_ms: float) -> float:
         """Return the time since the last probe's report; without one, since the first call."""
-        if self._measured_ms is None:
-            self._measured_ms = now_ms
-        return now_ms - self._measured_ms
+        if self._last_probe_ms is None:
+            self._last_probe_ms = now_ms
+        return now_ms - self._last_probe_ms
 
     def load(self, now_ms: float) -> float:
         """Return the number of requests at the endpoint, as far as this VM knows."""
         shared = self.shared(now_ms)
-        if self._figure is None or self.age_ms(now_ms) > FRESH_FIGURE_MS:
+        if self._latest_report is None or self.age_ms(now_ms) > REPORT_LIFETIME_MS:
             return shared
-        reported = self._figure.running + self._figure.waiting
-        return max(shared, reported + shared - self._base)
+        reported = self._latest_report.running + self._latest_report.waiting
+        return max(shared, reported + shared - self._in_flight_at_report)
 
     def pace(self, now_ms: float) -> float:
         """Return how many times as long as usual work takes there now."""
-        if self._figure is None or self.age_ms(now_ms) > FRESH_FIGURE_MS:
-            return UNKNOWN_PACE if self._figure is not None else USUAL_PACE
-        return self._figure.pace
+        if self._latest_report is None or self.age_ms(now_ms) > REPORT_LIFETIME_MS:
+            return UNKNOWN_SLOWDOWN if self._latest_report is not None else USUAL_SLOWDOWN
+        return self._latest_report.pace
 
     def progress_ms(self, now_ms: float) -> float:
         """Return how much work a single request would have received there since the first report.
@@ -190,9 +192,11 @@
         The unit is a millisecond at the usual speed. The difference between two times is the work
         that an endpoint should have done in between, however its speed has changed.
         """
-        if self._figure is None:
+        if self._latest_report is None:
             return 0.0
-        return self._progress_ms + (now_ms - self._progress_to_ms) / max(self._figure.pace, 0.1)
+        return self._progress_ms + (now_ms - self._progress_at_ms) / max(
+            self._latest_report.pace, 0.1
+        )
 
     def unreachable(self, now_ms: float) -> bool:
         """Return whether the endpoint has recently been found unreachable."""
@@ -205,16 +209,16 @@
 
     def failure_share(self, now_ms: float) -> float:
         """Return the share of recent requests that failed there; it decays over time."""
-        return self._failure * 0.5 ** ((now_ms - self._failure_ms) / FAILURE_HALF_LIFE_MS)
+        return self._failure_average * 0.5 ** ((now_ms - self._failure_ms) / FAILURE_HALF_LIFE_MS)
 
     def failed(self, now_ms: float) -> None:
         """Record a failed request."""
-        self._count(1.0, now_ms)
+        self._update_failure_average(1.0, now_ms)
 
     def succeeded(self, now_ms: float) -> None:
-        """Record a request that was answered well."""
-        if self._failure:
-            self._count(0.0, now_ms)
+        """Record a request that was answered successfully."""
+        if self._failure_average:
+            self._update_failure_average(0.0, now_ms)
 
     def refused(self, now_ms: float) -> None:
         """Record a request of this VM or another one that was refused despite free slots."""
@@ -228,9 +232,9 @@
         """Record that a request of this VM has ended there."""
         self._refusals.ended(1, now_ms)
 
-    def _count(self, value: float, now_ms: float) -> None:
+    def _update_failure_average(self, value: float, now_ms: float) -> None:
         share = self.failure_share(now_ms)
-        self._failure = share + FAILURE_STEP * (value - share)
+        self._failure_average = share + FAILURE_SMOOTHING * (value - share)
         self._failure_ms = now_ms
 
 
@@ -245,14 +249,14 @@
         """Return the load of an incarnation; it is created on first use and kept."""
         load = self._loads.get(incarnation)
         if load is None:
-            load = self._loads[incarnation] = ServerLoad(partial(self._used, incarnation))
+            load = self._loads[incarnation] = ServerLoad(partial(self._set_in_flight, incarnation))
         return load
 
     def get(self, incarnation: str) -> ServerLoad | None:
         """Return the load of an incarnation, or None if nothing is known of it."""
         return self._loads.get(incarnation)
 
-    def _used(self, incarnation: str, count: int) -> None:
+    def _set_in_flight(self, incarnation: str, count: int) -> None:
         if count:
             self._in_flight[incarnation] = count
         else:
--- a/cloverhook/gateway/rate_limits.py
+++ b/cloverhook/gateway/rate_limits.py
@@ -1,10 +1,10 @@
 """Enforces the rate limits that endpoints advertise, across the fleet without a coordinator.
 
-Layer: coordination.  An endpoint in need advertises how many requests a second it accepts from all
-VMs together. Some VMs use it, namely the first ones of an order that each VM computes for itself,
-and each of them sends an equal share, evenly spaced. The higher the limit, the more VMs share it,
-so that no share is less than about one request a second: with few requests at each VM, smaller
-shares would stay unused. While the VMs' member lists differ, one VM more may take part.
+Layer: coordination.  An endpoint in trouble advertises how many requests a second it accepts from
+all VMs together. Some VMs use it, namely the first ones of an order that each VM computes for
+itself, and each of them sends an equal share, evenly spaced. The higher the limit, the more VMs
+share it, so that no share is less than about one request a second: with few requests at each VM,
+smaller shares would stay unused. While the VMs' member lists differ, one VM more may take part.
 
 >>> limits = RateLimits("vm-1", lambda data_center, now_ms: ("vm-1",))
 >>> server = BackendServer("i-1", "orders", "10.0.0.1:9000", "papine")
@@ -23,17 +23,17 @@
 
 __all__ = ["NamedLimit", "RateLimits"]
 
-LEAST_USERS = 3
+MIN_SENDERS = 3
 """The fewest VMs that share a limit. With a single one, its loss would leave the endpoint unused
 until the loss is noticed."""
-SAVED = 1.0
+MAX_SAVED_REQUESTS = 1.0
 """How many requests a VM may catch up on that it had no use for when they were due."""
-LEAST_SAVED_PER_S = 1.0
+MIN_SAVING_PER_S = 1.0
 """Below this limit a VM can't catch up on requests: all shares at once would exceed the limit."""
-SILENT_MS = 30_000.0
+LIMIT_EXPIRY_MS = 30_000.0
 """A limit that has not been advertised for this long has ended, because an endpoint repeats its
 limit for as long as it applies."""
-MS = 1_000.0
+MS_PER_S = 1_000.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
         self._users_from = users_from
         self._limits: dict[str, NamedLimit] = {}
         self._next_ms: dict[str, float] = {}
-        self._places: dict[str, tuple[tuple[str, ...], int]] = {}
+        self._ranks: dict[str, tuple[tuple[str, ...], int]] = {}
 
     def __len__(self) -> int:
         return len(self._limits)
@@ -81,7 +81,7 @@
         return per_s != known.per_s
 
     def not_named(self, incarnation: str, at_ms: float) -> bool:
-        """Record an answer of a time that advertised no limit; return whether that ends a limit."""
+        """Record an answer without a limit at `at_ms`; return whether that ends a known limit."""
         known = self._limits.get(incarnation)
         if known is None or at_ms <= known.last_ms:
             return False
@@ -91,7 +91,7 @@
     def expire(self, now_ms: float) -> tuple[str, ...]:
         """End the limits that have not been advertised for long; return their incarnations."""
         ended = tuple(
-            name for name, limit in self._limits.items() if now_ms - limit.last_ms > SILENT_MS
+            name for name, limit in self._limits.items() if now_ms - limit.last_ms > LIMIT_EXPIRY_MS
         )
         for incarnation in ended:
             self.forget(incarnation)
@@ -101,14 +101,14 @@
         """Drop the data on an endpoint that is gone or has ended its limit."""
         self._limits.pop(incarnation, None)
         self._next_ms.pop(incarnation, None)
-        self._places.pop(incarnation, None)
+        self._ranks.pop(incarnation, None)
 
     def may_send(self, server: BackendServer, now_ms: float) -> bool:
         """Return whether this VM may send a request to an endpoint with a limit now."""
         return self.places_within(server, now_ms, 0.0) >= 1
 
     def places_within(self, server: BackendServer, now_ms: float, time_ms: float) -> float:
-        """Return how many requests this VM may send to an endpoint with a limit within a time."""
+        """Return how many requests this VM may send to an endpoint with a limit in `time_ms`."""
         limit = self._limits[server.incarnation]
         spacing_ms = self._spacing_ms(server, limit, now_ms)
         if spacing_ms is None:
@@ -122,7 +122,7 @@
         spacing_ms = None if limit is None else self._spacing_ms(server, limit, now_ms)
         if spacing_ms is None:
             return
-        saved_ms = SAVED * spacing_ms if limit.per_s >= LEAST_SAVED_PER_S else 0.0
+        saved_ms = MAX_SAVED_REQUESTS * spacing_ms if limit.per_s >= MIN_SAVING_PER_S else 0.0
         due_ms = max(self._next_ms.get(server.incarnation, now_ms), now_ms - saved_ms)
         self._next_ms[server.incarnation] = due_ms + spacing_ms
 
@@ -131,15 +131,15 @@
         vms = self._users_from(server.data_center, now_ms)
         if limit.per_s <= 0.0 or self._own_vm not in vms:
             return None
-        users = min(len(vms), max(LEAST_USERS, int(limit.per_s)))
-        if self._place_among(server.incarnation, vms) >= users:
+        senders = min(len(vms), max(MIN_SENDERS, int(limit.per_s)))
+        if self._rank_among(server.incarnation, vms) >= senders:
             return None
-        return users * MS / limit.per_s
+        return senders * MS_PER_S / limit.per_s
 
-    def _place_among(self, incarnation: str, vms: tuple[str, ...]) -> int:
+    def _rank_among(self, incarnation: str, vms: tuple[str, ...]) -> int:
         """Return how many VMs precede this one in the order for an endpoint."""
-        known = self._places.get(incarnation)
+        known = self._ranks.get(incarnation)
         if known is None or known[0] != vms:
-            place = place_in_order(incarnation, self._own_vm, vms)
-            known = self._places[incarnation] = vms, place
+            rank = place_in_order(incarnation, self._own_vm, vms)
+            known = self._ranks[incarnation] = vms, rank
         return known[1]
--- a/cloverhook/gateway/refusals.py
+++ b/cloverhook/gateway/refusals.py
@@ -18,7 +18,7 @@
 
 HALF_LIFE_MS = 2_000.0
 """An endpoint that no longer refuses requests is used as before after a few of these."""
-PRIOR = 2.0
+PRIOR_SERVED = 2.0
 """How many additional requests are assumed to have been served, since a single refusal says
 little."""
 
@@ -33,7 +33,7 @@
 
     def refused(self, now_ms: float) -> None:
         """Record a refused request."""
-        self._fade(now_ms)
+        self._decay(now_ms)
         self._refused += 1.0
 
     def ended(self, count: int, now_ms: float) -> None:
@@ -42,20 +42,20 @@
         Only requests that end after a refusal matter: nothing is counted before the first one.
         """
         if self._refused:
-            self._fade(now_ms)
+            self._decay(now_ms)
             self._ended += count
 
     def at(self, now_ms: float) -> float:
         """Return the share of requests refused, from 0 to 1."""
         if not self._refused:
             return 0.0
-        self._fade(now_ms)
-        return self._refused / (max(self._refused, self._ended) + PRIOR)
+        self._decay(now_ms)
+        return self._refused / (max(self._refused, self._ended) + PRIOR_SERVED)
 
-    def _fade(self, now_ms: float) -> None:
-        kept = 0.5 ** ((now_ms - self._at_ms) / HALF_LIFE_MS)
+    def _decay(self, now_ms: float) -> None:
+        factor = 0.5 ** ((now_ms - self._at_ms) / HALF_LIFE_MS)
         self._at_ms = now_ms
-        self._ended *= kept
-        self._refused *= kept
+        self._ended *= factor
+        self._refused *= factor
         if self._refused < 0.01:
             self._refused = self._ended = 0.0
--- a/cloverhook/gateway/trust.py
+++ b/cloverhook/gateway/trust.py
@@ -1,13 +1,13 @@
 """Circuit breaker that suspends an endpoint whose requests fail.
 
 Layer: state.  An endpoint that reports itself healthy may still fail every request; it then looks
-idle and attracts ever more of them. Another one may report itself unhealthy and answer well. So
-neither the endpoint's own report nor the answer to a probe counts here, only the outcome of
-requests: two failed requests without a successful one between them suspend the endpoint. Failures
-are reported to the other VMs, so that not every VM has to discover the faulty endpoint by itself.
-After the suspension the circuit breaker is half-open: the endpoint gets one request at a time, and
-only requests that can be retried, until one is answered well. A failure in this state suspends the
-endpoint for twice as long.
+idle and attracts ever more of them. Another one may report itself unhealthy and answer requests
+well. So neither the endpoint's own report nor the answer to a probe counts here, only the outcome
+of requests: two failed requests without a successful one between them suspend the endpoint.
+Failures are reported to the other VMs, so that not every VM has to discover the faulty endpoint by
+itself. After the suspension the circuit breaker is half-open: the endpoint gets one request at a
+time, and only requests that can be retried, until one is answered successfully. A failure in this
+state suspends the endpoint for twice as long.
 
 >>> trust = Trust()
 >>> trust.failed(0.0, began_ms=-5.0), trust.failed(10.0, began_ms=5.0)
@@ -22,48 +22,48 @@
 
 FAILURES = 2
 """A single failure may be caused by the connection."""
-FAILURES_MS = 1_500.0
+FAILURE_WINDOW_MS = 1_500.0
 """Failures further apart than this don't count as consecutive."""
 ANSWERED_MS = 3_000.0
 """If the reporting VM or this VM has had an answer from the endpoint within this time, a failure
 reported by another VM raises the count to one at most. Answers are not reported between VMs, so
 without this rule an endpoint that loses a few answers would look dead."""
-SUSPEND_MS = 1_000.0
-SUSPEND_MOST_MS = 8_000.0
+FIRST_SUSPENSION_MS = 1_000.0
+MAX_SUSPENSION_MS = 8_000.0
 """The longest suspension. An endpoint that has recovered is used again within this time."""
-PARDON_MS = 10_000.0
+FAILURE_EXPIRY_MS = 10_000.0
 """After this time a failure no longer counts against an endpoint, even if it has answered nothing
 since. A suspension that starts this long after the end of the previous one is short again."""
-ACCUSE_MS = 2_000.0
-ACCUSE_SHARE = 0.3
-ACCUSE_FEWEST = 4
-"""A VM that sees more endpoints fail within the time above than this number, and than the share
-above of all endpoints, is assumed to have a problem of its own."""
+REPORT_WINDOW_MS = 2_000.0
+REPORTED_SHARE_LIMIT = 0.3
+REPORTED_COUNT_LIMIT = 4
+"""A VM that reports more endpoints within `REPORT_WINDOW_MS` than this number, and more than
+`REPORTED_SHARE_LIMIT` of all endpoints, is assumed to have a problem of its own."""
 
 
 class Trust:
     """The circuit breaker of one incarnation of an endpoint; times are on the monotonic clock."""
 
     __slots__ = (
-        "_answered_ms",
-        "_failed_ms",
         "_failures",
-        "_on_trial",
+        "_half_open",
+        "_last_answer_ms",
+        "_last_failure_ms",
+        "_suspended_until_ms",
         "_suspensions",
-        "_until_ms",
     )
 
     def __init__(self) -> None:
         self._failures = 0
-        self._failed_ms = self._answered_ms = -PARDON_MS
+        self._last_failure_ms = self._last_answer_ms = -FAILURE_EXPIRY_MS
         self._suspensions = 0
-        self._until_ms = -PARDON_MS
-        self._on_trial = False
+        self._suspended_until_ms = -FAILURE_EXPIRY_MS
+        self._half_open = False
 
     @property
     def in_question(self) -> bool:
         """Whether a failure or a half-open state has to be considered; false for most endpoints."""
-        return self._failures > 0 or self._on_trial
+        return self._failures > 0 or self._half_open
 
     def failed(self, now_ms: float, began_ms: float) -> bool:
         """Record a request of this VM that failed; return whether that suspends the endpoint.
@@ -71,13 +71,13 @@
         Requests that were already in flight when another one failed, as in a crash, count together
         with that one.
         """
-        if began_ms < self._failed_ms:
+        if began_ms < self._last_failure_ms:
             return False
-        if now_ms - self._failed_ms > FAILURES_MS:
+        if now_ms - self._last_failure_ms > FAILURE_WINDOW_MS:
             self._failures = 0
         self._failures += 1
-        self._failed_ms = now_ms
-        if self._on_trial or self._failures >= FAILURES:
+        self._last_failure_ms = now_ms
+        if self._half_open or self._failures >= FAILURES:
             self._suspend(now_ms)
             return True
         return False
@@ -89,13 +89,13 @@
         """
         if not peer_answered and not self.answered_since(now_ms - ANSWERED_MS):
             return self.failed(now_ms, began_ms)
-        if not self._failures and began_ms >= self._failed_ms:
-            self._failures, self._failed_ms = 1, now_ms
+        if not self._failures and began_ms >= self._last_failure_ms:
+            self._failures, self._last_failure_ms = 1, now_ms
         return False
 
     def answered_since(self, since_ms: float) -> bool:
-        """Return whether the endpoint has answered a request well at or after a time."""
-        return self._answered_ms >= since_ms
+        """Return whether the endpoint has answered a request successfully since `since_ms`."""
+        return self._last_answer_ms >= since_ms
 
     def answered(self, now_ms: float) -> None:
         """Record a successful answer.
@@ -103,31 +103,31 @@
         An answer that arrives during a suspension belongs to a request that was sent before it, so
         it doesn't end the suspension.
         """
-        self._answered_ms = now_ms
+        self._last_answer_ms = now_ms
         if not self.is_suspended(now_ms):
             self._failures = 0
-            self._on_trial = False
+            self._half_open = False
 
     def is_suspended(self, now_ms: float) -> bool:
         """Return whether the endpoint should get no requests now."""
-        return now_ms < self._until_ms
+        return now_ms < self._suspended_until_ms
 
     def is_on_trial(self, now_ms: float) -> bool:
         """Return whether the suspension is over and the endpoint has answered nothing since."""
-        return self._on_trial and now_ms >= self._until_ms
+        return self._half_open and now_ms >= self._suspended_until_ms
 
     def is_doubted(self, now_ms: float) -> bool:
         """Return whether there is a recent failure that no answer to this VM has followed."""
-        return self._failures > 0 and now_ms - self._failed_ms <= PARDON_MS
+        return self._failures > 0 and now_ms - self._last_failure_ms <= FAILURE_EXPIRY_MS
 
     def _suspend(self, now_ms: float) -> None:
-        if now_ms - self._until_ms > PARDON_MS:
+        if now_ms - self._suspended_until_ms > FAILURE_EXPIRY_MS:
             self._suspensions = 0
-        length_ms = min(SUSPEND_MS * 2**self._suspensions, SUSPEND_MOST_MS)
+        length_ms = min(FIRST_SUSPENSION_MS * 2**self._suspensions, MAX_SUSPENSION_MS)
         self._suspensions += 1
         self._failures = 0
-        self._on_trial = True
-        self._until_ms = now_ms + length_ms
+        self._half_open = True
+        self._suspended_until_ms = now_ms + length_ms
 
 
 class Accusations:
@@ -139,19 +139,19 @@
     """
 
     def __init__(self) -> None:
-        self._told: dict[str, deque[tuple[float, str]]] = {}
+        self._reports: dict[str, deque[tuple[float, str]]] = {}
 
     def believed(self, vm: str, incarnation: str, endpoints: int, now_ms: float) -> bool:
         """Record a VM's report that an endpoint has failed; return whether the report counts."""
-        told = self._told.setdefault(vm, deque())
-        told.append((now_ms, incarnation))
-        while told[0][0] < now_ms - ACCUSE_MS:
-            told.popleft()
-        accused = len({name for _, name in told})
-        return accused <= max(ACCUSE_FEWEST, ACCUSE_SHARE * endpoints)
+        reports = self._reports.setdefault(vm, deque())
+        reports.append((now_ms, incarnation))
+        while reports[0][0] < now_ms - REPORT_WINDOW_MS:
+            reports.popleft()
+        reported = len({name for _, name in reports})
+        return reported <= max(REPORTED_COUNT_LIMIT, REPORTED_SHARE_LIMIT * endpoints)
 
     def forget(self, now_ms: float) -> None:
         """Drop the VMs that have reported nothing recently."""
-        for vm, told in tuple(self._told.items()):
-            if told[-1][0] < now_ms - ACCUSE_MS:
-                del self._told[vm]
+        for vm, reports in tuple(self._reports.items()):
+            if reports[-1][0] < now_ms - REPORT_WINDOW_MS:
+                del self._reports[vm]
--- a/cloverhook/gateway/waiting_line.py
+++ b/cloverhook/gateway/waiting_line.py
@@ -22,7 +22,7 @@
 
 __all__ = ["Decision", "Waiter", "WaitingLine"]
 
-AIM_SHARE = 0.85
+TARGET_SHARE = 0.85
 """The share of the latency target that a gateway may use. The rest is for the way from the caller
 and back."""
 WORK_MARGIN = 1.2
@@ -43,9 +43,9 @@
 """An important request that can't be in time waits for a late start for at most this share of the
 time from its arrival to its deadline, and starts only if no request that can be in time is
 waiting."""
-LOOKS_LIMIT = 16
+SCAN_LIMIT = 16
 """How many queued requests of a service are considered at each change."""
-WORK_STEPS = 8
+WORK_STEPS_PER_DOUBLING = 8
 """Queued requests whose work is within a 12th of each other share one choice of endpoint per
 scan."""
 
@@ -67,29 +67,29 @@
     number: int = field(default=0)
 
     @property
-    def in_aim_until_ms(self) -> float:
+    def in_time_until_ms(self) -> float:
         """The time after which an answer misses the latency target."""
-        return self.arrived_ms + AIM_SHARE * self.aim_ms
+        return self.arrived_ms + TARGET_SHARE * self.aim_ms
 
     def can_be_in_time(self, now_ms: float) -> bool:
         """Return whether the request would still be in time with a slot that became free now."""
-        return now_ms + WORK_MARGIN * self.work_ms <= self.in_aim_until_ms
+        return now_ms + WORK_MARGIN * self.work_ms <= self.in_time_until_ms
 
     @property
-    def start_until_ms(self) -> float:
+    def latest_start_ms(self) -> float:
         """The time after which a free slot comes too late for this request and goes to others."""
-        latest_ms = self.in_aim_until_ms - WORK_MARGIN * self.work_ms
+        latest_ms = self.in_time_until_ms - WORK_MARGIN * self.work_ms
         put_off_ms = self.arrived_ms + PUT_OFF_SHARE * self.aim_ms
         return latest_ms if self.urgent else min(latest_ms, put_off_ms)
 
-    def may_be_late(self, now_ms: float) -> bool:
+    def may_wait_late(self, now_ms: float) -> bool:
         """Return whether an important request that is already late should keep waiting."""
         if not self.urgent:
             return False
         wait_until_ms = self.arrived_ms + LATE_WAIT_SHARE * (self.deadline_ms - self.arrived_ms)
         return now_ms < min(wait_until_ms, self.deadline_ms - WORK_MARGIN * self.work_ms)
 
-    def is_put_off(self, now_ms: float) -> bool:
+    def should_retry_later(self, now_ms: float) -> bool:
         """Return whether a request without a free slot should be refused, to be retried later."""
         return not self.urgent and now_ms >= self.arrived_ms + PUT_OFF_SHARE * self.aim_ms
 
@@ -102,7 +102,7 @@
     choice: Choice | None
 
 
-Found = dict[tuple[Room, int, bool, tuple[str, ...], tuple[str, ...]], Choice | None]
+ChoiceCache = dict[tuple[Room, int, bool, tuple[str, ...], tuple[str, ...]], Choice | None]
 """The choices made in one scan, by capacity required, work, whether the request can be retried,
 endpoints tried and regions."""
 
@@ -112,30 +112,30 @@
 
     def __init__(self, balancer: Balancer) -> None:
         self._balancer = balancer
-        self._lines: dict[str, list[Waiter]] = {}
+        self._queues: dict[str, list[Waiter]] = {}
         self._count = 0
 
     def __len__(self) -> int:
-        return sum(len(line) for line in self._lines.values())
+        return sum(len(line) for line in self._queues.values())
 
     def services(self) -> tuple[str, ...]:
         """Return the services that have queued requests."""
-        return tuple(self._lines)
+        return tuple(self._queues)
 
     def add(self, waiter: Waiter) -> None:
-        """Insert a request by priority, then by order of arrival."""
+        """Insert a request, ordered by priority and then by arrival."""
         self._count += 1
         waiter.number = self._count
-        line = self._lines.setdefault(waiter.service, [])
-        insort(line, waiter, key=lambda item: (item.priority, item.number))
+        queue = self._queues.setdefault(waiter.service, [])
+        insort(queue, waiter, key=lambda item: (item.priority, item.number))
 
     def remove(self, waiter: Waiter) -> None:
         """Remove a request, for instance one whose caller has disconnected."""
-        line = self._lines.get(waiter.service)
-        if line is not None and waiter in line:
-            line.remove(waiter)
-            if not line:
-                del self._lines[waiter.service]
+        queue = self._queues.get(waiter.service)
+        if queue is not None and waiter in queue:
+            queue.remove(waiter)
+            if not queue:
+                del self._queues[waiter.service]
 
     def next(self, service: str, now_ms: float) -> Decision | None:
         """Return the next request of a service to leave the queue, or None if all should wait.
@@ -143,53 +143,59 @@
         A decision takes effect only once its request is counted as in flight, so each one has to be
         carried out before the next one is requested.
         """
-        found: Found = {}
-        for waiter in self._lines.get(service, ())[:LOOKS_LIMIT]:
-            decision = self._decide(waiter, now_ms, found)
+        cache: ChoiceCache = {}
+        for waiter in self._queues.get(service, ())[:SCAN_LIMIT]:
+            decision = self._decide(waiter, now_ms, cache)
             if decision is not None:
                 self.remove(waiter)
                 return decision
         return None
 
-    def _best(self, waiter: Waiter, now_ms: float, room: Room, found: Found) -> Choice | None:
-        """Return the best endpoint for a request; `found` caches the choices of one scan."""
-        work_step = int(WORK_STEPS * log2(max(1.0, waiter.work_ms)))
+    def _best_choice(
+        self, waiter: Waiter, now_ms: float, room: Room, cache: ChoiceCache
+    ) -> Choice | None:
+        """Return the best endpoint for a request; `cache` keeps the choices of one scan."""
+        work_step = int(WORK_STEPS_PER_DOUBLING * log2(max(1.0, waiter.work_ms)))
         key = room, work_step, waiter.repeatable, tuple(waiter.tried), waiter.regions
-        if key not in found:
+        if key not in cache:
             request = waiter.service, waiter.work_ms, now_ms, waiter.tried
-            found[key] = self._balancer.choose(*request, room, waiter.repeatable, waiter.regions)
-        return found[key]
+            cache[key] = self._balancer.choose(*request, room, waiter.repeatable, waiter.regions)
+        return cache[key]
 
-    def _decide(self, waiter: Waiter, now_ms: float, found: Found) -> Decision | None:
+    def _decide(self, waiter: Waiter, now_ms: float, cache: ChoiceCache) -> Decision | None:
         """Return the decision on a request, or None if it should wait."""
-        left_ms = waiter.in_aim_until_ms - now_ms
-        unharmed = self._best(waiter, now_ms, Room.UNHARMED, found)
-        if unharmed is not None and unharmed.expected_ms <= left_ms:
-            return Decision(waiter, unharmed)
-        last = self._best(waiter, now_ms, Room.SLOT, found)
-        if last is not None and last.expected_ms <= left_ms:
-            slack_ms = left_ms - last.expected_ms
-            return Decision(waiter, last) if slack_ms <= LAST_SLACK * waiter.work_ms else None
-        if last is None and self._balancer.is_evacuated(waiter.service):
+        left_ms = waiter.in_time_until_ms - now_ms
+        without_slowdown = self._best_choice(waiter, now_ms, Room.UNHARMED, cache)
+        if without_slowdown is not None and without_slowdown.expected_ms <= left_ms:
+            return Decision(waiter, without_slowdown)
+        last_slot = self._best_choice(waiter, now_ms, Room.SLOT, cache)
+        if last_slot is not None and last_slot.expected_ms <= left_ms:
+            slack_ms = left_ms - last_slot.expected_ms
+            return Decision(waiter, last_slot) if slack_ms <= LAST_SLACK * waiter.work_ms else None
+        if last_slot is None and self._balancer.is_evacuated(waiter.service):
             return Decision(waiter, None)  # Waiting can't help: evacuations last for minutes.
-        if last is None and self._is_rate_limited(waiter, now_ms):
+        if last_slot is None and self._is_rate_limited(waiter, now_ms):
             return Decision(waiter, None)
         if waiter.can_be_in_time(now_ms):
-            return Decision(waiter, None) if waiter.is_put_off(now_ms) else None
+            return Decision(waiter, None) if waiter.should_retry_later(now_ms) else None
         late_ms = LATE_SHARE * (waiter.deadline_ms - now_ms)
-        if last is not None and last.expected_ms <= late_ms and self._keeps_nobody(waiter, now_ms):
-            return Decision(waiter, last)
-        return None if waiter.may_be_late(now_ms) else Decision(waiter, None)
+        if (
+            last_slot is not None
+            and last_slot.expected_ms <= late_ms
+            and self._no_other_in_time(waiter, now_ms)
+        ):
+            return Decision(waiter, last_slot)
+        return None if waiter.may_wait_late(now_ms) else Decision(waiter, None)
 
     def _is_rate_limited(self, waiter: Waiter, now_ms: float) -> bool:
         """Return whether rate limits leave no capacity that the request could wait for."""
         if not self._balancer.knows_rate_limits():
             return False
-        before = self._lines[waiter.service].index(waiter)
-        left_ms = max(0.0, waiter.start_until_ms - now_ms)
+        before = self._queues[waiter.service].index(waiter)
+        left_ms = max(0.0, waiter.latest_start_ms - now_ms)
         return self._balancer.is_rate_limited(waiter.service, now_ms, left_ms, before)
 
-    def _keeps_nobody(self, waiter: Waiter, now_ms: float) -> bool:
+    def _no_other_in_time(self, waiter: Waiter, now_ms: float) -> bool:
         """Return whether no other queued request of the service can still be in time."""
-        others = (item for item in self._lines[waiter.service] if item is not waiter)
+        others = (item for item in self._queues[waiter.service] if item is not waiter)
         return not any(item.can_be_in_time(now_ms) for item in others)
