--- a/cloverhook/gateway/balancer.py
+++ b/cloverhook/gateway/balancer.py
@@ -16,9 +16,9 @@
 
 from cloverhook.gateway.backend_server import BackendServer
 from cloverhook.gateway.candidates import Candidates
-from cloverhook.gateway.choice import Choice, Room, WorkEstimates, nearly_full
+from cloverhook.gateway.choice import CapacityRequirement, Choice, WorkEstimates, nearly_full
 from cloverhook.gateway.cold_limit import ColdLimit
-from cloverhook.gateway.load import LoadBoard, ServerLoad
+from cloverhook.gateway.load import LoadTable, ServerLoad
 from cloverhook.gateway.rate_limits import RateLimits
 from cloverhook.gateway.registry import Registry
 
@@ -95,15 +95,15 @@
         service: str,
         work_ms: float,
         now_ms: float,
-        tried: Collection[str],
-        room: Room,
-        repeatable: bool,
+        tried_incarnations: Collection[str],
+        required_capacity: CapacityRequirement,
+        retryable: bool,
         estimates: WorkEstimates,
     ) -> None:
         self.service, self.work_ms, self.now_ms = service, work_ms, now_ms
-        self.tried, self.room, self.repeatable = tried, room, repeatable
-        self.nearly_full_slowdown = estimates.crowding(service)
-        self.degrades_when_full = estimates.harmed_when_full(service)
+        self.tried_incarnations, self.required_capacity, self.retryable = tried_incarnations, required_capacity, retryable
+        self.nearly_full_slowdown = estimates.nearly_full_slowdown(service)
+        self.degrades_when_full = estimates.degrades_when_full(service)
         self._limits: dict[int, float] = {}
         self.best: BackendServer | None = None
         self.best_expected_ms = self.best_cost = 0.0
@@ -113,7 +113,7 @@
         """Return the number of requests at which an endpoint no longer has room."""
         limit = self._limits.get(slots)
         if limit is None:
-            limit = self._limits[slots] = self.room.limit(slots, self.degrades_when_full)
+            limit = self._limits[slots] = self.required_capacity.limit(slots, self.degrades_when_full)
         return limit
 
 
@@ -123,7 +123,7 @@
     def __init__(
         self,
         registry: Registry,
-        board: LoadBoard,
+        board: LoadTable,
         estimates: WorkEstimates,
         data_center: str,
         source: random.Random,
@@ -151,16 +151,16 @@
         self._source = source
         self._random = source.random
         self._panic_checks: dict[str, tuple[float, bool]] = {}
-        self._candidates: dict[tuple[str, Room, tuple[str, ...]], _UsableEndpoints] = {}
+        self._candidates: dict[tuple[str, CapacityRequirement, tuple[str, ...]], _UsableEndpoints] = {}
 
     def choose(
         self,
         service: str,
         work_ms: float,
         now_ms: float,
-        tried: Collection[str] = (),
-        room: Room = Room.ANY,
-        repeatable: bool = True,
+        tried_incarnations: Collection[str] = (),
+        required_capacity: CapacityRequirement = CapacityRequirement.NONE,
+        retryable: bool = True,
         regions: tuple[str, ...] = (),
     ) -> Choice | None:
         """Return the best backend server found that has not been tried and has room, or None.
@@ -170,8 +170,8 @@
         requests. A request that is not `repeatable` never goes to an endpoint whose circuit breaker
         is half-open, and one with `regions` goes only to data centres in these.
         """
-        selection = _Look(service, work_ms, now_ms, tried, room, repeatable, self._estimates)
-        local, remote = self._candidates_of(service, room, regions)
+        selection = _Look(service, work_ms, now_ms, tried_incarnations, required_capacity, retryable, self._estimates)
+        local, remote = self._candidates_of(service, required_capacity, regions)
         self._compare_sample(selection, local, LOCAL_SAMPLE_SIZE)
         few_local = local.total <= LOCAL_SAMPLE_SIZE
         if (
@@ -182,20 +182,20 @@
             self._compare_sample(selection, remote, REMOTE_SAMPLE_SIZE)
         if selection.best is None:
             return None
-        load = self._board.of(selection.best.incarnation)
+        load = self._board.get_or_create(selection.best.incarnation)
         endpoints = local.total + remote.total
         return Choice(
             selection.best,
             selection.best_expected_ms,
             load.load(now_ms),
-            load.pace(now_ms),
+            load.slowdown(now_ms),
             load.age_ms(now_ms),
             round((len(local) + len(remote)) * selection.usable / selection.sampled),
             endpoints,
         )
 
     def _candidates_of(
-        self, service: str, room: Room, regions: tuple[str, ...]
+        self, service: str, room: CapacityRequirement, regions: tuple[str, ...]
     ) -> tuple[Candidates, Candidates]:
         """Return the candidates of the local and of the other data centres, kept for each room."""
         servers, excluded = self._registry.of_service(service), self._evacuated()
@@ -215,7 +215,7 @@
         self._candidates[service, room, regions] = known
         return known.local, known.remote
 
-    def may_get(self, server: BackendServer) -> bool:
+    def may_receive(self, server: BackendServer) -> bool:
         """Return whether a request placed at a backend server may still be sent there."""
         return server.data_center not in self._evacuated()
 
@@ -231,18 +231,18 @@
     def _compare_sample(self, selection: "_Look", candidates: Candidates, count: int) -> None:
         """Sample some candidates and keep the best one."""
         now_ms, work_ms, board = selection.now_ms, selection.work_ms, self._board
-        for server in candidates.draw(count, now_ms):
+        for server in candidates.sample(count, now_ms):
             selection.sampled += 1
-            load = board.of(server.incarnation)
+            load = board.get_or_create(server.incarnation)
             busy = load.load(now_ms)
             if busy >= selection.limit(server.slots) or load.unreachable(now_ms):
                 candidates.set_aside(load, now_ms)
                 continue
-            if server.incarnation in selection.tried or not self._rate_limit_allows(server, now_ms):
+            if server.incarnation in selection.tried_incarnations or not self._rate_limit_allows(server, now_ms):
                 continue
-            if load.trust.in_question and not self._breaker_allows(selection, load):
+            if load.circuit_breaker.needs_check and not self._breaker_allows(selection, load):
                 continue
-            slowdown = load.pace(now_ms)
+            slowdown = load.slowdown(now_ms)
             if self._is_cold(server, load, now_ms):
                 if not self._cold_limit_allows(server, now_ms):
                     continue
@@ -252,7 +252,7 @@
                 server, slowdown, busy, work_ms, selection.nearly_full_slowdown
             )
             cost = self._cost(server, load, busy, expected_ms, work_ms, now_ms)
-            if not selection.repeatable and load.trust.is_doubted(now_ms):
+            if not selection.retryable and load.circuit_breaker.has_unresolved_failure(now_ms):
                 cost *= UNRESOLVED_FAILURE_WEIGHT
             if selection.best is None or cost < selection.best_cost:
                 selection.best, selection.best_expected_ms, selection.best_cost = (
@@ -261,14 +261,14 @@
                     cost,
                 )
 
-    def placed(self, server: BackendServer, now_ms: float) -> None:
+    def record_placement(self, server: BackendServer, now_ms: float) -> None:
         """Count a placed request against the backend server's cold limit and rate limit, if any."""
-        load = self._board.of(server.incarnation)
+        load = self._board.get_or_create(server.incarnation)
         if self._cold_limit is not None and self._is_cold(server, load, now_ms):
-            self._cold_limit.sent(server, now_ms)
+            self._cold_limit.record_sent(server, now_ms)
 
         if self._rate_limits is not None:
-            self._rate_limits.sent(server, now_ms)
+            self._rate_limits.record_sent(server, now_ms)
 
     def _rate_limit_allows(self, server: BackendServer, now_ms: float) -> bool:
         """Return whether an endpoint has no rate limit, or this VM's share of it is not used up."""
@@ -277,11 +277,11 @@
             return True
         return limits.may_send(server, now_ms)
 
-    def knows_rate_limits(self) -> bool:
+    def has_rate_limits(self) -> bool:
         """Return whether any endpoint has advertised a rate limit."""
         return bool(self._rate_limits)
 
-    def is_rate_limited(self, service: str, now_ms: float, time_ms: float, before: int = 0) -> bool:
+    def is_rate_limited(self, service: str, now_ms: float, within_ms: float, queued_ahead: int = 0) -> bool:
         """Return whether rate limits leave no room for a request within `time_ms`.
 
         `before` requests are served first. None is left if all usable endpoints have advertised a
@@ -297,8 +297,8 @@
                 continue
             if server.incarnation not in limits:
                 return False
-            available += limits.places_within(server, now_ms, time_ms)
-        return available <= before
+            available += limits.available_within(server, now_ms, within_ms)
+        return available <= queued_ahead
 
     def _is_cold(self, server: BackendServer, load: ServerLoad, now_ms: float) -> bool:
         """Return whether an endpoint is cold according to its entry or its latest probe."""
@@ -310,9 +310,9 @@
 
     def _breaker_allows(self, selection: "_Look", load: ServerLoad) -> bool:
         """Return whether an endpoint that has failed requests may get this one."""
-        trust, now_ms = load.trust, selection.now_ms
-        if trust.is_on_trial(now_ms):
-            allowed = selection.repeatable and not load.in_flight
+        trust, now_ms = load.circuit_breaker, selection.now_ms
+        if trust.is_half_open(now_ms):
+            allowed = selection.retryable and not load.in_flight
         else:
             allowed = not trust.is_suspended(now_ms)
         return allowed or self._in_panic(selection.service, now_ms)
@@ -323,8 +323,8 @@
         if now_ms < due_ms:
             return in_panic
         servers = self._registry.of_service(service)
-        loads = (self._board.of(server.incarnation) for server in servers)
-        suspended = sum(1 for load in loads if load.trust.is_suspended(now_ms))
+        loads = (self._board.get_or_create(server.incarnation) for server in servers)
+        suspended = sum(1 for load in loads if load.circuit_breaker.is_suspended(now_ms))
         in_panic = suspended > PANIC_SHARE * len(servers)
         self._panic_checks[service] = now_ms + PANIC_CHECK_MS, in_panic
         return in_panic
@@ -365,7 +365,7 @@
         refusals = load.refusal_share(now_ms)
         if refusals:
             cost *= 1.0 + REFUSAL_WEIGHT * refusals
-        if self._registry.held(server):
+        if self._registry.in_grace_period(server):
             cost *= HELD_WEIGHT
         if server.data_center != self._data_center:
             cost += CROSS_DATA_CENTER_SHARE * work_ms
--- a/cloverhook/gateway/candidates.py
+++ b/cloverhook/gateway/candidates.py
@@ -48,7 +48,7 @@
         """The number of endpoints, including those set aside."""
         return self._total
 
-    def draw(self, count: int, now_ms: float) -> Iterator[BackendServer]:
+    def sample(self, count: int, now_ms: float) -> Iterator[BackendServer]:
         """Yield random endpoints, each once, until `count` have been kept or all have been seen.
 
         An endpoint that is full must be set aside before the next one is requested; it doesn't
@@ -77,7 +77,7 @@
         self._return_times.append((now_ms + RETURN_MS, incarnation))
         if incarnation not in self._watched:
             self._watched.add(incarnation)
-            load.when_changed(partial(self._changed, incarnation))
+            load.on_next_change(partial(self._changed, incarnation))
 
     def _changed(self, incarnation: str) -> None:
         self._watched.discard(incarnation)
--- a/cloverhook/gateway/choice.py
+++ b/cloverhook/gateway/choice.py
@@ -9,7 +9,7 @@
 
 from cloverhook.gateway.backend_server import BackendServer
 
-__all__ = ["Choice", "Room", "WorkEstimates", "nearly_full"]
+__all__ = ["Choice", "CapacityRequirement", "WorkEstimates", "nearly_full"]
 
 NEARLY_FULL_SHARE = 0.8
 """Some backend servers slow down once this share of their slots is in use."""
@@ -24,21 +24,21 @@
 """Until a route has been measured, its work is estimated as this share of its latency target."""
 
 
-class Room(Enum):
+class CapacityRequirement(Enum):
     """How much free capacity an endpoint must have to be chosen."""
 
-    ANY = "any"
-    SLOT = "slot"
-    UNHARMED = "unharmed"
+    NONE = "any"
+    FREE_SLOT = "slot"
+    NO_SLOWDOWN = "unharmed"
 
-    def limit(self, slots: int, harmed_when_full: bool) -> float:
+    def limit(self, slots: int, degrades_when_full: bool) -> float:
         """Return the number of requests at which an endpoint no longer has this capacity.
 
         `UNHARMED` leaves the last slots free if their use slows down the other work.
         """
-        if self is Room.ANY:
+        if self is CapacityRequirement.NONE:
             return math.inf
-        if self is Room.UNHARMED and harmed_when_full:
+        if self is CapacityRequirement.NO_SLOWDOWN and degrades_when_full:
             return max(1, int(NEARLY_FULL_SHARE * slots))
         return slots
 
@@ -50,13 +50,13 @@
     server: BackendServer
     expected_ms: float
     load: float
-    pace: float
-    figure_age_ms: float
+    slowdown: float
+    load_report_age_ms: float
     candidates: int
     endpoints: int = 1
 
     @property
-    def spare_share(self) -> float:
+    def available_share(self) -> float:
         """The share of the service's endpoints that could have been chosen."""
         return self.candidates / self.endpoints
 
@@ -68,29 +68,29 @@
         self._work_ms: dict[str, float] = {}
         self._nearly_full_slowdown: dict[str, float] = {}
 
-    def work_ms(self, route: str, aim_ms: float) -> float:
+    def work_ms(self, route: str, objective_ms: float) -> float:
         """Return the estimated work of a route at an endpoint that runs at its usual speed."""
-        return self._work_ms.get(route, aim_ms * INITIAL_WORK_SHARE)
+        return self._work_ms.get(route, objective_ms * INITIAL_WORK_SHARE)
 
-    def crowding(self, service: str) -> float:
+    def nearly_full_slowdown(self, service: str) -> float:
         """Return how many times as long work takes at an endpoint that is nearly full."""
         return self._nearly_full_slowdown.get(service, INITIAL_NEARLY_FULL_SLOWDOWN)
 
-    def measured(self, route: str, aim_ms: float, latency_ms: float, choice: Choice) -> None:
+    def record_latency(self, route: str, objective_ms: float, latency_ms: float, choice: Choice) -> None:
         """Update the estimates with the latency of a request that found a free slot."""
-        usual_ms = latency_ms / max(choice.pace, 0.1)
-        before_ms = self.work_ms(route, aim_ms)
+        usual_ms = latency_ms / max(choice.slowdown, 0.1)
+        before_ms = self.work_ms(route, objective_ms)
         if not nearly_full(choice.load, choice.server.slots):
             self._work_ms[route] = before_ms + WORK_SMOOTHING * (usual_ms - before_ms)
             return
         service = choice.server.service
-        before = self.crowding(service)
+        before = self.nearly_full_slowdown(service)
         ratio = min(usual_ms / max(before_ms, 1.0), MAX_NEARLY_FULL_SLOWDOWN)
         self._nearly_full_slowdown[service] = before + NEARLY_FULL_SMOOTHING * (ratio - before)
 
-    def harmed_when_full(self, service: str) -> bool:
+    def degrades_when_full(self, service: str) -> bool:
         """Return whether a service's endpoints get less done when their last slots are in use."""
-        return self.crowding(service) >= DEGRADING_SLOWDOWN
+        return self.nearly_full_slowdown(service) >= DEGRADING_SLOWDOWN
 
 
 def nearly_full(busy: float, slots: int) -> bool:
--- a/cloverhook/gateway/cold_limit.py
+++ b/cloverhook/gateway/cold_limit.py
@@ -14,9 +14,9 @@
 from dataclasses import dataclass
 
 from cloverhook.gateway.backend_server import BackendServer
-from cloverhook.gateway.ranking import place_in_order
+from cloverhook.gateway.ranking import rendezvous_rank
 
-__all__ = ["ColdBound", "ColdLimit"]
+__all__ = ["ColdRateBound", "ColdLimit"]
 
 MAX_SENDERS = 3
 """How many VMs use a cold endpoint. With one, its loss would leave the endpoint idle. With all, the
@@ -28,19 +28,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ColdBound:
+class ColdRateBound:
     """In a second, a cold endpoint gets at most `over` times its rate plus `slack` requests."""
 
-    over: float = 1.5
-    slack: float = 8.0
+    rate_factor: float = 1.5
+    burst: float = 8.0
 
-    def users(self) -> int:
+    def sender_count(self) -> int:
         """Return how many VMs may use an endpoint; each may start with a request at once."""
-        return max(1, min(MAX_SENDERS, int(self.slack / PARTITIONS)))
+        return max(1, min(MAX_SENDERS, int(self.burst / PARTITIONS)))
 
     def spacing_ms(self, rate_per_s: float) -> float:
         """Return the time between two requests of one of these VMs."""
-        return PARTITIONS * self.users() * MS_PER_S / (self.over * rate_per_s)
+        return PARTITIONS * self.sender_count() * MS_PER_S / (self.rate_factor * rate_per_s)
 
 
 class ColdLimit:
@@ -49,9 +49,9 @@
     def __init__(
         self,
         own_vm: str,
-        users_from: Callable[[str, float], tuple[str, ...]],
+        senders_for: Callable[[str, float], tuple[str, ...]],
         rate_per_s: Callable[[str], float],
-        bound: ColdBound,
+        bound: ColdRateBound,
     ) -> None:
         """`users_from` returns the VMs that place requests at a data centre's endpoints.
 
@@ -59,7 +59,7 @@
         means no limit.
         """
         self._own_vm = own_vm
-        self._users_from = users_from
+        self._senders_for = senders_for
         self._rate_per_s = rate_per_s
         self._bound = bound
         self._next_ms: dict[str, float] = {}
@@ -72,7 +72,7 @@
             return False
         return self._is_sender(server, now_ms)
 
-    def sent(self, server: BackendServer, now_ms: float) -> None:
+    def record_sent(self, server: BackendServer, now_ms: float) -> None:
         """Record a request placed at a cold endpoint, which delays the next one."""
         rate_per_s = self._rate_per_s(server.service)
         if rate_per_s:
@@ -84,7 +84,7 @@
 
     def _is_sender(self, server: BackendServer, now_ms: float) -> bool:
         """Return whether this VM is one of the few that use a cold endpoint."""
-        vms = self._users_from(server.data_center, now_ms)
+        vms = self._senders_for(server.data_center, now_ms)
         if self._own_vm not in vms:
             return False
-        return place_in_order(server.incarnation, self._own_vm, vms) < self._bound.users()
+        return rendezvous_rank(server.incarnation, self._own_vm, vms) < self._bound.sender_count()
--- a/cloverhook/gateway/knowledge.py
+++ b/cloverhook/gateway/knowledge.py
@@ -10,12 +10,12 @@
 from cloverhook.gateway.backend_server import ServerRecord
 from cloverhook.gateway.config_codec import EncodedConfig
 from cloverhook.gateway.evacuation import Evacuations
-from cloverhook.gateway.load import LoadBoard
+from cloverhook.gateway.load import LoadTable
 from cloverhook.gateway.registry import DRAIN_MS, Registry
 from cloverhook.gateway.routes import GatewayConfig
 from cloverhook.gateway.versions import era_of
 
-__all__ = ["Knowledge"]
+__all__ = ["GatewayState"]
 
 STORE_RECOVERY_MS = 4_000.0
 """For this long after the store's return, entries that vanish may have expired during its
@@ -29,7 +29,7 @@
 requests."""
 
 
-class Knowledge:
+class GatewayState:
     """The configuration in force, the evacuated data centres, the registry and the loads."""
 
     def __init__(self, drain_ms: float = DRAIN_MS) -> None:
@@ -40,7 +40,7 @@
         self.evacuations = Evacuations()
         self.drain_ms = drain_ms
         self.registry = Registry(drain_ms)
-        self.board = LoadBoard()
+        self.load_table = LoadTable()
         self._store_recovered_ms = -STORE_RECOVERY_MS
         self._entered_era = 0
         self._held_evacuations: frozenset[str] = frozenset()
@@ -59,20 +59,20 @@
         known_version = max(self.registry.as_of, self.evacuations.version)
         return max(self._entered_era, era_of(known_version))
 
-    def enter_era(self, era: int, now_ms: float) -> None:
+    def begin_store_era(self, era: int, now_ms: float) -> None:
         """Record that the store has returned from an older copy.
 
         Entries missing from that copy may soon be written again.
         """
         self._entered_era = era
-        self.store_returned(now_ms)
+        self.record_store_recovery(now_ms)
 
     @property
-    def complete(self) -> bool:
+    def can_serve(self) -> bool:
         """Whether requests can be served: there are a configuration and a backend server."""
         return self.config is not None and len(self.registry) > 0
 
-    def take_config(self, config: GatewayConfig, now_ms: float) -> bool:
+    def apply_config(self, config: GatewayConfig, now_ms: float) -> bool:
         """Put a configuration in force if it is newer than the present one; return if so."""
         if config.version <= self.config_version:
             return False
@@ -87,18 +87,18 @@
             self._encoded = EncodedConfig.from_config(self.config)
         return self._encoded
 
-    def offer_config(self, encoded: EncodedConfig) -> None:
+    def relay_config(self, encoded: EncodedConfig) -> None:
         """Keep an encoded configuration to pass it on to peers while it is decoded here."""
         known = self.encoded_config()
         if known is None or encoded.version > known.version:
             self._encoded = encoded
 
-    def withdraw_config(self, encoded: EncodedConfig) -> None:
+    def stop_relaying_config(self, encoded: EncodedConfig) -> None:
         """Stop passing on a configuration because it can't be decoded."""
         if self._encoded is encoded:
             self._encoded = None
 
-    def crossing(self, now_ms: float) -> bool:
+    def needs_remote_capacity(self, now_ms: float) -> bool:
         """Return whether some data centre can't serve its own requests, so that others have to.
 
         Most of its endpoints are then evacuated, unreachable or about to leave the registry.
@@ -112,9 +112,9 @@
         total, lost = Counter[str](), Counter[str]()
         for server in self.registry.servers():
             total[server.data_center] += 1
-            load = self.board.get(server.incarnation)
+            load = self.load_table.get(server.incarnation)
             out_of_reach = load is not None and load.unreachable(now_ms)
-            if out_of_reach or server.draining or self.registry.held(server):
+            if out_of_reach or server.draining or self.registry.in_grace_period(server):
                 lost[server.data_center] += 1
         if any(name in total for name in self.evacuated()):
             return True
@@ -125,8 +125,8 @@
         spec = None if self.config is None else self.config.services.get(service)
         return 0.0 if spec is None else spec.cold_per_s
 
-    def take_evacuations(
-        self, found: Evacuations, now_ms: float, taken_back: frozenset[str] = frozenset()
+    def apply_evacuations(
+        self, found: Evacuations, now_ms: float, revoked: frozenset[str] = frozenset()
     ) -> bool:
         """Apply a later version; return whether the evacuated data centres have changed.
 
@@ -139,7 +139,7 @@
         if era_of(found.version) > era_of(self.evacuations.version) and before:
             self._held_evacuations = before - found.data_centers
             self._held_until_ms = now_ms + EVACUATION_HOLD_MS
-        self._held_evacuations -= taken_back
+        self._held_evacuations -= revoked
         self.evacuations = found
         return before != self.evacuated()
 
@@ -147,29 +147,29 @@
         """Return the data centres whose endpoints get no requests."""
         return self.evacuations.data_centers | self._held_evacuations
 
-    def store_returned(self, now_ms: float) -> None:
+    def record_store_recovery(self, now_ms: float) -> None:
         """Record that the store answers again after an outage."""
         self._store_recovered_ms = now_ms
 
-    def store_was_away(self, now_ms: float) -> bool:
+    def store_was_unavailable(self, now_ms: float) -> bool:
         """Return whether an outage of the store has ended only a short time ago."""
         return now_ms - self._store_recovered_ms < STORE_RECOVERY_MS
 
-    def take_server(self, record: ServerRecord, now_ms: float, was_waited_for: bool = True) -> bool:
+    def apply_server_record(self, record: ServerRecord, now_ms: float, from_long_poll: bool = True) -> bool:
         """Apply the store's record of a backend server; return whether anything has changed.
 
         A record that `was_waited_for` came by a long poll and has just been written; another may
         have been written at any time since the last read.
         """
-        recovering = self.store_was_away(now_ms)
-        return self.registry.apply(record, now_ms, recovering, was_waited_for=was_waited_for)
+        recovering = self.store_was_unavailable(now_ms)
+        return self.registry.apply(record, now_ms, recovering, from_long_poll=from_long_poll)
 
-    def take_server_list(
+    def apply_server_list(
         self,
         records: tuple[ServerRecord, ...],
         end_offset: int,
         now_ms: float,
-        follows: bool = True,
+        follows_store: bool = True,
     ) -> tuple[str, ...]:
         """Apply the store's complete list; return the names that changed or vanished.
 
@@ -179,13 +179,13 @@
         newest_offset = end_offset - 1
         if newest_offset < self.registry.as_of:
             return ()
-        recovering = self.store_was_away(now_ms)
-        touched = self.registry.take_list(records, newest_offset, now_ms, recovering)
-        if follows:
-            self.registry.position.assume_changed()
+        recovering = self.store_was_unavailable(now_ms)
+        touched = self.registry.apply_snapshot(records, newest_offset, now_ms, recovering)
+        if follows_store:
+            self.registry.position.assume_last_change()
         return touched
 
-    def heard_config_as_of(self, config: int, evacuations: int, as_of: int) -> None:
+    def confirm_config_as_of(self, config: int, evacuations: int, as_of: int) -> None:
         """Record another VM's report that nothing newer was written up to `as_of`.
 
         `config` and `evacuations` are the versions that the other VM knows.
@@ -197,7 +197,7 @@
         """Drop backend servers whose hold time has passed; return the incarnations that ended."""
         if self._held_evacuations and now_ms >= self._held_until_ms:
             self._held_evacuations = frozenset()
-        gone = self.registry.expire(now_ms)
+        gone = self.registry.expire_grace_periods(now_ms)
         for incarnation in gone:
-            self.board.forget(incarnation)
+            self.load_table.forget(incarnation)
         return gone
--- a/cloverhook/gateway/load.py
+++ b/cloverhook/gateway/load.py
@@ -10,11 +10,11 @@
 from functools import partial
 
 from cloverhook.gateway.refusals import RefusalShare
-from cloverhook.gateway.trust import Trust
+from cloverhook.gateway.trust import CircuitBreaker
 
-__all__ = ["SLOW_PACE", "LoadBoard", "LoadFigure", "ServerLoad"]
+__all__ = ["SLOW_FACTOR", "LoadTable", "LoadReport", "ServerLoad"]
 
-SLOW_PACE = 2.5
+SLOW_FACTOR = 2.5
 """If work takes this many times as long, it is worth sending a request to a second endpoint as
 well, or avoiding the endpoint if that isn't possible."""
 USUAL_SLOWDOWN = 1.0
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LoadFigure:
+class LoadReport:
     """A load report: requests running, requests waiting and the slowdown against usual.
 
     `pace` is how many times as long as usual work takes. A cold endpoint stays cold for `cold_ms`;
@@ -42,9 +42,9 @@
 
     running: int
     waiting: int
-    pace: float
+    slowdown: float
     reachable: bool = True
-    cold_ms: float = 0.0
+    cold_for_ms: float = 0.0
 
 
 class ServerLoad:
@@ -74,10 +74,10 @@
         self._on_in_flight = on_in_flight
         self._in_flight = 0
         self._change_callbacks: list[Callable[[], None]] = []
-        self.trust = Trust()
+        self.circuit_breaker = CircuitBreaker()
         self._refusals = RefusalShare()
         self._peer_counts: dict[str, tuple[int, float]] = {}
-        self._latest_report: LoadFigure | None = None
+        self._latest_report: LoadReport | None = None
         self._latest_report_ms = -1e12
         self._last_probe_ms: float | None = None
         self._progress_ms = 0.0
@@ -99,7 +99,7 @@
         self._on_in_flight(count)
         self._notify_change()
 
-    def when_changed(self, callback: Callable[[], None]) -> None:
+    def on_next_change(self, callback: Callable[[], None]) -> None:
         """Call back once, at the next change that may affect the load."""
         self._change_callbacks.append(callback)
 
@@ -110,7 +110,7 @@
                 callback()
 
     @property
-    def figure(self) -> LoadFigure | None:
+    def latest_report(self) -> LoadReport | None:
         """The latest load report, whatever its age, or None."""
         return self._latest_report
 
@@ -118,11 +118,11 @@
         """Return the age of the latest load report."""
         return now_ms - self._latest_report_ms
 
-    def peer_has(self, vm: str, count: int, now_ms: float) -> None:
+    def set_peer_in_flight(self, vm: str, count: int, now_ms: float) -> None:
         """Set how many requests another VM has in flight there."""
         before, _ = self._peer_counts.get(vm, (0, 0.0))
         if before > count:
-            self._refusals.ended(before - count, now_ms)
+            self._refusals.record_ended(before - count, now_ms)
         if count:
             self._peer_counts[vm] = (count, now_ms)
         else:
@@ -130,7 +130,7 @@
         if count != before:
             self._notify_change()
 
-    def shared(self, now_ms: float) -> int:
+    def known_in_flight(self, now_ms: float) -> int:
         """Return the requests in flight there of this VM and of those that send it their counts."""
         if not self._peer_counts:
             return self._in_flight
@@ -139,7 +139,7 @@
             n for n, at_ms in self._peer_counts.values() if at_ms >= oldest_ms
         )
 
-    def report(self, figure: LoadFigure, at_ms: float, counted: int = 0) -> None:
+    def update(self, figure: LoadReport, at_ms: float, ended_count: int = 0) -> None:
         """Store a load report of the time `at_ms`; ignore it if it is older than the latest one.
 
         `counted` is how many requests in flight here the report no longer includes: the report in
@@ -147,26 +147,26 @@
         """
         if at_ms < self._latest_report_ms:
             return
-        self._progress_ms = self.progress_ms(at_ms)
+        self._progress_ms = self.expected_progress_ms(at_ms)
         self._progress_at_ms = at_ms
         self._latest_report = figure
         self._latest_report_ms = at_ms
-        self._in_flight_at_report = self.shared(at_ms) - counted
+        self._in_flight_at_report = self.known_in_flight(at_ms) - ended_count
         self._unreachable_until_ms = 0.0 if figure.reachable else at_ms + UNREACHABLE_MS
         self._notify_change()
 
-    def measured(self, figure: LoadFigure, at_ms: float) -> None:
+    def update_from_probe(self, figure: LoadReport, at_ms: float) -> None:
         """Store the load report of a probe by this VM or another one."""
         if self._last_probe_ms is None or at_ms >= self._last_probe_ms:
-            self._cold_until_ms = at_ms + figure.cold_ms if figure.cold_ms else 0.0
+            self._cold_until_ms = at_ms + figure.cold_for_ms if figure.cold_for_ms else 0.0
         self._last_probe_ms = max(at_ms, self._last_probe_ms or at_ms)
-        self.report(figure, at_ms)
+        self.update(figure, at_ms)
 
     def is_cold(self, now_ms: float) -> bool:
         """Return whether the latest probe found the endpoint cold and its cold time is not over."""
         return now_ms < self._cold_until_ms
 
-    def unmeasured_ms(self, now_ms: float) -> float:
+    def since_last_probe_ms(self, now_ms: float) -> float:
         """Return the time since the last probe's report; without one, since the first call."""
         if self._last_probe_ms is None:
             self._last_probe_ms = now_ms
@@ -174,19 +174,19 @@
 
     def load(self, now_ms: float) -> float:
         """Return the number of requests at the endpoint, as far as this VM knows."""
-        shared = self.shared(now_ms)
+        shared = self.known_in_flight(now_ms)
         if self._latest_report is None or self.age_ms(now_ms) > REPORT_LIFETIME_MS:
             return shared
         reported = self._latest_report.running + self._latest_report.waiting
         return max(shared, reported + shared - self._in_flight_at_report)
 
-    def pace(self, now_ms: float) -> float:
+    def slowdown(self, now_ms: float) -> float:
         """Return how many times as long as usual work takes there now."""
         if self._latest_report is None or self.age_ms(now_ms) > REPORT_LIFETIME_MS:
             return UNKNOWN_SLOWDOWN if self._latest_report is not None else USUAL_SLOWDOWN
-        return self._latest_report.pace
+        return self._latest_report.slowdown
 
-    def progress_ms(self, now_ms: float) -> float:
+    def expected_progress_ms(self, now_ms: float) -> float:
         """Return how much work a single request would have received there since the first report.
 
         The unit is a millisecond at the usual speed. The difference between two times is the work
@@ -195,42 +195,42 @@
         if self._latest_report is None:
             return 0.0
         return self._progress_ms + (now_ms - self._progress_at_ms) / max(
-            self._latest_report.pace, 0.1
+            self._latest_report.slowdown, 0.1
         )
 
     def unreachable(self, now_ms: float) -> bool:
         """Return whether the endpoint has recently been found unreachable."""
         return now_ms < self._unreachable_until_ms
 
-    def not_reached(self, now_ms: float) -> None:
+    def record_unreachable(self, now_ms: float) -> None:
         """Record an attempt that could not reach the endpoint."""
         self._unreachable_until_ms = now_ms + UNREACHABLE_MS
-        self.failed(now_ms)
+        self.record_failure(now_ms)
 
     def failure_share(self, now_ms: float) -> float:
         """Return the share of recent requests that failed there; it decays over time."""
         return self._failure_average * 0.5 ** ((now_ms - self._failure_ms) / FAILURE_HALF_LIFE_MS)
 
-    def failed(self, now_ms: float) -> None:
+    def record_failure(self, now_ms: float) -> None:
         """Record a failed request."""
         self._update_failure_average(1.0, now_ms)
 
-    def succeeded(self, now_ms: float) -> None:
+    def record_success(self, now_ms: float) -> None:
         """Record a request that was answered successfully."""
         if self._failure_average:
             self._update_failure_average(0.0, now_ms)
 
-    def refused(self, now_ms: float) -> None:
+    def record_refusal(self, now_ms: float) -> None:
         """Record a request of this VM or another one that was refused despite free slots."""
-        self._refusals.refused(now_ms)
+        self._refusals.record_refusal(now_ms)
 
     def refusal_share(self, now_ms: float) -> float:
         """Return the share of requests that are refused there despite free slots."""
-        return self._refusals.at(now_ms)
+        return self._refusals.share_at(now_ms)
 
-    def ended_here(self, now_ms: float) -> None:
+    def record_end(self, now_ms: float) -> None:
         """Record that a request of this VM has ended there."""
-        self._refusals.ended(1, now_ms)
+        self._refusals.record_ended(1, now_ms)
 
     def _update_failure_average(self, value: float, now_ms: float) -> None:
         share = self.failure_share(now_ms)
@@ -238,14 +238,14 @@
         self._failure_ms = now_ms
 
 
-class LoadBoard:
+class LoadTable:
     """The loads of all incarnations."""
 
     def __init__(self) -> None:
         self._loads: dict[str, ServerLoad] = {}
         self._in_flight: dict[str, int] = {}
 
-    def of(self, incarnation: str) -> ServerLoad:
+    def get_or_create(self, incarnation: str) -> ServerLoad:
         """Return the load of an incarnation; it is created on first use and kept."""
         load = self._loads.get(incarnation)
         if load is None:
@@ -276,7 +276,7 @@
         if load is not None and not load.in_flight:
             del self._loads[incarnation]
 
-    def sweep(self, known: Callable[[str], object]) -> None:
+    def remove_unknown(self, known: Callable[[str], object]) -> None:
         """Forget every incarnation that is not `known`.
 
         Updates on an incarnation may arrive after its removal and create its load again.
--- a/cloverhook/gateway/load_probe.py
+++ b/cloverhook/gateway/load_probe.py
@@ -6,19 +6,19 @@
 from dataclasses import replace
 
 from cloverhook.gateway.backend_server import BackendServer
-from cloverhook.gateway.call_headers import CallHeaders, cold_ms, find, load_figure
-from cloverhook.gateway.load import LoadFigure
+from cloverhook.gateway.call_headers import CallHeaders, find, parse_cold_ms, parse_load
+from cloverhook.gateway.load import LoadReport
 from cloverhook.upstream_connection import AnswerHead, RequestHead, UpstreamConnection
 
-__all__ = ["NOBODY", "ask_load"]
+__all__ = ["UNREACHABLE_REPORT", "probe_load"]
 
-NOBODY = LoadFigure(0, 0, 1.0, reachable=False)
+UNREACHABLE_REPORT = LoadReport(0, 0, 1.0, reachable=False)
 """The load report of an endpoint that can't be reached."""
 
 
-async def ask_load(
+async def probe_load(
     connection: UpstreamConnection, server: BackendServer, path: str, names: CallHeaders
-) -> tuple[AnswerHead, LoadFigure | None]:
+) -> tuple[AnswerHead, LoadReport | None]:
     """Return the head of the answer and the load report; `NOBODY` if another incarnation answers.
 
     The report is None if the endpoint provides none. Raises `UpstreamError`.
@@ -30,9 +30,9 @@
         _, more = await connection.read()
     named = find(head.headers, names.incarnation)
     if named is not None and named.decode("latin-1") != server.name:
-        return head, NOBODY
-    figure = load_figure(find(head.headers, names.load))
-    left_ms = cold_ms(find(head.headers, names.cold_ms))
+        return head, UNREACHABLE_REPORT
+    figure = parse_load(find(head.headers, names.load))
+    left_ms = parse_cold_ms(find(head.headers, names.cold_ms))
     if figure is not None and left_ms:
-        figure = replace(figure, cold_ms=left_ms)
+        figure = replace(figure, cold_for_ms=left_ms)
     return head, figure
--- a/cloverhook/gateway/ranking.py
+++ b/cloverhook/gateway/ranking.py
@@ -12,15 +12,15 @@
 
 import xxhash
 
-__all__ = ["place_in_order", "rank_weight"]
+__all__ = ["rendezvous_rank", "rendezvous_weight"]
 
 
-def rank_weight(key: str, vm: str) -> int:
+def rendezvous_weight(key: str, vm: str) -> int:
     """Return the weight of a VM for a task; the live VM with the highest weight gets the task."""
     return xxhash.xxh3_64_intdigest(f"{key}\0{vm}".encode())
 
 
-def place_in_order(key: str, own: str, others: Iterable[str]) -> int:
+def rendezvous_rank(key: str, own: str, others: Iterable[str]) -> int:
     """Return how many others precede a VM in the order for a task."""
-    weight = rank_weight(key, own)
-    return sum(1 for other in others if rank_weight(key, other) > weight)
+    weight = rendezvous_weight(key, own)
+    return sum(1 for other in others if rendezvous_weight(key, other) > weight)
--- a/cloverhook/gateway/rate_limits.py
+++ b/cloverhook/gateway/rate_limits.py
@@ -19,9 +19,9 @@
 from dataclasses import dataclass
 
 from cloverhook.gateway.backend_server import BackendServer
-from cloverhook.gateway.ranking import place_in_order
+from cloverhook.gateway.ranking import rendezvous_rank
 
-__all__ = ["NamedLimit", "RateLimits"]
+__all__ = ["AdvertisedLimit", "RateLimits"]
 
 MIN_SENDERS = 3
 """The fewest VMs that share a limit. With a single one, its loss would leave the endpoint unused
@@ -37,7 +37,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NamedLimit:
+class AdvertisedLimit:
     """The limit that an endpoint has advertised, and when it first and last did so."""
 
     per_s: float
@@ -48,11 +48,11 @@
 class RateLimits:
     """The limits in force, and this VM's share of them; times are monotonic."""
 
-    def __init__(self, own_vm: str, users_from: Callable[[str, float], tuple[str, ...]]) -> None:
+    def __init__(self, own_vm: str, senders_for: Callable[[str, float], tuple[str, ...]]) -> None:
         """`users_from` returns the VMs that place requests at a data centre's endpoints."""
         self._own_vm = own_vm
-        self._users_from = users_from
-        self._limits: dict[str, NamedLimit] = {}
+        self._senders_for = senders_for
+        self._limits: dict[str, AdvertisedLimit] = {}
         self._next_ms: dict[str, float] = {}
         self._ranks: dict[str, tuple[tuple[str, ...], int]] = {}
 
@@ -65,22 +65,22 @@
     def __iter__(self) -> Iterator[str]:
         return iter(self._limits)
 
-    def get(self, incarnation: str) -> NamedLimit | None:
+    def get(self, incarnation: str) -> AdvertisedLimit | None:
         """Return the limit of an endpoint, or None if it has advertised none."""
         return self._limits.get(incarnation)
 
-    def named(self, incarnation: str, per_s: float, at_ms: float) -> bool:
+    def record_limit(self, incarnation: str, per_s: float, at_ms: float) -> bool:
         """Record a limit that an endpoint advertised at `at_ms`; return whether it is different."""
         known = self._limits.get(incarnation)
         if known is None:
-            self._limits[incarnation] = NamedLimit(per_s, at_ms, at_ms)
+            self._limits[incarnation] = AdvertisedLimit(per_s, at_ms, at_ms)
             return True
         if at_ms < known.last_ms:
             return False
-        self._limits[incarnation] = NamedLimit(per_s, known.first_ms, at_ms)
+        self._limits[incarnation] = AdvertisedLimit(per_s, known.first_ms, at_ms)
         return per_s != known.per_s
 
-    def not_named(self, incarnation: str, at_ms: float) -> bool:
+    def record_no_limit(self, incarnation: str, at_ms: float) -> bool:
         """Record an answer without a limit at `at_ms`; return whether that ends a known limit."""
         known = self._limits.get(incarnation)
         if known is None or at_ms <= known.last_ms:
@@ -105,9 +105,9 @@
 
     def may_send(self, server: BackendServer, now_ms: float) -> bool:
         """Return whether this VM may send a request to an endpoint with a limit now."""
-        return self.places_within(server, now_ms, 0.0) >= 1
+        return self.available_within(server, now_ms, 0.0) >= 1
 
-    def places_within(self, server: BackendServer, now_ms: float, time_ms: float) -> float:
+    def available_within(self, server: BackendServer, now_ms: float, time_ms: float) -> float:
         """Return how many requests this VM may send to an endpoint with a limit in `time_ms`."""
         limit = self._limits[server.incarnation]
         spacing_ms = self._spacing_ms(server, limit, now_ms)
@@ -116,7 +116,7 @@
         first_ms = max(now_ms, self._next_ms.get(server.incarnation, 0.0))
         return max(0, 1 + (now_ms + time_ms - first_ms) // spacing_ms)
 
-    def sent(self, server: BackendServer, now_ms: float) -> None:
+    def record_sent(self, server: BackendServer, now_ms: float) -> None:
         """Record a request placed at an endpoint, which delays the next one if there is a limit."""
         limit = self._limits.get(server.incarnation)
         spacing_ms = None if limit is None else self._spacing_ms(server, limit, now_ms)
@@ -126,9 +126,9 @@
         due_ms = max(self._next_ms.get(server.incarnation, now_ms), now_ms - saved_ms)
         self._next_ms[server.incarnation] = due_ms + spacing_ms
 
-    def _spacing_ms(self, server: BackendServer, limit: NamedLimit, now_ms: float) -> float | None:
+    def _spacing_ms(self, server: BackendServer, limit: AdvertisedLimit, now_ms: float) -> float | None:
         """Return the time between two requests of this VM, or None if it may send none."""
-        vms = self._users_from(server.data_center, now_ms)
+        vms = self._senders_for(server.data_center, now_ms)
         if limit.per_s <= 0.0 or self._own_vm not in vms:
             return None
         senders = min(len(vms), max(MIN_SENDERS, int(limit.per_s)))
@@ -140,6 +140,6 @@
         """Return how many VMs precede this one in the order for an endpoint."""
         known = self._ranks.get(incarnation)
         if known is None or known[0] != vms:
-            rank = place_in_order(incarnation, self._own_vm, vms)
+            rank = rendezvous_rank(incarnation, self._own_vm, vms)
             known = self._ranks[incarnation] = vms, rank
         return known[1]
--- a/cloverhook/gateway/refusals.py
+++ b/cloverhook/gateway/refusals.py
@@ -31,12 +31,12 @@
     def __init__(self) -> None:
         self._refused = self._ended = self._at_ms = 0.0
 
-    def refused(self, now_ms: float) -> None:
+    def record_refusal(self, now_ms: float) -> None:
         """Record a refused request."""
         self._decay(now_ms)
         self._refused += 1.0
 
-    def ended(self, count: int, now_ms: float) -> None:
+    def record_ended(self, count: int, now_ms: float) -> None:
         """Record requests that have ended, in whatever way.
 
         Only requests that end after a refusal matter: nothing is counted before the first one.
@@ -45,7 +45,7 @@
             self._decay(now_ms)
             self._ended += count
 
-    def at(self, now_ms: float) -> float:
+    def share_at(self, now_ms: float) -> float:
         """Return the share of requests refused, from 0 to 1."""
         if not self._refused:
             return 0.0
--- a/cloverhook/gateway/splits.py
+++ b/cloverhook/gateway/splits.py
@@ -6,19 +6,19 @@
 
 import random
 
-from cloverhook.gateway.routes import Part, Route
+from cloverhook.gateway.routes import Route, WeightedService
 
-__all__ = ["Splits"]
+__all__ = ["TrafficSplitter"]
 
 
-class Splits:
+class TrafficSplitter:
     """The round-robin credits of the parts of each route."""
 
     def __init__(self, source: random.Random | None = None) -> None:
         self._random = source or random.Random()
-        self._credits: dict[str, tuple[tuple[Part, ...], list[float]]] = {}
+        self._credits: dict[str, tuple[tuple[WeightedService, ...], list[float]]] = {}
 
-    def next(self, route: Route) -> str:
+    def next_service(self, route: Route) -> str:
         """Return the service for the route's next request."""
         parts = route.parts
         if len(parts) == 1:
--- a/cloverhook/gateway/trust.py
+++ b/cloverhook/gateway/trust.py
@@ -18,13 +18,13 @@
 
 from collections import deque
 
-__all__ = ["ANSWERED_MS", "Accusations", "Trust"]
+__all__ = ["RECENT_ANSWER_MS", "FailureReportFilter", "CircuitBreaker"]
 
 FAILURES = 2
 """A single failure may be caused by the connection."""
 FAILURE_WINDOW_MS = 1_500.0
 """Failures further apart than this don't count as consecutive."""
-ANSWERED_MS = 3_000.0
+RECENT_ANSWER_MS = 3_000.0
 """If the reporting VM or this VM has had an answer from the endpoint within this time, a failure
 reported by another VM raises the count to one at most. Answers are not reported between VMs, so
 without this rule an endpoint that loses a few answers would look dead."""
@@ -41,7 +41,7 @@
 `REPORTED_SHARE_LIMIT` of all endpoints, is assumed to have a problem of its own."""
 
 
-class Trust:
+class CircuitBreaker:
     """The circuit breaker of one incarnation of an endpoint; times are on the monotonic clock."""
 
     __slots__ = (
@@ -61,11 +61,11 @@
         self._half_open = False
 
     @property
-    def in_question(self) -> bool:
+    def needs_check(self) -> bool:
         """Whether a failure or a half-open state has to be considered; false for most endpoints."""
         return self._failures > 0 or self._half_open
 
-    def failed(self, now_ms: float, began_ms: float) -> bool:
+    def record_failure(self, now_ms: float, began_ms: float) -> bool:
         """Record a request of this VM that failed; return whether that suspends the endpoint.
 
         Requests that were already in flight when another one failed, as in a crash, count together
@@ -82,13 +82,13 @@
             return True
         return False
 
-    def peer_failed(self, now_ms: float, began_ms: float, peer_answered: bool) -> bool:
+    def record_peer_failure(self, now_ms: float, began_ms: float, peer_answered: bool) -> bool:
         """Record a failure that another VM reports; return whether that suspends the endpoint.
 
         `peer_answered` tells whether the endpoint had answered that VM recently.
         """
-        if not peer_answered and not self.answered_since(now_ms - ANSWERED_MS):
-            return self.failed(now_ms, began_ms)
+        if not peer_answered and not self.answered_since(now_ms - RECENT_ANSWER_MS):
+            return self.record_failure(now_ms, began_ms)
         if not self._failures and began_ms >= self._last_failure_ms:
             self._failures, self._last_failure_ms = 1, now_ms
         return False
@@ -97,7 +97,7 @@
         """Return whether the endpoint has answered a request successfully since `since_ms`."""
         return self._last_answer_ms >= since_ms
 
-    def answered(self, now_ms: float) -> None:
+    def record_answer(self, now_ms: float) -> None:
         """Record a successful answer.
 
         An answer that arrives during a suspension belongs to a request that was sent before it, so
@@ -112,11 +112,11 @@
         """Return whether the endpoint should get no requests now."""
         return now_ms < self._suspended_until_ms
 
-    def is_on_trial(self, now_ms: float) -> bool:
+    def is_half_open(self, now_ms: float) -> bool:
         """Return whether the suspension is over and the endpoint has answered nothing since."""
         return self._half_open and now_ms >= self._suspended_until_ms
 
-    def is_doubted(self, now_ms: float) -> bool:
+    def has_unresolved_failure(self, now_ms: float) -> bool:
         """Return whether there is a recent failure that no answer to this VM has followed."""
         return self._failures > 0 and now_ms - self._last_failure_ms <= FAILURE_EXPIRY_MS
 
@@ -130,7 +130,7 @@
         self._suspended_until_ms = now_ms + length_ms
 
 
-class Accusations:
+class FailureReportFilter:
     """The failures that each VM has reported, to tell a faulty endpoint from a faulty VM.
 
     >>> reports = Accusations()
@@ -141,7 +141,7 @@
     def __init__(self) -> None:
         self._reports: dict[str, deque[tuple[float, str]]] = {}
 
-    def believed(self, vm: str, incarnation: str, endpoints: int, now_ms: float) -> bool:
+    def accept(self, vm: str, incarnation: str, endpoints: int, now_ms: float) -> bool:
         """Record a VM's report that an endpoint has failed; return whether the report counts."""
         reports = self._reports.setdefault(vm, deque())
         reports.append((now_ms, incarnation))
--- a/cloverhook/gateway/waiting_line.py
+++ b/cloverhook/gateway/waiting_line.py
@@ -18,9 +18,9 @@
 from math import log2
 
 from cloverhook.gateway.balancer import Balancer
-from cloverhook.gateway.choice import Choice, Room
+from cloverhook.gateway.choice import CapacityRequirement, Choice
 
-__all__ = ["Decision", "Waiter", "WaitingLine"]
+__all__ = ["Decision", "QueuedRequest", "RequestQueue"]
 
 TARGET_SHARE = 0.85
 """The share of the latency target that a gateway may use. The rest is for the way from the caller
@@ -51,25 +51,25 @@
 
 
 @dataclass(slots=True, eq=False)
-class Waiter:
+class QueuedRequest:
     """A request that waits for a backend server; times are on the monotonic clock."""
 
     service: str
     priority: int
     work_ms: float
     arrived_ms: float
-    aim_ms: float
+    objective_ms: float
     deadline_ms: float
-    tried: Collection[str] = ()
-    urgent: bool = True
-    repeatable: bool = True
+    tried_incarnations: Collection[str] = ()
+    is_top_priority: bool = True
+    retryable: bool = True
     regions: tuple[str, ...] = ()
     number: int = field(default=0)
 
     @property
     def in_time_until_ms(self) -> float:
         """The time after which an answer misses the latency target."""
-        return self.arrived_ms + TARGET_SHARE * self.aim_ms
+        return self.arrived_ms + TARGET_SHARE * self.objective_ms
 
     def can_be_in_time(self, now_ms: float) -> bool:
         """Return whether the request would still be in time with a slot that became free now."""
@@ -79,40 +79,40 @@
     def latest_start_ms(self) -> float:
         """The time after which a free slot comes too late for this request and goes to others."""
         latest_ms = self.in_time_until_ms - WORK_MARGIN * self.work_ms
-        put_off_ms = self.arrived_ms + PUT_OFF_SHARE * self.aim_ms
-        return latest_ms if self.urgent else min(latest_ms, put_off_ms)
+        put_off_ms = self.arrived_ms + PUT_OFF_SHARE * self.objective_ms
+        return latest_ms if self.is_top_priority else min(latest_ms, put_off_ms)
 
     def may_wait_late(self, now_ms: float) -> bool:
         """Return whether an important request that is already late should keep waiting."""
-        if not self.urgent:
+        if not self.is_top_priority:
             return False
         wait_until_ms = self.arrived_ms + LATE_WAIT_SHARE * (self.deadline_ms - self.arrived_ms)
         return now_ms < min(wait_until_ms, self.deadline_ms - WORK_MARGIN * self.work_ms)
 
     def should_retry_later(self, now_ms: float) -> bool:
         """Return whether a request without a free slot should be refused, to be retried later."""
-        return not self.urgent and now_ms >= self.arrived_ms + PUT_OFF_SHARE * self.aim_ms
+        return not self.is_top_priority and now_ms >= self.arrived_ms + PUT_OFF_SHARE * self.objective_ms
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
     """A request leaves the queue: it starts at `choice`, or is refused if that is None."""
 
-    waiter: Waiter
+    waiter: QueuedRequest
     choice: Choice | None
 
 
-ChoiceCache = dict[tuple[Room, int, bool, tuple[str, ...], tuple[str, ...]], Choice | None]
+ChoiceCache = dict[tuple[CapacityRequirement, int, bool, tuple[str, ...], tuple[str, ...]], Choice | None]
 """The choices made in one scan, by capacity required, work, whether the request can be retried,
 endpoints tried and regions."""
 
 
-class WaitingLine:
+class RequestQueue:
     """The queued requests of all services."""
 
     def __init__(self, balancer: Balancer) -> None:
         self._balancer = balancer
-        self._queues: dict[str, list[Waiter]] = {}
+        self._queues: dict[str, list[QueuedRequest]] = {}
         self._count = 0
 
     def __len__(self) -> int:
@@ -122,14 +122,14 @@
         """Return the services that have queued requests."""
         return tuple(self._queues)
 
-    def add(self, waiter: Waiter) -> None:
+    def add(self, waiter: QueuedRequest) -> None:
         """Insert a request, ordered by priority and then by arrival."""
         self._count += 1
         waiter.number = self._count
         queue = self._queues.setdefault(waiter.service, [])
         insort(queue, waiter, key=lambda item: (item.priority, item.number))
 
-    def remove(self, waiter: Waiter) -> None:
+    def remove(self, waiter: QueuedRequest) -> None:
         """Remove a request, for instance one whose caller has disconnected."""
         queue = self._queues.get(waiter.service)
         if queue is not None and waiter in queue:
@@ -152,23 +152,23 @@
         return None
 
     def _best_choice(
-        self, waiter: Waiter, now_ms: float, room: Room, cache: ChoiceCache
+        self, waiter: QueuedRequest, now_ms: float, room: CapacityRequirement, cache: ChoiceCache
     ) -> Choice | None:
         """Return the best endpoint for a request; `cache` keeps the choices of one scan."""
         work_step = int(WORK_STEPS_PER_DOUBLING * log2(max(1.0, waiter.work_ms)))
-        key = room, work_step, waiter.repeatable, tuple(waiter.tried), waiter.regions
+        key = room, work_step, waiter.retryable, tuple(waiter.tried_incarnations), waiter.regions
         if key not in cache:
-            request = waiter.service, waiter.work_ms, now_ms, waiter.tried
-            cache[key] = self._balancer.choose(*request, room, waiter.repeatable, waiter.regions)
+            request = waiter.service, waiter.work_ms, now_ms, waiter.tried_incarnations
+            cache[key] = self._balancer.choose(*request, room, waiter.retryable, waiter.regions)
         return cache[key]
 
-    def _decide(self, waiter: Waiter, now_ms: float, cache: ChoiceCache) -> Decision | None:
+    def _decide(self, waiter: QueuedRequest, now_ms: float, cache: ChoiceCache) -> Decision | None:
         """Return the decision on a request, or None if it should wait."""
         left_ms = waiter.in_time_until_ms - now_ms
-        without_slowdown = self._best_choice(waiter, now_ms, Room.UNHARMED, cache)
+        without_slowdown = self._best_choice(waiter, now_ms, CapacityRequirement.NO_SLOWDOWN, cache)
         if without_slowdown is not None and without_slowdown.expected_ms <= left_ms:
             return Decision(waiter, without_slowdown)
-        last_slot = self._best_choice(waiter, now_ms, Room.SLOT, cache)
+        last_slot = self._best_choice(waiter, now_ms, CapacityRequirement.FREE_SLOT, cache)
         if last_slot is not None and last_slot.expected_ms <= left_ms:
             slack_ms = left_ms - last_slot.expected_ms
             return Decision(waiter, last_slot) if slack_ms <= LAST_SLACK * waiter.work_ms else None
@@ -187,15 +187,15 @@
             return Decision(waiter, last_slot)
         return None if waiter.may_wait_late(now_ms) else Decision(waiter, None)
 
-    def _is_rate_limited(self, waiter: Waiter, now_ms: float) -> bool:
+    def _is_rate_limited(self, waiter: QueuedRequest, now_ms: float) -> bool:
         """Return whether rate limits leave no capacity that the request could wait for."""
-        if not self._balancer.knows_rate_limits():
+        if not self._balancer.has_rate_limits():
             return False
         before = self._queues[waiter.service].index(waiter)
         left_ms = max(0.0, waiter.latest_start_ms - now_ms)
         return self._balancer.is_rate_limited(waiter.service, now_ms, left_ms, before)
 
-    def _no_other_in_time(self, waiter: Waiter, now_ms: float) -> bool:
+    def _no_other_in_time(self, waiter: QueuedRequest, now_ms: float) -> bool:
         """Return whether no other queued request of the service can still be in time."""
         others = (item for item in self._queues[waiter.service] if item is not waiter)
         return not any(item.can_be_in_time(now_ms) for item in others)
