--- a/cloverhook/gateway/ranking.py
+++ b/cloverhook/gateway/ranking.py
@@ -4,7 +4,7 @@
 name; the one with the highest weight gets the task. When a VM joins or leaves, only its own tasks
 move.
 
->>> rendezvous_weight("reader", "vm-1") == rendezvous_weight("reader", "vm-1")
+>>> rank_weight("reader", "vm-1") == rank_weight("reader", "vm-1")
 True
 """
 
--- a/cloverhook/gateway/rate_limits.py
+++ b/cloverhook/gateway/rate_limits.py
@@ -8,9 +8,9 @@
 
 >>> limits = RateLimits("vm-1", lambda data_center, now_ms: ("vm-1",))
 >>> server = BackendServer("i-1", "orders", "10.0.0.1:9000", "papine")
->>> limits.record_limit("i-1", 2.0, 0.0), limits.may_send(server, 0.0)
+>>> limits.named("i-1", 2.0, 0.0), limits.may_send(server, 0.0)
 (True, True)
->>> limits.record_sent(server, 0.0)
+>>> limits.sent(server, 0.0)
 >>> limits.may_send(server, 499.0), limits.may_send(server, 500.0)
 (False, True)
 """
--- a/cloverhook/gateway/refusals.py
+++ b/cloverhook/gateway/refusals.py
@@ -8,9 +8,9 @@
 
 >>> share = RefusalShare()
 >>> for at_ms in range(0, 400, 100):
-...     share.record_refusal(at_ms)
-...     share.record_ended(2, at_ms)
->>> 0.3 < share.share_at(400.0) < 0.5, share.share_at(20_000.0) < 0.01
+...     share.refused(at_ms)
+...     share.ended(2, at_ms)
+>>> 0.3 < share.at(400.0) < 0.5, share.at(20_000.0) < 0.01
 (True, True)
 """
 
--- a/cloverhook/gateway/trust.py
+++ b/cloverhook/gateway/trust.py
@@ -9,10 +9,10 @@
 time, and only requests that can be retried, until one is answered successfully. A failure in this
 state suspends the endpoint for twice as long.
 
->>> trust = CircuitBreaker()
->>> trust.record_failure(0.0, began_ms=-5.0), trust.record_failure(10.0, began_ms=5.0)
+>>> trust = Trust()
+>>> trust.failed(0.0, began_ms=-5.0), trust.failed(10.0, began_ms=5.0)
 (False, True)
->>> trust.is_suspended(500.0), trust.is_suspended(1_500.0), trust.is_half_open(1_500.0)
+>>> trust.is_suspended(500.0), trust.is_suspended(1_500.0), trust.is_on_trial(1_500.0)
 (True, False, True)
 """
 
