--- a/cloverhook/gateway/balancer.py
+++ b/cloverhook/gateway/balancer.py
@@ -1,12 +1,12 @@
 """Chooses the backend server for a request.
 
 Layer: coordination.  Each candidate gets an expected duration: the work at its present speed plus
-the wait for a free slot. To compare candidates, surcharges are added for another data centre, for
+the wait for a free slot. To compare candidates, surcharges are added for a remote data centre, for
 slots in use and for recent failures. The candidate with the lowest cost wins. A small random factor
 keeps VMs that have the same load reports from all choosing the same endpoint.
 
 Not all endpoints of a large service are compared. Some that have room are sampled from the local
-data centre, and some from the other ones unless a local one is found that another data centre could
+data centre, and some from the remote ones unless a local endpoint is found that a remote one could
 hardly improve on.
 """
 
@@ -25,10 +25,10 @@
 __all__ = ["Balancer"]
 
 CROSS_DATA_CENTER_MS = 3.0
-"""The round trip to another data centre, about as long as the deployments state it."""
+"""The round trip to a remote data centre, about as long as the deployments state it."""
 CROSS_DATA_CENTER_SHARE = 0.25
-"""Another data centre is worth using if that saves this share of the work, because traffic between
-data centres is charged for."""
+"""Using a remote data centre pays if it saves this share of the work, because traffic between data
+centres is charged for."""
 COLD_SLOWDOWN = 2.0
 """A backend server works about half as fast for some seconds after its start."""
 BUSY_SHARE = 0.15
@@ -40,14 +40,14 @@
 at least one of these runs at its usual speed with near certainty, and the VMs don't all choose the
 same one."""
 REMOTE_SAMPLE_SIZE = 16
-"""How many endpoints of the other data centres are compared. They are considered when the local
-ones have little room."""
+"""How many endpoints of remote data centres are compared. They are considered when the local ones
+have little room."""
 NEW_CONNECTION_SHARE = 0.07
 """A new connection takes some time of its endpoint and is charged for, but that is less than the
 advantage of an endpoint that is less busy."""
 FAILURE_WEIGHT = 8.0
 REFUSAL_WEIGHT = 1.0
-"""A refused request costs little time, but it costs a retry, and few retries are allowed."""
+"""A rejected request costs little time, but it costs a retry, and few retries are allowed."""
 UNRESOLVED_FAILURE_WEIGHT = 6.0
 """How many times as bad the other endpoints must be before a request that can't be retried goes to
 one that has failed recently."""
@@ -56,7 +56,7 @@
 network failure on the way there is more likely than so few working endpoints."""
 PANIC_CHECK_MS = 200.0
 """The share of suspended endpoints is recalculated after this time."""
-HELD_WEIGHT = 4.0
+GRACE_PERIOD_WEIGHT = 4.0
 """An endpoint whose entry has vanished from the store may still serve, but others are preferred."""
 
 
@@ -78,11 +78,11 @@
         "best",
         "best_cost",
         "best_expected_ms",
-        "degrades_when_full",
+        "last_slots_degrade",
         "nearly_full_slowdown",
         "now_ms",
-        "repeatable",
-        "room",
+        "required",
+        "retryable",
         "sampled",
         "service",
         "tried",
@@ -101,19 +101,23 @@
         estimates: WorkEstimates,
     ) -> None:
         self.service, self.work_ms, self.now_ms = service, work_ms, now_ms
-        self.tried_incarnations, self.required_capacity, self.retryable = tried_incarnations, required_capacity, retryable
+        self.tried, self.required, self.retryable = (
+            tried_incarnations,
+            required_capacity,
+            retryable,
+        )
         self.nearly_full_slowdown = estimates.nearly_full_slowdown(service)
-        self.degrades_when_full = estimates.degrades_when_full(service)
+        self.last_slots_degrade = estimates.degrades_when_full(service)
         self._limits: dict[int, float] = {}
         self.best: BackendServer | None = None
         self.best_expected_ms = self.best_cost = 0.0
         self.sampled = self.usable = 0
 
     def limit(self, slots: int) -> float:
-        """Return the number of requests at which an endpoint no longer has room."""
+        """Return the number of requests at which an endpoint lacks the required capacity."""
         limit = self._limits.get(slots)
         if limit is None:
-            limit = self._limits[slots] = self.required_capacity.limit(slots, self.degrades_when_full)
+            limit = self._limits[slots] = self.required.limit(slots, self.last_slots_degrade)
         return limit
 
 
@@ -123,7 +127,7 @@
     def __init__(
         self,
         registry: Registry,
-        board: LoadTable,
+        load_table: LoadTable,
         estimates: WorkEstimates,
         data_center: str,
         source: random.Random,
@@ -146,12 +150,14 @@
         self._has_connection = has_connection
         self._estimates = estimates
         self._registry = registry
-        self._board = board
+        self._load_table = load_table
         self._data_center = data_center
         self._source = source
         self._random = source.random
         self._panic_checks: dict[str, tuple[float, bool]] = {}
-        self._candidates: dict[tuple[str, CapacityRequirement, tuple[str, ...]], _UsableEndpoints] = {}
+        self._candidates: dict[
+            tuple[str, CapacityRequirement, tuple[str, ...]], _UsableEndpoints
+        ] = {}
 
     def choose(
         self,
@@ -165,12 +171,20 @@
     ) -> Choice | None:
         """Return the best backend server found that has not been tried and has room, or None.
 
-        An endpoint that can't be reached counts as having no room: it would use up a request's
-        attempts while the others are full, and at those a slot becomes free in time for most
-        requests. A request that is not `repeatable` never goes to an endpoint whose circuit breaker
-        is half-open, and one with `regions` goes only to data centres in these.
+        An endpoint that can't be reached is treated as full: it would use up a request's attempts
+        while the others are full, and at those a slot becomes free in time for most requests. A
+        request that is not `retryable` never goes to an endpoint whose circuit breaker is
+        half-open, and one with `regions` goes only to data centres in these.
         """
-        selection = _Look(service, work_ms, now_ms, tried_incarnations, required_capacity, retryable, self._estimates)
+        selection = _Look(
+            service,
+            work_ms,
+            now_ms,
+            tried_incarnations,
+            required_capacity,
+            retryable,
+            self._estimates,
+        )
         local, remote = self._candidates_of(service, required_capacity, regions)
         self._compare_sample(selection, local, LOCAL_SAMPLE_SIZE)
         few_local = local.total <= LOCAL_SAMPLE_SIZE
@@ -182,7 +196,7 @@
             self._compare_sample(selection, remote, REMOTE_SAMPLE_SIZE)
         if selection.best is None:
             return None
-        load = self._board.get_or_create(selection.best.incarnation)
+        load = self._load_table.get_or_create(selection.best.incarnation)
         endpoints = local.total + remote.total
         return Choice(
             selection.best,
@@ -195,11 +209,11 @@
         )
 
     def _candidates_of(
-        self, service: str, room: CapacityRequirement, regions: tuple[str, ...]
+        self, service: str, required_capacity: CapacityRequirement, regions: tuple[str, ...]
     ) -> tuple[Candidates, Candidates]:
-        """Return the candidates of the local and of the other data centres, kept for each room."""
+        """Return the local and the remote candidates; each capacity requirement has its own."""
         servers, excluded = self._registry.of_service(service), self._evacuated()
-        known = self._candidates.get((service, room, regions))
+        known = self._candidates.get((service, required_capacity, regions))
         if known is not None and known.servers is servers and known.evacuated == excluded:
             return known.local, known.remote
         usable = [
@@ -212,7 +226,7 @@
         known = _UsableEndpoints(
             servers, excluded, Candidates(local, self._source), Candidates(remote, self._source)
         )
-        self._candidates[service, room, regions] = known
+        self._candidates[service, required_capacity, regions] = known
         return known.local, known.remote
 
     def may_receive(self, server: BackendServer) -> bool:
@@ -230,26 +244,26 @@
 
     def _compare_sample(self, selection: "_Look", candidates: Candidates, count: int) -> None:
         """Sample some candidates and keep the best one."""
-        now_ms, work_ms, board = selection.now_ms, selection.work_ms, self._board
+        now_ms, work_ms, load_table = selection.now_ms, selection.work_ms, self._load_table
         for server in candidates.sample(count, now_ms):
             selection.sampled += 1
-            load = board.get_or_create(server.incarnation)
+            load = load_table.get_or_create(server.incarnation)
             busy = load.load(now_ms)
             if busy >= selection.limit(server.slots) or load.unreachable(now_ms):
                 candidates.set_aside(load, now_ms)
                 continue
-            if server.incarnation in selection.tried_incarnations or not self._rate_limit_allows(server, now_ms):
+            if server.incarnation in selection.tried or not self._rate_limit_allows(server, now_ms):
                 continue
             if load.circuit_breaker.needs_check and not self._breaker_allows(selection, load):
                 continue
-            slowdown = load.slowdown(now_ms)
+            effective_slowdown = load.slowdown(now_ms)
             if self._is_cold(server, load, now_ms):
                 if not self._cold_limit_allows(server, now_ms):
                     continue
-                slowdown *= COLD_SLOWDOWN
+                effective_slowdown *= COLD_SLOWDOWN
             selection.usable += 1
             expected_ms = self._expected_ms(
-                server, slowdown, busy, work_ms, selection.nearly_full_slowdown
+                server, effective_slowdown, busy, work_ms, selection.nearly_full_slowdown
             )
             cost = self._cost(server, load, busy, expected_ms, work_ms, now_ms)
             if not selection.retryable and load.circuit_breaker.has_unresolved_failure(now_ms):
@@ -263,7 +277,7 @@
 
     def record_placement(self, server: BackendServer, now_ms: float) -> None:
         """Count a placed request against the backend server's cold limit and rate limit, if any."""
-        load = self._board.get_or_create(server.incarnation)
+        load = self._load_table.get_or_create(server.incarnation)
         if self._cold_limit is not None and self._is_cold(server, load, now_ms):
             self._cold_limit.record_sent(server, now_ms)
 
@@ -281,11 +295,14 @@
         """Return whether any endpoint has advertised a rate limit."""
         return bool(self._rate_limits)
 
-    def is_rate_limited(self, service: str, now_ms: float, within_ms: float, queued_ahead: int = 0) -> bool:
-        """Return whether rate limits leave no room for a request within `time_ms`.
+    def is_rate_limited(
+        self, service: str, now_ms: float, within_ms: float, queued_ahead: int = 0
+    ) -> bool:
+        """Return whether rate limits leave no room for a request within `within_ms`.
 
-        `before` requests are served first. None is left if all usable endpoints have advertised a
-        limit, and these requests use up what the endpoints accept from this VM in that time.
+        `queued_ahead` requests are served first. None is left if all usable endpoints have
+        advertised a limit, and these requests use up what the endpoints accept from this VM in that
+        time.
         """
         limits = self._rate_limits
         if not limits:
@@ -310,11 +327,11 @@
 
     def _breaker_allows(self, selection: "_Look", load: ServerLoad) -> bool:
         """Return whether an endpoint that has failed requests may get this one."""
-        trust, now_ms = load.circuit_breaker, selection.now_ms
-        if trust.is_half_open(now_ms):
+        breaker, now_ms = load.circuit_breaker, selection.now_ms
+        if breaker.is_half_open(now_ms):
             allowed = selection.retryable and not load.in_flight
         else:
-            allowed = not trust.is_suspended(now_ms)
+            allowed = not breaker.is_suspended(now_ms)
         return allowed or self._in_panic(selection.service, now_ms)
 
     def _in_panic(self, service: str, now_ms: float) -> bool:
@@ -323,7 +340,7 @@
         if now_ms < due_ms:
             return in_panic
         servers = self._registry.of_service(service)
-        loads = (self._board.get_or_create(server.incarnation) for server in servers)
+        loads = (self._load_table.get_or_create(server.incarnation) for server in servers)
         suspended = sum(1 for load in loads if load.circuit_breaker.is_suspended(now_ms))
         in_panic = suspended > PANIC_SHARE * len(servers)
         self._panic_checks[service] = now_ms + PANIC_CHECK_MS, in_panic
@@ -366,7 +383,7 @@
         if refusals:
             cost *= 1.0 + REFUSAL_WEIGHT * refusals
         if self._registry.in_grace_period(server):
-            cost *= HELD_WEIGHT
+            cost *= GRACE_PERIOD_WEIGHT
         if server.data_center != self._data_center:
             cost += CROSS_DATA_CENTER_SHARE * work_ms
         if not self._has_connection(server.incarnation):
--- a/cloverhook/gateway/candidates.py
+++ b/cloverhook/gateway/candidates.py
@@ -2,13 +2,13 @@
 
 Layer: state.  The cost of iterating over all endpoints grows with their number, and matters most in
 overload, when queued requests are reconsidered at every change. So endpoints that are found full
-are set aside. They return when there is news of their load or after a while, because counts and
-load reports also expire. Sampling from the others costs the same however many there are, and
-nothing once all are full.
+are set aside. They return when their load changes or after a while, because counts and load reports
+also expire. Sampling from the others costs the same however many there are, and nothing once all
+are full.
 
 >>> servers = tuple(BackendServer(f"i-{n}", "bookings", f"10.0.0.{n}:80", "here") for n in range(9))
 >>> candidates = Candidates(servers, random.Random(1))
->>> len(tuple(candidates.draw(4, 0.0)))
+>>> len(tuple(candidates.sample(4, 0.0)))
 4
 """
 
@@ -66,7 +66,7 @@
             self._index += 1
 
     def set_aside(self, load: ServerLoad, now_ms: float) -> None:
-        """Set aside the endpoint yielded last, until its load changes or for a limited time."""
+        """Set aside the endpoint yielded last, until its load changes or `RETURN_MS` has passed."""
         available, index = self._available, self._index
         server = available[index]
         available[index] = available[-1]
--- a/cloverhook/gateway/choice.py
+++ b/cloverhook/gateway/choice.py
@@ -9,7 +9,7 @@
 
 from cloverhook.gateway.backend_server import BackendServer
 
-__all__ = ["Choice", "CapacityRequirement", "WorkEstimates", "nearly_full"]
+__all__ = ["CapacityRequirement", "Choice", "WorkEstimates", "nearly_full"]
 
 NEARLY_FULL_SHARE = 0.8
 """Some backend servers slow down once this share of their slots is in use."""
@@ -21,7 +21,7 @@
 requests."""
 WORK_SMOOTHING = 0.1
 INITIAL_WORK_SHARE = 0.4
-"""Until a route has been measured, its work is estimated as this share of its latency target."""
+"""Until a route has been measured, its work is estimated as this share of its latency objective."""
 
 
 class CapacityRequirement(Enum):
@@ -32,9 +32,9 @@
     NO_SLOWDOWN = "unharmed"
 
     def limit(self, slots: int, degrades_when_full: bool) -> float:
-        """Return the number of requests at which an endpoint no longer has this capacity.
+        """Return the number of requests at which an endpoint lacks this capacity.
 
-        `UNHARMED` leaves the last slots free if their use slows down the other work.
+        `NO_SLOWDOWN` leaves the last slots free if their use slows down the other work.
         """
         if self is CapacityRequirement.NONE:
             return math.inf
@@ -76,16 +76,18 @@
         """Return how many times as long work takes at an endpoint that is nearly full."""
         return self._nearly_full_slowdown.get(service, INITIAL_NEARLY_FULL_SLOWDOWN)
 
-    def record_latency(self, route: str, objective_ms: float, latency_ms: float, choice: Choice) -> None:
+    def record_latency(
+        self, route: str, objective_ms: float, latency_ms: float, choice: Choice
+    ) -> None:
         """Update the estimates with the latency of a request that found a free slot."""
-        usual_ms = latency_ms / max(choice.slowdown, 0.1)
+        nominal_ms = latency_ms / max(choice.slowdown, 0.1)
         before_ms = self.work_ms(route, objective_ms)
         if not nearly_full(choice.load, choice.server.slots):
-            self._work_ms[route] = before_ms + WORK_SMOOTHING * (usual_ms - before_ms)
+            self._work_ms[route] = before_ms + WORK_SMOOTHING * (nominal_ms - before_ms)
             return
         service = choice.server.service
         before = self.nearly_full_slowdown(service)
-        ratio = min(usual_ms / max(before_ms, 1.0), MAX_NEARLY_FULL_SLOWDOWN)
+        ratio = min(nominal_ms / max(before_ms, 1.0), MAX_NEARLY_FULL_SLOWDOWN)
         self._nearly_full_slowdown[service] = before + NEARLY_FULL_SMOOTHING * (ratio - before)
 
     def degrades_when_full(self, service: str) -> bool:
--- a/cloverhook/gateway/cold_limit.py
+++ b/cloverhook/gateway/cold_limit.py
@@ -5,7 +5,7 @@
 back in a burst, each VM alone would stay below the rate, and all together would exceed it. So only
 a few VMs use a cold endpoint, namely the first ones of an order that each VM computes for itself.
 Each of them keeps to its share of the rate, and unused shares don't accumulate. No communication is
-needed. Where the VMs' member lists differ, for instance because some VMs are cut off, a few more
+needed. Where the VMs' member lists differ, for instance because some VMs are isolated, a few more
 VMs count themselves among the first ones; each sends only its share, so that twice as many still
 stay below what the endpoint can serve.
 """
@@ -16,7 +16,7 @@
 from cloverhook.gateway.backend_server import BackendServer
 from cloverhook.gateway.ranking import rendezvous_rank
 
-__all__ = ["ColdRateBound", "ColdLimit"]
+__all__ = ["ColdLimit", "ColdRateBound"]
 
 MAX_SENDERS = 3
 """How many VMs use a cold endpoint. With one, its loss would leave the endpoint idle. With all, the
@@ -29,7 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdRateBound:
-    """In a second, a cold endpoint gets at most `over` times its rate plus `slack` requests."""
+    """The bound on the requests that a cold endpoint gets in a second.
+
+    It is `rate_factor` times the endpoint's rate plus `burst` requests.
+    """
 
     rate_factor: float = 1.5
     burst: float = 8.0
@@ -53,7 +56,7 @@
         rate_per_s: Callable[[str], float],
         bound: ColdRateBound,
     ) -> None:
-        """`users_from` returns the VMs that place requests at a data centre's endpoints.
+        """`senders_for` returns the VMs that place requests at a data centre's endpoints.
 
         `rate_per_s` returns how many requests a second a cold endpoint of a service can serve; 0
         means no limit.
--- a/cloverhook/gateway/knowledge.py
+++ b/cloverhook/gateway/knowledge.py
@@ -20,7 +20,7 @@
 STORE_RECOVERY_MS = 4_000.0
 """For this long after the store's return, entries that vanish may have expired during its
 outage."""
-EVACUATION_HOLD_MS = 3_000.0
+EVACUATION_GRACE_MS = 3_000.0
 """For this long after the store has returned from an older copy, evacuations missing from that copy
 stay in force, because operators write them again."""
 CAPACITY_CHECK_MS = 250.0
@@ -42,11 +42,11 @@
         self.registry = Registry(drain_ms)
         self.load_table = LoadTable()
         self._store_recovered_ms = -STORE_RECOVERY_MS
-        self._entered_era = 0
-        self._held_evacuations: frozenset[str] = frozenset()
-        self._held_until_ms = 0.0
-        self._crossing = False
-        self._crossing_due_ms = 0.0
+        self._begun_era = 0
+        self._retained_evacuations: frozenset[str] = frozenset()
+        self._retained_until_ms = 0.0
+        self._remote_capacity_needed = False
+        self._capacity_check_due_ms = 0.0
 
     @property
     def config_version(self) -> int:
@@ -57,23 +57,23 @@
     def store_era(self) -> int:
         """The latest era of the store that anything known here belongs to."""
         known_version = max(self.registry.as_of, self.evacuations.version)
-        return max(self._entered_era, era_of(known_version))
+        return max(self._begun_era, era_of(known_version))
 
     def begin_store_era(self, era: int, now_ms: float) -> None:
         """Record that the store has returned from an older copy.
 
         Entries missing from that copy may soon be written again.
         """
-        self._entered_era = era
+        self._begun_era = era
         self.record_store_recovery(now_ms)
 
     @property
     def can_serve(self) -> bool:
-        """Whether requests can be served: there are a configuration and a backend server."""
+        """Whether requests can be served: there is a configuration, and at least one endpoint."""
         return self.config is not None and len(self.registry) > 0
 
     def apply_config(self, config: GatewayConfig, now_ms: float) -> bool:
-        """Put a configuration in force if it is newer than the present one; return if so."""
+        """Put a configuration in force if it is newer; return whether it is."""
         if config.version <= self.config_version:
             return False
         self.config = config
@@ -88,27 +88,28 @@
         return self._encoded
 
     def relay_config(self, encoded: EncodedConfig) -> None:
-        """Keep an encoded configuration to pass it on to peers while it is decoded here."""
+        """Keep an encoded configuration to relay it to peers while it is decoded here."""
         known = self.encoded_config()
         if known is None or encoded.version > known.version:
             self._encoded = encoded
 
     def stop_relaying_config(self, encoded: EncodedConfig) -> None:
-        """Stop passing on a configuration because it can't be decoded."""
+        """Stop relaying a configuration that can't be decoded."""
         if self._encoded is encoded:
             self._encoded = None
 
     def needs_remote_capacity(self, now_ms: float) -> bool:
-        """Return whether some data centre can't serve its own requests, so that others have to.
+        """Return whether some data centre can't serve its own requests.
 
-        Most of its endpoints are then evacuated, unreachable or about to leave the registry.
+        Most of its endpoints are then evacuated, unreachable or about to leave the registry, and
+        its requests have to be placed in remote data centres.
         """
-        if now_ms >= self._crossing_due_ms:
-            self._crossing_due_ms = now_ms + CAPACITY_CHECK_MS
-            self._crossing = self._is_crossing(now_ms)
-        return self._crossing
+        if now_ms >= self._capacity_check_due_ms:
+            self._capacity_check_due_ms = now_ms + CAPACITY_CHECK_MS
+            self._remote_capacity_needed = self._lacks_capacity(now_ms)
+        return self._remote_capacity_needed
 
-    def _is_crossing(self, now_ms: float) -> bool:
+    def _lacks_capacity(self, now_ms: float) -> bool:
         total, lost = Counter[str](), Counter[str]()
         for server in self.registry.servers():
             total[server.data_center] += 1
@@ -131,35 +132,37 @@
         """Apply a later version; return whether the evacuated data centres have changed.
 
         A version of a later era may lack the last writes, so the evacuations missing from it stay
-        in force for a while, except those that operators have `taken_back` since.
+        in force for `EVACUATION_GRACE_MS`, except those that operators have `revoked` since.
         """
         if found.version <= self.evacuations.version:
             return False
         before = self.evacuated()
         if era_of(found.version) > era_of(self.evacuations.version) and before:
-            self._held_evacuations = before - found.data_centers
-            self._held_until_ms = now_ms + EVACUATION_HOLD_MS
-        self._held_evacuations -= revoked
+            self._retained_evacuations = before - found.data_centers
+            self._retained_until_ms = now_ms + EVACUATION_GRACE_MS
+        self._retained_evacuations -= revoked
         self.evacuations = found
         return before != self.evacuated()
 
     def evacuated(self) -> frozenset[str]:
         """Return the data centres whose endpoints get no requests."""
-        return self.evacuations.data_centers | self._held_evacuations
+        return self.evacuations.data_centers | self._retained_evacuations
 
     def record_store_recovery(self, now_ms: float) -> None:
-        """Record that the store answers again after an outage."""
+        """Record that the store is available again."""
         self._store_recovered_ms = now_ms
 
     def store_was_unavailable(self, now_ms: float) -> bool:
-        """Return whether an outage of the store has ended only a short time ago."""
+        """Return whether the store was unavailable until a short time ago."""
         return now_ms - self._store_recovered_ms < STORE_RECOVERY_MS
 
-    def apply_server_record(self, record: ServerRecord, now_ms: float, from_long_poll: bool = True) -> bool:
+    def apply_server_record(
+        self, record: ServerRecord, now_ms: float, from_long_poll: bool = True
+    ) -> bool:
         """Apply the store's record of a backend server; return whether anything has changed.
 
-        A record that `was_waited_for` came by a long poll and has just been written; another may
-        have been written at any time since the last read.
+        A record `from_long_poll` has just been written; another one may have been written at any
+        time since the last read.
         """
         recovering = self.store_was_unavailable(now_ms)
         return self.registry.apply(record, now_ms, recovering, from_long_poll=from_long_poll)
@@ -171,10 +174,11 @@
         now_ms: float,
         follows_store: bool = True,
     ) -> tuple[str, ...]:
-        """Apply the store's complete list; return the names that changed or vanished.
+        """Apply a full snapshot of the store's list; return the names that changed or vanished.
 
-        A list that ends before what is known was read from a copy that lags, and is ignored. Other
-        VMs rely on a VM that `follows` the store from then on, and request all that it knows.
+        A snapshot that ends before what is known was read from a copy that lags, and is ignored.
+        Other VMs rely on a VM that follows the store (`follows_store`) from then on, and request
+        all that it knows.
         """
         newest_offset = end_offset - 1
         if newest_offset < self.registry.as_of:
@@ -188,15 +192,15 @@
     def confirm_config_as_of(self, config: int, evacuations: int, as_of: int) -> None:
         """Record another VM's report that nothing newer was written up to `as_of`.
 
-        `config` and `evacuations` are the versions that the other VM knows.
+        `config` and `evacuations` are the versions that the other VM has.
         """
         if config <= self.config_version and evacuations <= self.evacuations.version:
             self.config_as_of = max(self.config_as_of, as_of)
 
     def expire(self, now_ms: float) -> tuple[str, ...]:
-        """Drop backend servers whose hold time has passed; return the incarnations that ended."""
-        if self._held_evacuations and now_ms >= self._held_until_ms:
-            self._held_evacuations = frozenset()
+        """Drop backend servers whose grace period is over; return the incarnations that ended."""
+        if self._retained_evacuations and now_ms >= self._retained_until_ms:
+            self._retained_evacuations = frozenset()
         gone = self.registry.expire_grace_periods(now_ms)
         for incarnation in gone:
             self.load_table.forget(incarnation)
--- a/cloverhook/gateway/load.py
+++ b/cloverhook/gateway/load.py
@@ -12,7 +12,7 @@
 from cloverhook.gateway.refusals import RefusalShare
 from cloverhook.gateway.trust import CircuitBreaker
 
-__all__ = ["SLOW_FACTOR", "LoadTable", "LoadReport", "ServerLoad"]
+__all__ = ["SLOW_FACTOR", "LoadReport", "LoadTable", "ServerLoad"]
 
 SLOW_FACTOR = 2.5
 """If work takes this many times as long, it is worth sending a request to a second endpoint as
@@ -22,7 +22,7 @@
 """Assumed without a fresh load report: worse than usual, better than an endpoint known to be
 slow."""
 REPORT_LIFETIME_MS = 1_500.0
-"""Other data centres send a load report when it changes and again after a second; one may be
+"""Remote data centres send a load report when it changes and again after a second; one may be
 lost."""
 COUNT_LIFETIME_MS = 700.0
 """A peer repeats its counts four times a second; the counts of a peer that has stopped expire."""
@@ -36,8 +36,8 @@
 class LoadReport:
     """A load report: requests running, requests waiting and the slowdown against usual.
 
-    `pace` is how many times as long as usual work takes. A cold endpoint stays cold for `cold_ms`;
-    only probes report that.
+    `slowdown` is how many times as long as usual work takes. A cold endpoint stays cold for
+    `cold_for_ms`; only probes report that.
     """
 
     running: int
@@ -66,11 +66,14 @@
         "_progress_ms",
         "_refusals",
         "_unreachable_until_ms",
-        "trust",
+        "circuit_breaker",
     )
 
     def __init__(self, on_in_flight: Callable[[int], None] = lambda count: None) -> None:
-        """Start without any data; `used` is called with each new count of this VM's requests."""
+        """Start without any data.
+
+        `on_in_flight` is called with each new count of requests that this VM has in flight there.
+        """
         self._on_in_flight = on_in_flight
         self._in_flight = 0
         self._change_callbacks: list[Callable[[], None]] = []
@@ -139,28 +142,28 @@
             n for n, at_ms in self._peer_counts.values() if at_ms >= oldest_ms
         )
 
-    def update(self, figure: LoadReport, at_ms: float, ended_count: int = 0) -> None:
+    def update(self, report: LoadReport, at_ms: float, ended_count: int = 0) -> None:
         """Store a load report of the time `at_ms`; ignore it if it is older than the latest one.
 
-        `counted` is how many requests in flight here the report no longer includes: the report in
-        an answer leaves out the request answered.
+        `ended_count` is how many requests in flight here the report no longer includes: the report
+        in an answer leaves out the request answered.
         """
         if at_ms < self._latest_report_ms:
             return
         self._progress_ms = self.expected_progress_ms(at_ms)
         self._progress_at_ms = at_ms
-        self._latest_report = figure
+        self._latest_report = report
         self._latest_report_ms = at_ms
         self._in_flight_at_report = self.known_in_flight(at_ms) - ended_count
-        self._unreachable_until_ms = 0.0 if figure.reachable else at_ms + UNREACHABLE_MS
+        self._unreachable_until_ms = 0.0 if report.reachable else at_ms + UNREACHABLE_MS
         self._notify_change()
 
-    def update_from_probe(self, figure: LoadReport, at_ms: float) -> None:
+    def update_from_probe(self, report: LoadReport, at_ms: float) -> None:
         """Store the load report of a probe by this VM or another one."""
         if self._last_probe_ms is None or at_ms >= self._last_probe_ms:
-            self._cold_until_ms = at_ms + figure.cold_for_ms if figure.cold_for_ms else 0.0
+            self._cold_until_ms = at_ms + report.cold_for_ms if report.cold_for_ms else 0.0
         self._last_probe_ms = max(at_ms, self._last_probe_ms or at_ms)
-        self.update(figure, at_ms)
+        self.update(report, at_ms)
 
     def is_cold(self, now_ms: float) -> bool:
         """Return whether the latest probe found the endpoint cold and its cold time is not over."""
@@ -173,12 +176,12 @@
         return now_ms - self._last_probe_ms
 
     def load(self, now_ms: float) -> float:
-        """Return the number of requests at the endpoint, as far as this VM knows."""
-        shared = self.known_in_flight(now_ms)
+        """Return the number of requests at the endpoint, as far as is known here."""
+        known = self.known_in_flight(now_ms)
         if self._latest_report is None or self.age_ms(now_ms) > REPORT_LIFETIME_MS:
-            return shared
+            return known
         reported = self._latest_report.running + self._latest_report.waiting
-        return max(shared, reported + shared - self._in_flight_at_report)
+        return max(known, reported + known - self._in_flight_at_report)
 
     def slowdown(self, now_ms: float) -> float:
         """Return how many times as long as usual work takes there now."""
@@ -221,11 +224,11 @@
             self._update_failure_average(0.0, now_ms)
 
     def record_refusal(self, now_ms: float) -> None:
-        """Record a request of this VM or another one that was refused despite free slots."""
+        """Record a request of this VM or another one that was rejected despite a free slot."""
         self._refusals.record_refusal(now_ms)
 
     def refusal_share(self, now_ms: float) -> float:
-        """Return the share of requests that are refused there despite free slots."""
+        """Return the share of requests that are rejected there despite a free slot."""
         return self._refusals.share_at(now_ms)
 
     def record_end(self, now_ms: float) -> None:
--- a/cloverhook/gateway/load_probe.py
+++ b/cloverhook/gateway/load_probe.py
@@ -19,9 +19,10 @@
 async def probe_load(
     connection: UpstreamConnection, server: BackendServer, path: str, names: CallHeaders
 ) -> tuple[AnswerHead, LoadReport | None]:
-    """Return the head of the answer and the load report; `NOBODY` if another incarnation answers.
+    """Return the head of the answer and the load report.
 
-    The report is None if the endpoint provides none. Raises `UpstreamError`.
+    The report is `UNREACHABLE_REPORT` if another incarnation answers, and None if the endpoint
+    provides none. Raises `UpstreamError`.
     """
     host = [(b"host", server.address.encode())]
     head = await connection.send(RequestHead(b"GET", path.encode(), host))
@@ -31,8 +32,8 @@
     named = find(head.headers, names.incarnation)
     if named is not None and named.decode("latin-1") != server.name:
         return head, UNREACHABLE_REPORT
-    figure = parse_load(find(head.headers, names.load))
+    report = parse_load(find(head.headers, names.load))
     left_ms = parse_cold_ms(find(head.headers, names.cold_ms))
-    if figure is not None and left_ms:
-        figure = replace(figure, cold_for_ms=left_ms)
-    return head, figure
+    if report is not None and left_ms:
+        report = replace(report, cold_for_ms=left_ms)
+    return head, report
--- a/cloverhook/gateway/ranking.py
+++ b/cloverhook/gateway/ranking.py
@@ -1,10 +1,10 @@
 """Rendezvous hashing: an order of the VMs for a task, the same on every VM without communication.
 
-Layer: state.  Each VM computes a weight for every VM it knows from a hash of the task and the VM's
+Layer: state.  Each VM computes a weight for every known VM from a hash of the task and the VM's
 name; the one with the highest weight gets the task. When a VM joins or leaves, only its own tasks
 move.
 
->>> rank_weight("reader", "vm-1") == rank_weight("reader", "vm-1")
+>>> rendezvous_weight("reader", "vm-1") == rendezvous_weight("reader", "vm-1")
 True
 """
 
--- a/cloverhook/gateway/rate_limits.py
+++ b/cloverhook/gateway/rate_limits.py
@@ -8,9 +8,9 @@
 
 >>> limits = RateLimits("vm-1", lambda data_center, now_ms: ("vm-1",))
 >>> server = BackendServer("i-1", "orders", "10.0.0.1:9000", "papine")
->>> limits.named("i-1", 2.0, 0.0), limits.may_send(server, 0.0)
+>>> limits.record_limit("i-1", 2.0, 0.0), limits.may_send(server, 0.0)
 (True, True)
->>> limits.sent(server, 0.0)
+>>> limits.record_sent(server, 0.0)
 >>> limits.may_send(server, 499.0), limits.may_send(server, 500.0)
 (False, True)
 """
@@ -49,7 +49,7 @@
     """The limits in force, and this VM's share of them; times are monotonic."""
 
     def __init__(self, own_vm: str, senders_for: Callable[[str, float], tuple[str, ...]]) -> None:
-        """`users_from` returns the VMs that place requests at a data centre's endpoints."""
+        """`senders_for` returns the VMs that place requests at a data centre's endpoints."""
         self._own_vm = own_vm
         self._senders_for = senders_for
         self._limits: dict[str, AdvertisedLimit] = {}
@@ -90,12 +90,12 @@
 
     def expire(self, now_ms: float) -> tuple[str, ...]:
         """End the limits that have not been advertised for long; return their incarnations."""
-        ended = tuple(
+        expired = tuple(
             name for name, limit in self._limits.items() if now_ms - limit.last_ms > LIMIT_EXPIRY_MS
         )
-        for incarnation in ended:
+        for incarnation in expired:
             self.forget(incarnation)
-        return ended
+        return expired
 
     def forget(self, incarnation: str) -> None:
         """Drop the data on an endpoint that is gone or has ended its limit."""
@@ -107,14 +107,14 @@
         """Return whether this VM may send a request to an endpoint with a limit now."""
         return self.available_within(server, now_ms, 0.0) >= 1
 
-    def available_within(self, server: BackendServer, now_ms: float, time_ms: float) -> float:
-        """Return how many requests this VM may send to an endpoint with a limit in `time_ms`."""
+    def available_within(self, server: BackendServer, now_ms: float, within_ms: float) -> float:
+        """Return how many requests this VM may send to a limited endpoint within `within_ms`."""
         limit = self._limits[server.incarnation]
         spacing_ms = self._spacing_ms(server, limit, now_ms)
         if spacing_ms is None:
             return 0
         first_ms = max(now_ms, self._next_ms.get(server.incarnation, 0.0))
-        return max(0, 1 + (now_ms + time_ms - first_ms) // spacing_ms)
+        return max(0, 1 + (now_ms + within_ms - first_ms) // spacing_ms)
 
     def record_sent(self, server: BackendServer, now_ms: float) -> None:
         """Record a request placed at an endpoint, which delays the next one if there is a limit."""
@@ -126,7 +126,9 @@
         due_ms = max(self._next_ms.get(server.incarnation, now_ms), now_ms - saved_ms)
         self._next_ms[server.incarnation] = due_ms + spacing_ms
 
-    def _spacing_ms(self, server: BackendServer, limit: AdvertisedLimit, now_ms: float) -> float | None:
+    def _spacing_ms(
+        self, server: BackendServer, limit: AdvertisedLimit, now_ms: float
+    ) -> float | None:
         """Return the time between two requests of this VM, or None if it may send none."""
         vms = self._senders_for(server.data_center, now_ms)
         if limit.per_s <= 0.0 or self._own_vm not in vms:
--- a/cloverhook/gateway/trust.py
+++ b/cloverhook/gateway/trust.py
@@ -9,16 +9,16 @@
 time, and only requests that can be retried, until one is answered successfully. A failure in this
 state suspends the endpoint for twice as long.
 
->>> trust = Trust()
->>> trust.failed(0.0, began_ms=-5.0), trust.failed(10.0, began_ms=5.0)
+>>> breaker = CircuitBreaker()
+>>> breaker.record_failure(0.0, began_ms=-5.0), breaker.record_failure(10.0, began_ms=5.0)
 (False, True)
->>> trust.is_suspended(500.0), trust.is_suspended(1_500.0), trust.is_on_trial(1_500.0)
+>>> breaker.is_suspended(500.0), breaker.is_suspended(1_500.0), breaker.is_half_open(1_500.0)
 (True, False, True)
 """
 
 from collections import deque
 
-__all__ = ["RECENT_ANSWER_MS", "FailureReportFilter", "CircuitBreaker"]
+__all__ = ["RECENT_ANSWER_MS", "CircuitBreaker", "FailureReportFilter"]
 
 FAILURES = 2
 """A single failure may be caused by the connection."""
@@ -133,8 +133,8 @@
 class FailureReportFilter:
     """The failures that each VM has reported, to tell a faulty endpoint from a faulty VM.
 
-    >>> reports = Accusations()
-    >>> [reports.believed("vm-1", f"i-{n}", 10, 0.0) for n in range(6)]
+    >>> reports = FailureReportFilter()
+    >>> [reports.accept("vm-1", f"i-{n}", 10, 0.0) for n in range(6)]
     [True, True, True, True, False, False]
     """
 
