--- a/cloverhook/gateway/balancer.py
+++ b/cloverhook/gateway/balancer.py
@@ -1,12 +1,13 @@
 """Chooses the backend server for a request.
 
-Layer: coordination.  Each candidate gets an expected time: the work at its present pace and the
-wait for a free slot.  For the choice, surcharges are added for another data centre, for slots in
-use and for recent failures.  The least one wins; a little chance keeps VMs that see the same
-figures from all choosing the same.
-
-Not all endpoints of a large service are weighed: some with room are drawn from the own data centre,
-and some from the others unless one is found that a crossing could hardly better.
+Layer: coordination.  Each candidate gets an expected duration: the work at its present speed plus
+the wait for a free slot. To compare candidates, surcharges are added for a remote data centre, for
+slots in use and for recent failures. The candidate with the lowest cost wins. A small random factor
+keeps VMs that have the same load reports from all choosing the same endpoint.
+
+Not all endpoints of a large service are compared. Some that have room are sampled from the local
+data centre, and some from the remote ones unless a local endpoint is found that a remote one could
+hardly improve on.
 """
 
 import random
@@ -23,63 +24,69 @@
 
 __all__ = ["Balancer"]
 
-CROSSING_MS = 3.0
-"""The way to another data centre and back, about what the deployments state."""
-CROSSING_SHARE = 0.25
-"""A crossing pays when it saves this share of the work: bytes between data centres are priced."""
-COLD_PACE = 2.0
+CROSS_DATA_CENTER_MS = 3.0
+"""The round trip to a remote data centre, about as long as the deployments state it."""
+CROSS_DATA_CENTER_SHARE = 0.25
+"""Using a remote data centre pays if it saves this share of the work, because traffic between data
+centres is charged for."""
+COLD_SLOWDOWN = 2.0
 """A backend server works about half as fast for some seconds after its start."""
-CROWD_SHARE = 0.15
-"""Each slot in use makes an endpoint a little less welcome: some slow down when nearly full."""
-CHANCE = 0.1
-NEAR_DRAWN = 24
-"""So many of the own data centre are weighed: where two in five are slow at any time, one of these
-is at its usual pace with near certainty, and the VMs don't all choose the same."""
-FAR_DRAWN = 16
-"""So many of the others are weighed: they are asked for where the own ones have little room."""
-CONNECT_SHARE = 0.07
-"""A new connection costs its endpoint some time, and a price; less than a busier one is worth."""
+BUSY_SHARE = 0.15
+"""Each slot in use makes an endpoint a little less preferred, because some endpoints slow down when
+they are nearly full."""
+JITTER = 0.1
+LOCAL_SAMPLE_SIZE = 24
+"""How many endpoints of the local data centre are compared. Where two in five are slow at any time,
+at least one of these runs at its usual speed with near certainty, and the VMs don't all choose the
+same one."""
+REMOTE_SAMPLE_SIZE = 16
+"""How many endpoints of remote data centres are compared. They are considered when the local ones
+have little room."""
+NEW_CONNECTION_SHARE = 0.07
+"""A new connection takes some time of its endpoint and is charged for, but that is less than the
+advantage of an endpoint that is less busy."""
 FAILURE_WEIGHT = 8.0
 REFUSAL_WEIGHT = 1.0
-"""A request that is turned away costs little time, but a repeat, and few of those are allowed."""
-DOUBT_WEIGHT = 6.0
-"""So much worse others must be before a request that can't be repeated goes where one failed."""
+"""A rejected request costs little time, but it costs a retry, and few retries are allowed."""
+UNRESOLVED_FAILURE_WEIGHT = 6.0
+"""How many times as bad the other endpoints must be before a request that can't be retried goes to
+one that has failed recently."""
 PANIC_SHARE = 0.7
-"""With more of a service's endpoints suspended than this, all are used as if none were: it is more
-likely that the way there fails than that so few are left."""
-PANIC_MS = 200.0
-"""That share is worked out anew after this time."""
-HELD_WEIGHT = 4.0
-"""An entry that has vanished from the store may still serve, but others go first."""
+"""If more than this share of a service's endpoints is suspended, all are used as if none were: a
+network failure on the way there is more likely than so few working endpoints."""
+PANIC_CHECK_MS = 200.0
+"""The share of suspended endpoints is recalculated after this time."""
+GRACE_PERIOD_WEIGHT = 4.0
+"""An endpoint whose entry has vanished from the store may still serve, but others are preferred."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Usable:
-    """The endpoints of a service that requests may go to, and what they were worked out from."""
+class _UsableEndpoints:
+    """The endpoints of a service that may get requests, and the inputs they were computed from."""
 
     servers: tuple[BackendServer, ...]
     evacuated: frozenset[str]
-    near: Candidates
-    far: Candidates
+    local: Candidates
+    remote: Candidates
 
 
 class _Look:
-    """One choice under way: what is wanted, and the best endpoint so far."""
+    """The state of one selection: what is required, and the best endpoint so far."""
 
     __slots__ = (
         "_limits",
         "best",
+        "best_cost",
         "best_expected_ms",
-        "best_rank",
-        "drawn",
-        "found",
-        "harmed",
+        "last_slots_degrade",
         "nearly_full_slowdown",
         "now_ms",
-        "required_capacity",
+        "required",
         "retryable",
+        "sampled",
         "service",
-        "tried_incarnations",
+        "tried",
+        "usable",
         "work_ms",
     )
 
@@ -94,23 +101,23 @@
         estimates: WorkEstimates,
     ) -> None:
         self.service, self.work_ms, self.now_ms = service, work_ms, now_ms
-        self.tried_incarnations, self.required_capacity, self.retryable = (
+        self.tried, self.required, self.retryable = (
             tried_incarnations,
             required_capacity,
             retryable,
         )
         self.nearly_full_slowdown = estimates.nearly_full_slowdown(service)
-        self.harmed = estimates.degrades_when_full(service)
+        self.last_slots_degrade = estimates.degrades_when_full(service)
         self._limits: dict[int, float] = {}
         self.best: BackendServer | None = None
-        self.best_expected_ms = self.best_rank = 0.0
-        self.drawn = self.found = 0
+        self.best_expected_ms = self.best_cost = 0.0
+        self.sampled = self.usable = 0
 
     def limit(self, slots: int) -> float:
-        """Return the number of requests from which on an endpoint has no room."""
+        """Return the number of requests at which an endpoint lacks the required capacity."""
         limit = self._limits.get(slots)
         if limit is None:
-            limit = self._limits[slots] = self.required_capacity.limit(slots, self.harmed)
+            limit = self._limits[slots] = self.required.limit(slots, self.last_slots_degrade)
         return limit
 
 
@@ -120,7 +127,7 @@
     def __init__(
         self,
         registry: Registry,
-        board: LoadTable,
+        load_table: LoadTable,
         estimates: WorkEstimates,
         data_center: str,
         source: random.Random,
@@ -130,11 +137,11 @@
         region_of: Callable[[str], str | None] = lambda data_center: None,
         rate_limits: RateLimits | None = None,
     ) -> None:
-        """`has_connection` says whether a request to an incarnation needs no new connection.
+        """`has_connection` tells whether a request to an incarnation needs no new connection.
 
-        Nothing is sent to the `evacuated` data centres, `cold_limit` bounds what cold endpoints
-        get, and `rate_limits` what those get that name a limit.  `region_of` tells the region of a
-        data centre, where it is known.
+        Nothing is sent to the `evacuated` data centres. `cold_limit` bounds the requests to cold
+        endpoints, and `rate_limits` those to endpoints that advertise a rate limit. `region_of`
+        returns the region of a data centre, or None if it is unknown.
         """
         self._evacuated = evacuated
         self._cold_limit = cold_limit
@@ -143,12 +150,14 @@
         self._has_connection = has_connection
         self._estimates = estimates
         self._registry = registry
-        self._board = board
+        self._load_table = load_table
         self._data_center = data_center
         self._source = source
         self._random = source.random
-        self._panic: dict[str, tuple[float, bool]] = {}
-        self._candidates: dict[tuple[str, CapacityRequirement, tuple[str, ...]], _Usable] = {}
+        self._panic_checks: dict[str, tuple[float, bool]] = {}
+        self._candidates: dict[
+            tuple[str, CapacityRequirement, tuple[str, ...]], _UsableEndpoints
+        ] = {}
 
     def choose(
         self,
@@ -162,11 +171,12 @@
     ) -> Choice | None:
         """Return the best backend server found that has not been tried and has room, or None.
 
-        One that can't be reached has no room: it would use up a request's attempts while others
-        are full, and a slot there comes free in time for most.
-        A request that is not `retryable` goes nowhere on trial, one with `regions` only there.
+        An endpoint that can't be reached is treated as full: it would use up a request's attempts
+        while the others are full, and at those a slot becomes free in time for most requests. A
+        request that is not `retryable` never goes to an endpoint whose circuit breaker is
+        half-open, and one with `regions` goes only to data centres in these.
         """
-        look = _Look(
+        selection = _Look(
             service,
             work_ms,
             now_ms,
@@ -175,175 +185,187 @@
             retryable,
             self._estimates,
         )
-        near, far = self._candidates_of(service, required_capacity, regions)
-        self._weigh(look, near, NEAR_DRAWN)
-        few_near = near.total <= NEAR_DRAWN
-        if look.best is None or few_near or look.best_rank > work_ms * (1.0 + CROSSING_SHARE):
-            self._weigh(look, far, FAR_DRAWN)
-        if look.best is None:
+        local, remote = self._candidates_of(service, required_capacity, regions)
+        self._compare_sample(selection, local, LOCAL_SAMPLE_SIZE)
+        few_local = local.total <= LOCAL_SAMPLE_SIZE
+        if (
+            selection.best is None
+            or few_local
+            or selection.best_cost > work_ms * (1.0 + CROSS_DATA_CENTER_SHARE)
+        ):
+            self._compare_sample(selection, remote, REMOTE_SAMPLE_SIZE)
+        if selection.best is None:
             return None
-        load = self._board.get_or_create(look.best.incarnation)
-        endpoints = near.total + far.total
+        load = self._load_table.get_or_create(selection.best.incarnation)
+        endpoints = local.total + remote.total
         return Choice(
-            look.best,
-            look.best_expected_ms,
+            selection.best,
+            selection.best_expected_ms,
             load.load(now_ms),
             load.slowdown(now_ms),
             load.age_ms(now_ms),
-            round((len(near) + len(far)) * look.found / look.drawn),
+            round((len(local) + len(remote)) * selection.usable / selection.sampled),
             endpoints,
         )
 
     def _candidates_of(
-        self, service: str, room: CapacityRequirement, regions: tuple[str, ...]
+        self, service: str, required_capacity: CapacityRequirement, regions: tuple[str, ...]
     ) -> tuple[Candidates, Candidates]:
-        """Return those of the own data centre and the others; each room has its own."""
-        servers, left = self._registry.of_service(service), self._evacuated()
-        known = self._candidates.get((service, room, regions))
-        if known is not None and known.servers is servers and known.evacuated == left:
-            return known.near, known.far
-        usable = [item for item in servers if not item.draining and item.data_center not in left]
+        """Return the local and the remote candidates; each capacity requirement has its own."""
+        servers, excluded = self._registry.of_service(service), self._evacuated()
+        known = self._candidates.get((service, required_capacity, regions))
+        if known is not None and known.servers is servers and known.evacuated == excluded:
+            return known.local, known.remote
+        usable = [
+            item for item in servers if not item.draining and item.data_center not in excluded
+        ]
         if regions:
             usable = [item for item in usable if self._region_of(item.data_center) in regions]
-        near = tuple(item for item in usable if item.data_center == self._data_center)
-        far = tuple(item for item in usable if item.data_center != self._data_center)
-        known = _Usable(
-            servers, left, Candidates(near, self._source), Candidates(far, self._source)
+        local = tuple(item for item in usable if item.data_center == self._data_center)
+        remote = tuple(item for item in usable if item.data_center != self._data_center)
+        known = _UsableEndpoints(
+            servers, excluded, Candidates(local, self._source), Candidates(remote, self._source)
         )
-        self._candidates[service, room, regions] = known
-        return known.near, known.far
+        self._candidates[service, required_capacity, regions] = known
+        return known.local, known.remote
 
     def may_receive(self, server: BackendServer) -> bool:
-        """Return whether a request that was placed at a backend server may still be sent there."""
+        """Return whether a request placed at a backend server may still be sent there."""
         return server.data_center not in self._evacuated()
 
     def is_evacuated(self, service: str) -> bool:
-        """Return whether a service has endpoints, but in evacuated data centres only."""
-        left = self._evacuated()
-        if not left:
+        """Return whether a service has endpoints, but only in evacuated data centres."""
+        evacuated = self._evacuated()
+        if not evacuated:
             return False
         serving = (item for item in self._registry.of_service(service) if not item.draining)
-        places = (item.data_center in left for item in serving)
-        return next(places, False) and all(places)
+        in_evacuated = (item.data_center in evacuated for item in serving)
+        return next(in_evacuated, False) and all(in_evacuated)
 
-    def _weigh(self, look: "_Look", candidates: Candidates, count: int) -> None:
-        """Draw some candidates and keep the best one."""
-        now_ms, work_ms, board = look.now_ms, look.work_ms, self._board
+    def _compare_sample(self, selection: "_Look", candidates: Candidates, count: int) -> None:
+        """Sample some candidates and keep the best one."""
+        now_ms, work_ms, load_table = selection.now_ms, selection.work_ms, self._load_table
         for server in candidates.sample(count, now_ms):
-            look.drawn += 1
-            load = board.get_or_create(server.incarnation)
+            selection.sampled += 1
+            load = load_table.get_or_create(server.incarnation)
             busy = load.load(now_ms)
-            if busy >= look.limit(server.slots) or load.unreachable(now_ms):
+            if busy >= selection.limit(server.slots) or load.unreachable(now_ms):
                 candidates.set_aside(load, now_ms)
                 continue
-            if server.incarnation in look.tried_incarnations or not self._limit_allows(
-                server, now_ms
-            ):
+            if server.incarnation in selection.tried or not self._rate_limit_allows(server, now_ms):
                 continue
-            if load.circuit_breaker.needs_check and not self._may_get(look, load):
+            if load.circuit_breaker.needs_check and not self._breaker_allows(selection, load):
                 continue
-            pace = load.slowdown(now_ms)
+            effective_slowdown = load.slowdown(now_ms)
             if self._is_cold(server, load, now_ms):
-                if not self._cold_may_get(server, now_ms):
+                if not self._cold_limit_allows(server, now_ms):
                     continue
-                pace *= COLD_PACE
-            look.found += 1
-            expected_ms = self._expected_ms(server, pace, busy, work_ms, look.nearly_full_slowdown)
-            rank = self._rank(server, load, busy, expected_ms, work_ms, now_ms)
-            if not look.retryable and load.circuit_breaker.has_unresolved_failure(now_ms):
-                rank *= DOUBT_WEIGHT
-            if look.best is None or rank < look.best_rank:
-                look.best, look.best_expected_ms, look.best_rank = server, expected_ms, rank
+                effective_slowdown *= COLD_SLOWDOWN
+            selection.usable += 1
+            expected_ms = self._expected_ms(
+                server, effective_slowdown, busy, work_ms, selection.nearly_full_slowdown
+            )
+            cost = self._cost(server, load, busy, expected_ms, work_ms, now_ms)
+            if not selection.retryable and load.circuit_breaker.has_unresolved_failure(now_ms):
+                cost *= UNRESOLVED_FAILURE_WEIGHT
+            if selection.best is None or cost < selection.best_cost:
+                selection.best, selection.best_expected_ms, selection.best_cost = (
+                    server,
+                    expected_ms,
+                    cost,
+                )
 
     def record_placement(self, server: BackendServer, now_ms: float) -> None:
-        """Count a request that goes to a backend server, against its limit if that is cold."""
-        load = self._board.get_or_create(server.incarnation)
+        """Count a placed request against the backend server's cold limit and rate limit, if any."""
+        load = self._load_table.get_or_create(server.incarnation)
         if self._cold_limit is not None and self._is_cold(server, load, now_ms):
             self._cold_limit.record_sent(server, now_ms)
 
         if self._rate_limits is not None:
             self._rate_limits.record_sent(server, now_ms)
 
-    def _limit_allows(self, server: BackendServer, now_ms: float) -> bool:
-        """Return whether an endpoint has no limit, or this VM's part of it is not used up."""
+    def _rate_limit_allows(self, server: BackendServer, now_ms: float) -> bool:
+        """Return whether an endpoint has no rate limit, or this VM's share of it is not used up."""
         limits = self._rate_limits
         if not limits or server.incarnation not in limits:
             return True
         return limits.may_send(server, now_ms)
 
     def has_rate_limits(self) -> bool:
-        """Return whether any endpoint has named a limit."""
+        """Return whether any endpoint has advertised a rate limit."""
         return bool(self._rate_limits)
 
     def is_rate_limited(
         self, service: str, now_ms: float, within_ms: float, queued_ahead: int = 0
     ) -> bool:
-        """Return whether limits leave no place within a time, with `queued_ahead` others first.
+        """Return whether rate limits leave no room for a request within `within_ms`.
 
-        That is so where all endpoints have named a limit, and what they take from this VM is less.
+        `queued_ahead` requests are served first. None is left if all usable endpoints have
+        advertised a limit, and these requests use up what the endpoints accept from this VM in that
+        time.
         """
         limits = self._rate_limits
         if not limits:
             return False
-        left = self._evacuated()
-        places = 0.0
+        evacuated = self._evacuated()
+        available = 0.0
         for server in self._registry.of_service(service):
-            if server.draining or server.data_center in left:
+            if server.draining or server.data_center in evacuated:
                 continue
             if server.incarnation not in limits:
                 return False
-            places += limits.available_within(server, now_ms, within_ms)
-        return places <= queued_ahead
+            available += limits.available_within(server, now_ms, within_ms)
+        return available <= queued_ahead
 
     def _is_cold(self, server: BackendServer, load: ServerLoad, now_ms: float) -> bool:
-        """Return whether an endpoint is cold by its entry or by its newest probe."""
+        """Return whether an endpoint is cold according to its entry or its latest probe."""
         return server.warm_at_ms > now_ms or load.is_cold(now_ms)
 
-    def _cold_may_get(self, server: BackendServer, now_ms: float) -> bool:
+    def _cold_limit_allows(self, server: BackendServer, now_ms: float) -> bool:
         limit = self._cold_limit
         return limit is None or limit.may_send(server, now_ms)
 
-    def _may_get(self, look: "_Look", load: ServerLoad) -> bool:
+    def _breaker_allows(self, selection: "_Look", load: ServerLoad) -> bool:
         """Return whether an endpoint that has failed requests may get this one."""
-        trust, now_ms = load.circuit_breaker, look.now_ms
-        if trust.is_half_open(now_ms):
-            allowed = look.retryable and not load.in_flight
+        breaker, now_ms = load.circuit_breaker, selection.now_ms
+        if breaker.is_half_open(now_ms):
+            allowed = selection.retryable and not load.in_flight
         else:
-            allowed = not trust.is_suspended(now_ms)
-        return allowed or self._panics(look.service, now_ms)
+            allowed = not breaker.is_suspended(now_ms)
+        return allowed or self._in_panic(selection.service, now_ms)
 
-    def _panics(self, service: str, now_ms: float) -> bool:
-        """Return whether so many endpoints of a service are suspended that none should be."""
-        due_ms, panics = self._panic.get(service, (0.0, False))
+    def _in_panic(self, service: str, now_ms: float) -> bool:
+        """Return whether so many endpoints of a service are suspended that all are used anyway."""
+        due_ms, in_panic = self._panic_checks.get(service, (0.0, False))
         if now_ms < due_ms:
-            return panics
+            return in_panic
         servers = self._registry.of_service(service)
-        loads = (self._board.get_or_create(server.incarnation) for server in servers)
+        loads = (self._load_table.get_or_create(server.incarnation) for server in servers)
         suspended = sum(1 for load in loads if load.circuit_breaker.is_suspended(now_ms))
-        panics = suspended > PANIC_SHARE * len(servers)
-        self._panic[service] = now_ms + PANIC_MS, panics
-        return panics
+        in_panic = suspended > PANIC_SHARE * len(servers)
+        self._panic_checks[service] = now_ms + PANIC_CHECK_MS, in_panic
+        return in_panic
 
     def _expected_ms(
         self,
         server: BackendServer,
-        pace: float,
+        slowdown: float,
         busy: float,
         work_ms: float,
         nearly_full_slowdown: float,
     ) -> float:
-        """Return how long a request is expected to take at a backend server of this pace."""
+        """Return how long a request is expected to take at a backend server with this slowdown."""
         slots = server.slots
-        expected_ms = work_ms * pace
+        expected_ms = work_ms * slowdown
         if busy >= slots:
             expected_ms *= 1.0 + (busy + 1 - slots) / slots
         if nearly_full(busy, slots):
-            expected_ms += work_ms * pace * (nearly_full_slowdown - 1.0)
+            expected_ms += work_ms * slowdown * (nearly_full_slowdown - 1.0)
         if server.data_center != self._data_center:
-            expected_ms += CROSSING_MS
+            expected_ms += CROSS_DATA_CENTER_MS
         return expected_ms
 
-    def _rank(
+    def _cost(
         self,
         server: BackendServer,
         load: ServerLoad,
@@ -352,18 +374,18 @@
         work_ms: float,
         now_ms: float,
     ) -> float:
-        """Return what speaks against a backend server, as a time; the least is chosen."""
-        rank = expected_ms + work_ms * CROWD_SHARE * busy / server.slots
+        """Return the cost of choosing a backend server, as a time; the lowest cost wins."""
+        cost = expected_ms + work_ms * BUSY_SHARE * busy / server.slots
         failures = load.failure_share(now_ms)
         if failures:
-            rank *= 1.0 + FAILURE_WEIGHT * failures
+            cost *= 1.0 + FAILURE_WEIGHT * failures
         refusals = load.refusal_share(now_ms)
         if refusals:
-            rank *= 1.0 + REFUSAL_WEIGHT * refusals
+            cost *= 1.0 + REFUSAL_WEIGHT * refusals
         if self._registry.in_grace_period(server):
-            rank *= HELD_WEIGHT
+            cost *= GRACE_PERIOD_WEIGHT
         if server.data_center != self._data_center:
-            rank += CROSSING_SHARE * work_ms
+            cost += CROSS_DATA_CENTER_SHARE * work_ms
         if not self._has_connection(server.incarnation):
-            rank += CONNECT_SHARE * work_ms
-        return rank * (1.0 + CHANCE * self._random())
+            cost += NEW_CONNECTION_SHARE * work_ms
+        return cost * (1.0 + JITTER * self._random())
--- a/cloverhook/gateway/knowledge.py
+++ b/cloverhook/gateway/knowledge.py
@@ -1,7 +1,8 @@
-"""What a gateway believes, each with its version: configuration, evacuations, servers, loads.
+"""The state of a gateway, each item with its version: configuration, evacuations, servers, loads.
 
-Layer: state.  Everything that arrives, from the store, from a peer or by own observation, passes
-through here.  The newest version wins, and none goes back within the life of the process.
+Layer: state.  Every update passes through here, whether it comes from the store, from a peer or
+from this VM's own observation. The newest version wins, and no item returns to an older version
+during the life of the process.
 """
 
 from collections import Counter
@@ -16,18 +17,20 @@
 
 __all__ = ["GatewayState"]
 
-STORE_AWAY_MS = 4_000.0
-"""For this long after the store's return, entries that vanish may have lapsed while it was away."""
-EVACUATION_HOLD_MS = 3_000.0
-"""For this long after the store's return from an older copy, evacuations that it lacks still hold:
-operators write them again."""
-CROSSING_LOOK_MS = 250.0
-CROSSING_SHARE = 0.5
-"""Without more than this share of its endpoints a data centre has no room for its own requests."""
+STORE_RECOVERY_MS = 4_000.0
+"""For this long after the store's return, entries that vanish may have expired during its
+outage."""
+EVACUATION_GRACE_MS = 3_000.0
+"""For this long after the store has returned from an older copy, evacuations missing from that copy
+stay in force, because operators write them again."""
+CAPACITY_CHECK_MS = 250.0
+LOST_SHARE = 0.5
+"""A data centre that has lost more than this share of its endpoints has no room for its own
+requests."""
 
 
 class GatewayState:
-    """The configuration in force, the evacuated data centres, the registry and the load board."""
+    """The configuration in force, the evacuated data centres, the registry and the loads."""
 
     def __init__(self, drain_ms: float = DRAIN_MS) -> None:
         self.config: GatewayConfig | None = None
@@ -38,36 +41,39 @@
         self.drain_ms = drain_ms
         self.registry = Registry(drain_ms)
         self.load_table = LoadTable()
-        self._store_back_ms = -STORE_AWAY_MS
-        self._entered_era = 0
-        self._held_evacuations: frozenset[str] = frozenset()
-        self._held_until_ms = 0.0
-        self._crossing = False
-        self._crossing_due_ms = 0.0
+        self._store_recovered_ms = -STORE_RECOVERY_MS
+        self._begun_era = 0
+        self._retained_evacuations: frozenset[str] = frozenset()
+        self._retained_until_ms = 0.0
+        self._remote_capacity_needed = False
+        self._capacity_check_due_ms = 0.0
 
     @property
     def config_version(self) -> int:
-        """The version in force, or -1 where there is none."""
+        """The version of the configuration in force, or -1 if there is none."""
         return -1 if self.config is None else self.config.version
 
     @property
     def store_era(self) -> int:
-        """The latest era of the store that anything known is of."""
-        told = max(self.registry.as_of, self.evacuations.version)
-        return max(self._entered_era, era_of(told))
+        """The latest era of the store that anything known here belongs to."""
+        known_version = max(self.registry.as_of, self.evacuations.version)
+        return max(self._begun_era, era_of(known_version))
 
     def begin_store_era(self, era: int, now_ms: float) -> None:
-        """Note that the store has come back from an older copy: what it lacks may be back soon."""
-        self._entered_era = era
+        """Record that the store has returned from an older copy.
+
+        Entries missing from that copy may soon be written again.
+        """
+        self._begun_era = era
         self.record_store_recovery(now_ms)
 
     @property
     def can_serve(self) -> bool:
-        """Whether requests can be served: there is a configuration and someone to serve them."""
+        """Whether requests can be served: there is a configuration, and at least one endpoint."""
         return self.config is not None and len(self.registry) > 0
 
     def apply_config(self, config: GatewayConfig, now_ms: float) -> bool:
-        """Put a configuration in force unless it is as old as the present one."""
+        """Put a configuration in force if it is newer; return whether it is."""
         if config.version <= self.config_version:
             return False
         self.config = config
@@ -75,34 +81,35 @@
         return True
 
     def encoded_config(self) -> EncodedConfig | None:
-        """Return the newest configuration in the form for peers, also before it is in force."""
+        """Return the newest configuration as encoded for peers, even before it is in force."""
         known = -1 if self._encoded is None else self._encoded.version
         if self.config is not None and self.config_version > known:
             self._encoded = EncodedConfig.from_config(self.config)
         return self._encoded
 
     def relay_config(self, encoded: EncodedConfig) -> None:
-        """Keep a configuration to hand it on, while it is decoded here."""
+        """Keep an encoded configuration to relay it to peers while it is decoded here."""
         known = self.encoded_config()
         if known is None or encoded.version > known.version:
             self._encoded = encoded
 
     def stop_relaying_config(self, encoded: EncodedConfig) -> None:
-        """Hand on a configuration no longer, as it can't be decoded."""
+        """Stop relaying a configuration that can't be decoded."""
         if self._encoded is encoded:
             self._encoded = None
 
     def needs_remote_capacity(self, now_ms: float) -> bool:
-        """Return whether some data centre can't serve itself, so that requests have to cross.
+        """Return whether some data centre can't serve its own requests.
 
-        Most of its endpoints are evacuated, out of reach or about to leave the registry.
+        Most of its endpoints are then evacuated, unreachable or about to leave the registry, and
+        its requests have to be placed in remote data centres.
         """
-        if now_ms >= self._crossing_due_ms:
-            self._crossing_due_ms = now_ms + CROSSING_LOOK_MS
-            self._crossing = self._is_crossing(now_ms)
-        return self._crossing
+        if now_ms >= self._capacity_check_due_ms:
+            self._capacity_check_due_ms = now_ms + CAPACITY_CHECK_MS
+            self._remote_capacity_needed = self._lacks_capacity(now_ms)
+        return self._remote_capacity_needed
 
-    def _is_crossing(self, now_ms: float) -> bool:
+    def _lacks_capacity(self, now_ms: float) -> bool:
         total, lost = Counter[str](), Counter[str]()
         for server in self.registry.servers():
             total[server.data_center] += 1
@@ -112,52 +119,53 @@
                 lost[server.data_center] += 1
         if any(name in total for name in self.evacuated()):
             return True
-        return any(lost[name] > CROSSING_SHARE * count for name, count in total.items())
+        return any(lost[name] > LOST_SHARE * count for name, count in total.items())
 
     def cold_per_s(self, service: str) -> float:
-        """Return how many requests a second a cold endpoint of a service bears; 0 for no limit."""
+        """Return the requests a second that a cold endpoint of a service can serve; 0: no limit."""
         spec = None if self.config is None else self.config.services.get(service)
         return 0.0 if spec is None else spec.cold_per_s
 
     def apply_evacuations(
         self, found: Evacuations, now_ms: float, revoked: frozenset[str] = frozenset()
     ) -> bool:
-        """Take a state of a later version; return whether other data centres are evacuated now.
+        """Apply a later version; return whether the evacuated data centres have changed.
 
-        One of a later era may lack what was written last; what operators have `revoked` since
-        is not held.
+        A version of a later era may lack the last writes, so the evacuations missing from it stay
+        in force for `EVACUATION_GRACE_MS`, except those that operators have `revoked` since.
         """
         if found.version <= self.evacuations.version:
             return False
         before = self.evacuated()
         if era_of(found.version) > era_of(self.evacuations.version) and before:
-            self._held_evacuations = before - found.data_centers
-            self._held_until_ms = now_ms + EVACUATION_HOLD_MS
-        self._held_evacuations -= revoked
+            self._retained_evacuations = before - found.data_centers
+            self._retained_until_ms = now_ms + EVACUATION_GRACE_MS
+        self._retained_evacuations -= revoked
         self.evacuations = found
         return before != self.evacuated()
 
     def evacuated(self) -> frozenset[str]:
-        """Return the data centres whose endpoints get nothing."""
-        return self.evacuations.data_centers | self._held_evacuations
+        """Return the data centres whose endpoints get no requests."""
+        return self.evacuations.data_centers | self._retained_evacuations
 
     def record_store_recovery(self, now_ms: float) -> None:
-        """Note that the store answers again after a time in which it did not."""
-        self._store_back_ms = now_ms
+        """Record that the store is available again."""
+        self._store_recovered_ms = now_ms
 
     def store_was_unavailable(self, now_ms: float) -> bool:
-        """Return whether the store has been away until a moment ago."""
-        return now_ms - self._store_back_ms < STORE_AWAY_MS
+        """Return whether the store was unavailable until a short time ago."""
+        return now_ms - self._store_recovered_ms < STORE_RECOVERY_MS
 
     def apply_server_record(
         self, record: ServerRecord, now_ms: float, from_long_poll: bool = True
     ) -> bool:
-        """Take what the store says of a backend server; return whether anything has changed.
+        """Apply the store's record of a backend server; return whether anything has changed.
 
-        A record that `from_long_poll` is new; another may have been there since the last look.
+        A record `from_long_poll` has just been written; another one may have been written at any
+        time since the last read.
         """
-        away = self.store_was_unavailable(now_ms)
-        return self.registry.apply(record, now_ms, away, from_long_poll=from_long_poll)
+        recovering = self.store_was_unavailable(now_ms)
+        return self.registry.apply(record, now_ms, recovering, from_long_poll=from_long_poll)
 
     def apply_server_list(
         self,
@@ -166,29 +174,33 @@
         now_ms: float,
         follows_store: bool = True,
     ) -> tuple[str, ...]:
-        """Take the store's whole list; return the names that changed or vanished.
+        """Apply a full snapshot of the store's list; return the names that changed or vanished.
 
-        A list that ends before what is known was read from a copy that lags, and is left out.
-        Others rely on a VM that `follows_store` from then on, and ask for all it knows.
+        A snapshot that ends before what is known was read from a copy that lags, and is ignored.
+        Other VMs rely on a VM that follows the store (`follows_store`) from then on, and request
+        all that it knows.
         """
         newest_offset = end_offset - 1
         if newest_offset < self.registry.as_of:
             return ()
-        away = self.store_was_unavailable(now_ms)
-        touched = self.registry.apply_snapshot(records, newest_offset, now_ms, away)
+        recovering = self.store_was_unavailable(now_ms)
+        touched = self.registry.apply_snapshot(records, newest_offset, now_ms, recovering)
         if follows_store:
             self.registry.position.assume_last_change()
         return touched
 
     def confirm_config_as_of(self, config: int, evacuations: int, as_of: int) -> None:
-        """Take another VM's word that after these versions nothing was written up to `as_of`."""
+        """Record another VM's report that nothing newer was written up to `as_of`.
+
+        `config` and `evacuations` are the versions that the other VM has.
+        """
         if config <= self.config_version and evacuations <= self.evacuations.version:
             self.config_as_of = max(self.config_as_of, as_of)
 
     def expire(self, now_ms: float) -> tuple[str, ...]:
-        """Drop backend servers whose hold time has passed; return the incarnations that ended."""
-        if self._held_evacuations and now_ms >= self._held_until_ms:
-            self._held_evacuations = frozenset()
+        """Drop backend servers whose grace period is over; return the incarnations that ended."""
+        if self._retained_evacuations and now_ms >= self._retained_until_ms:
+            self._retained_evacuations = frozenset()
         gone = self.registry.expire_grace_periods(now_ms)
         for incarnation in gone:
             self.load_table.forget(incarnation)
--- a/cloverhook/gateway/load_probe.py
+++ b/cloverhook/gateway/load_probe.py
@@ -1,4 +1,4 @@
-"""Asks a backend server for its load, over a connection that is open already.
+"""Probes a backend server for its load over a connection that is already open.
 
 Layer: transport.
 """
@@ -13,16 +13,16 @@
 __all__ = ["UNREACHABLE_REPORT", "probe_load"]
 
 UNREACHABLE_REPORT = LoadReport(0, 0, 1.0, reachable=False)
-"""The figure of an endpoint that can't be reached."""
+"""The load report of an endpoint that can't be reached."""
 
 
 async def probe_load(
     connection: UpstreamConnection, server: BackendServer, path: str, names: CallHeaders
 ) -> tuple[AnswerHead, LoadReport | None]:
-    """Return the answer's head and the load figure.
+    """Return the head of the answer and the load report.
 
-    The figure is `UNREACHABLE_REPORT` where another incarnation answers, and None where the
-    endpoint tells none.  Raises `UpstreamError`.
+    The report is `UNREACHABLE_REPORT` if another incarnation answers, and None if the endpoint
+    provides none. Raises `UpstreamError`.
     """
     host = [(b"host", server.address.encode())]
     head = await connection.send(RequestHead(b"GET", path.encode(), host))
@@ -32,8 +32,8 @@
     named = find(head.headers, names.incarnation)
     if named is not None and named.decode("latin-1") != server.name:
         return head, UNREACHABLE_REPORT
-    figure = parse_load(find(head.headers, names.load))
+    report = parse_load(find(head.headers, names.load))
     left_ms = parse_cold_ms(find(head.headers, names.cold_ms))
-    if figure is not None and left_ms:
-        figure = replace(figure, cold_for_ms=left_ms)
-    return head, figure
+    if report is not None and left_ms:
+        report = replace(report, cold_for_ms=left_ms)
+    return head, report
--- a/cloverhook/gateway/refusals.py
+++ b/cloverhook/gateway/refusals.py
@@ -1,9 +1,10 @@
-"""What share of the requests that came to an endpoint it has turned away though it had room.
+"""The share of requests that an endpoint rejected although it had a free slot.
 
-Layer: state.  Such an endpoint looks idle, and so the best choice; each request that it turns away
-costs a repeat.  It still serves a part of what it gets, so it is neither suspended nor left alone,
-but used after others, by the share that it takes.  Only requests show that share: those that other
-VMs sent count here too, as one VM alone meets an endpoint seldom.
+Layer: state.  Such an endpoint looks idle and therefore like the best choice, and each request that
+it rejects costs a retry. It still serves some of its requests, so it is neither suspended nor left
+unused, but ranked after others according to the share that it accepts. Only requests reveal that
+share. Rejected requests of other VMs count here too, because a single VM seldom sends requests to a
+given endpoint.
 
 >>> share = RefusalShare()
 >>> for at_ms in range(0, 400, 100):
@@ -16,13 +17,14 @@
 __all__ = ["RefusalShare"]
 
 HALF_LIFE_MS = 2_000.0
-"""An endpoint that has ceased to turn requests away is used as before after a few of these."""
-PRIOR = 2.0
-"""So many requests are taken to have been served besides: a single refusal says little."""
+"""An endpoint that no longer rejects requests is used as before after a few of these."""
+PRIOR_SERVED = 2.0
+"""How many additional requests are assumed to have been served, since a single rejection says
+little."""
 
 
 class RefusalShare:
-    """Requests that ended at one endpoint, and those that it turned away; both fade with time."""
+    """Requests that ended at one endpoint, and those that it rejected; both decay over time."""
 
     __slots__ = ("_at_ms", "_ended", "_refused")
 
@@ -30,30 +32,30 @@
         self._refused = self._ended = self._at_ms = 0.0
 
     def record_refusal(self, now_ms: float) -> None:
-        """Count a request that was turned away."""
-        self._fade(now_ms)
+        """Record a rejected request."""
+        self._decay(now_ms)
         self._refused += 1.0
 
     def record_ended(self, count: int, now_ms: float) -> None:
-        """Count requests that have ended, in whatever way.
+        """Record requests that have ended, in whatever way.
 
-        Only what follows a refusal matters: before one, nothing is kept.
+        Only requests that end after a rejection matter: nothing is counted before the first one.
         """
         if self._refused:
-            self._fade(now_ms)
+            self._decay(now_ms)
             self._ended += count
 
     def share_at(self, now_ms: float) -> float:
-        """Return the share that is turned away, from 0 to 1."""
+        """Return the share of requests rejected, from 0 to 1."""
         if not self._refused:
             return 0.0
-        self._fade(now_ms)
-        return self._refused / (max(self._refused, self._ended) + PRIOR)
+        self._decay(now_ms)
+        return self._refused / (max(self._refused, self._ended) + PRIOR_SERVED)
 
-    def _fade(self, now_ms: float) -> None:
-        kept = 0.5 ** ((now_ms - self._at_ms) / HALF_LIFE_MS)
+    def _decay(self, now_ms: float) -> None:
+        factor = 0.5 ** ((now_ms - self._at_ms) / HALF_LIFE_MS)
         self._at_ms = now_ms
-        self._ended *= kept
-        self._refused *= kept
+        self._ended *= factor
+        self._refused *= factor
         if self._refused < 0.01:
             self._refused = self._ended = 0.0
