--- a/bench/baseline_router.py
+++ b/bench/baseline_router.py
@@ -8,17 +8,17 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from cloverhook.endpoint_stats import Trouble
+from cloverhook.endpoint_stats import ProbationReason
 from cloverhook.errors import ErrorKind
 from cloverhook.routing_events import (
     Action,
     Arrival,
     AttemptEnded,
     AttemptResult,
-    CallerGone,
+    CallerDisconnected,
     EndpointsChanged,
     Event,
-    Refuse,
+    Reject,
     Start,
 )
 
@@ -61,7 +61,7 @@
                 return (self._start(event.request_id),)
             case AttemptEnded():
                 return self._ended(event)
-            case CallerGone():
+            case CallerDisconnected():
                 self._requests.pop(event.request_id, None)
         return ()
 
@@ -74,15 +74,15 @@
         del address
         return False
 
-    def trouble_of(self, address: str) -> int:
+    def probation_reason_of(self, address: str) -> int:
         """Return that no endpoint is in trouble: these ways judge none."""
         del address
-        return Trouble.NONE
+        return ProbationReason.NONE
 
     def _ended(self, event: AttemptEnded) -> tuple[Action, ...]:
         self.in_flight[event.address] -= 1
         request = self._requests.get(event.request_id)
-        if request is None or not event.again:
+        if request is None or not event.wants_retry:
             self._requests.pop(event.request_id, None)
             return ()
         may_run_again = event.result in NOT_RUN or request.idempotent
@@ -90,12 +90,12 @@
             return (self._start(event.request_id),)
         del self._requests[event.request_id]
         kind = KINDS.get(event.result, ErrorKind.CONNECTION_CUT)
-        return (Refuse(event.request_id, kind, RETRY_AFTER_MS),)
+        return (Reject(event.request_id, kind, RETRY_AFTER_MS),)
 
     def _start(self, request_id: str) -> Action:
         if not self.addresses:
             del self._requests[request_id]
-            return Refuse(request_id, ErrorKind.NO_BACKEND_SERVER, RETRY_AFTER_MS)
+            return Reject(request_id, ErrorKind.NO_BACKEND_SERVER, RETRY_AFTER_MS)
         address = self._way(self)
         self._requests[request_id].attempts += 1
         self.started += 1
--- a/bench/capacity_membership.py
+++ b/bench/capacity_membership.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from bench.slope import Slope, measured
-from cloverhook.member_events import LinkOpened, MessageHeard, Send, Tick
+from cloverhook.member_events import LinkOpened, MessageReceived, SendMessage, Tick
 from cloverhook.members import Member, Status
 from cloverhook.membership import Membership
 from cloverhook.messages import Heartbeat, Hello, MemberUpdate, MemberUpdates, decode, encode
@@ -41,7 +41,7 @@
         self.membership = Membership(own, random.Random(members), START_MS)
         updates = tuple(_update(index) for index in range(members))
         self._link(updates[0])
-        self._do(MessageHeard(updates[0].vm, MemberUpdates(updates)))
+        self._do(MessageReceived(updates[0].vm, MemberUpdates(updates)))
         of_vm = {update.vm: update for update in updates}
         for vm in self.membership.neighbours():
             self._link(of_vm[vm])
@@ -81,11 +81,11 @@
     def _hear(self, vm: str, message: Heartbeat | MemberUpdates) -> None:
         data = encode(message)
         self.bytes += len(data)
-        self._do(MessageHeard(vm, decode(data)))
+        self._do(MessageReceived(vm, decode(data)))
 
-    def _do(self, event: LinkOpened | MessageHeard | Tick) -> None:
+    def _do(self, event: LinkOpened | MessageReceived | Tick) -> None:
         for action in self.membership.handle(event, self.now_ms):
-            if isinstance(action, Send):
+            if isinstance(action, SendMessage):
                 self.bytes += len(encode(action.message))
 
 
--- a/bench/capacity_parts.py
+++ b/bench/capacity_parts.py
@@ -34,7 +34,7 @@
 class _Nobody:
     """Takes what routers ask of the daemon, and does nothing."""
 
-    def tell(self, vm, message) -> None:
+    def send_message(self, vm, message) -> None:
         """Drop the message."""
 
     def probe(self, target, address, health) -> None:
--- a/bench/change_cost.py
+++ b/bench/change_cost.py
@@ -32,7 +32,7 @@
 class _Nobody:
     """Takes the messages and probes of the routers, and drops them."""
 
-    def tell(self, vm: str, message: Message) -> None:
+    def send_message(self, vm: str, message: Message) -> None:
         pass
 
     def probe(self, target: Target, address: str, health: bool = False) -> None:
--- a/bench/membership_cost.py
+++ b/bench/membership_cost.py
@@ -10,7 +10,7 @@
 import time
 from dataclasses import dataclass, replace
 
-from cloverhook.member_events import LinkOpened, MessageHeard, Send, Tick
+from cloverhook.member_events import LinkOpened, MessageReceived, SendMessage, Tick
 from cloverhook.members import Member
 from cloverhook.membership import Membership
 from cloverhook.messages import Heartbeat, Hello, MemberUpdates, Message, decode, encode
@@ -61,7 +61,7 @@
         self.links = [self.others[0].vm]
         self.membership.handle(LinkOpened(_hello(self.others[0])), 0.0)
         updates = MemberUpdates(tuple(member.to_update() for member in self.others))
-        self.membership.handle(MessageHeard(self.links[0], updates), 0.0)
+        self.membership.handle(MessageReceived(self.links[0], updates), 0.0)
         for member in self.others:
             if member.vm in self.membership.neighbours():
                 self.membership.handle(LinkOpened(_hello(member)), 0.0)
@@ -82,7 +82,7 @@
         data = encode(message)
         self.cost.received_bytes += len(data) + FRAME_BYTES
         started_s = time.process_time()
-        actions = self.membership.handle(MessageHeard(vm, decode(data)), self.now_ms)
+        actions = self.membership.handle(MessageReceived(vm, decode(data)), self.now_ms)
         self._send(actions)
         self.cost.cpu_s += time.process_time() - started_s
 
@@ -106,7 +106,7 @@
 
     def _send(self, actions: tuple) -> None:
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendMessage):
                 self.cost.sent_bytes += len(encode(action.message)) + FRAME_BYTES
 
 
--- a/bench/replay_ways.py
+++ b/bench/replay_ways.py
@@ -17,15 +17,15 @@
     AttemptResult,
     EndpointsChanged,
     HomesChanged,
-    PeerSaid,
+    PeerMessageReceived,
     Probe,
     ProbeEnded,
-    Refuse,
+    Reject,
+    SendMessage,
     Start,
-    Tell,
     Tick,
 )
-from cloverhook.steering import AnswerOrder, answer_lifetime_ms, home_vms
+from cloverhook.steering import HomeRotation, answer_lifetime_ms, home_vms
 
 __all__ = ["ALONE", "WAYS", "replay"]
 
@@ -170,7 +170,7 @@
         self.calls: dict[str, Call] = {}
         self.attempts: dict[str, tuple[Backend, list[int | None], float]] = {}
         self.lost = False
-        self.order = AnswerOrder()
+        self.order = HomeRotation()
         self.sent_bytes = 0
 
 
@@ -261,7 +261,7 @@
     def _ask(self, asked: _Vm) -> _Vm:
         live = [vm for vm in self._homes if not vm.lost]
         members = [Member(vm.name, vm.data_center, "", "") for vm in live]
-        return self._by_name[asked.order.next("", members, self._weights)[0].vm]
+        return self._by_name[asked.order.next_order("", members, self._weights)[0].vm]
 
     def _next_home(self, lost: _Vm) -> _Vm:
         left = [vm for vm in self._homes if not vm.lost]
@@ -300,16 +300,16 @@
         match action:
             case Start(request_id, address):
                 self._start(vm, request_id, world.by_address[address])
-            case Refuse(request_id):
+            case Reject(request_id):
                 world.ended(vm.calls.pop(request_id), "refused")
-            case Tell(name, message):
+            case SendMessage(name, message):
                 peer = self._by_name[name]
                 size = len(encode(message)) + FRAME_BYTES
                 vm.sent_bytes += size
                 world.result.messages += 1
                 world.result.message_bytes += size
                 way_ms = world.way_ms(vm.data_center, peer.data_center)
-                world.clock.after(way_ms, self._handle, peer, PeerSaid(vm.name, message))
+                world.clock.after(way_ms, self._handle, peer, PeerMessageReceived(vm.name, message))
             case Probe(address):
                 world.result.probes += 1
                 backend = world.by_address[address]
--- a/cloverhook/admission.py
+++ b/cloverhook/admission.py
@@ -6,9 +6,9 @@
 requests in progress; all brands together never have more than twice the limit.
 
 >>> admission = Admission(limit=2)
->>> [admission.enter("saltbush") for _ in range(3)]
+>>> [admission.try_enter("saltbush") for _ in range(3)]
 [True, True, False]
->>> admission.enter("brathwaite")
+>>> admission.try_enter("brathwaite")
 True
 """
 
@@ -23,7 +23,7 @@
         self._total = 0
         self._in_progress: dict[str, int] = {}
 
-    def enter(self, brand: str) -> bool:
+    def try_enter(self, brand: str) -> bool:
         """Count a request in and return True, or return False when it has to be refused."""
         own = self._in_progress.get(brand, 0)
         brands = len(self._in_progress) + (own == 0)
--- a/cloverhook/caller_app.py
+++ b/cloverhook/caller_app.py
@@ -16,11 +16,11 @@
 
 from cloverhook import headers as h
 from cloverhook.admission import Admission
-from cloverhook.at_most_once import OnceGuard
+from cloverhook.at_most_once import AtMostOnceRunner
 from cloverhook.clock import wall_ms
 from cloverhook.dispatch import Dispatcher, Target
 from cloverhook.errors import ErrorKind, Outcome, RequestError, UpstreamError, answer_for
-from cloverhook.exchange import Exchange, Receive, RefusedError, RequestBody, Send
+from cloverhook.exchange import Exchange, Receive, RejectedError, RequestBody, Send
 from cloverhook.observed_app import Observation
 from cloverhook.routing_events import Arrival, AttemptEnded, AttemptResult
 from cloverhook.settings import DaemonSettings
@@ -48,7 +48,7 @@
         time_line: TimeLine,
         clock_ms: Callable[[], float],
         addresses: Addresses,
-        once: OnceGuard,
+        once: AtMostOnceRunner,
     ) -> None:
         self._settings = settings
         self._dispatcher = dispatcher
@@ -59,7 +59,7 @@
         self._once = once
         self._admission = Admission(settings.requests_limit)
         self._in_progress: set[str] = set()
-        self.leaving = False
+        self.draining = False
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         """Serve one request."""
@@ -109,7 +109,7 @@
         query = parse_qs(scope["query_string"].decode("latin-1"))
         data_center = query.get("data_center", [""])[0]
         unreachable = query.get("unreachable", [""])[0]
-        close = [(b"connection", b"close")] if self.leaving else None
+        close = [(b"connection", b"close")] if self.draining else None
         document = self._addresses(target, data_center, unreachable)
         await self._send_json(send, document, extra=close)
 
@@ -147,7 +147,7 @@
     async def _take(self, exchange: Exchange, key: bytes | None) -> None:
         """Serve a request within its brand's share of this daemon."""
         brand = exchange.target.brand
-        if not self._admission.enter(brand):
+        if not self._admission.try_enter(brand):
             raise RequestError(ErrorKind.OVERLOADED, "the brand's share of this VM is in use")
         try:
             if key is None or exchange.idempotent:
@@ -163,7 +163,7 @@
             exchange.target.service.priority_of(exchange.path),
             exchange.deadline_ms,
             exchange.idempotent,
-            exchange.told_attempt,
+            exchange.caller_attempt,
         )
         address = await self._dispatcher.admit(exchange.target, arrival, self._clock_ms())
         while True:
@@ -183,9 +183,9 @@
         try:
             async with asyncio.timeout((exchange.deadline_ms - started_ms) / 1000):
                 head = await exchange.attempt(
-                    address, self._pool, self._clock_ms, closing=self.leaving
+                    address, self._pool, self._clock_ms, closing=self.draining
                 )
-            load, leaving = h.load_of(head.headers), h.is_leaving(head.headers)
+            load, leaving = h.load_of(head.headers), h.is_draining(head.headers)
             result = AttemptResult.FAILED if head.status >= 500 else AttemptResult.ANSWERED
         except UpstreamError as error:
             failure = error
@@ -194,8 +194,8 @@
         except TimeoutError as error:
             failure = error
             result = AttemptResult.TIMED_OUT if exchange.sent else AttemptResult.NOT_SENT
-        except RefusedError as error:
-            failure, leaving = error, error.leaving
+        except RejectedError as error:
+            failure, leaving = error, error.server_draining
             result = AttemptResult.REFUSED
         finally:
             exchange.maybe_ran |= exchange.sent and result not in NOT_RUN_RESULTS
@@ -204,10 +204,10 @@
             ended = AttemptEnded(
                 exchange.request_id, address, result, latency_ms, load, again, leaving
             )
-            exchange.seen.attempt_ended(latency_ms)
+            exchange.observation.attempt_ended(latency_ms)
             self._note_attempt(ended)
             if not again:
-                self._dispatcher.ended(exchange.target, ended, self._clock_ms())
+                self._dispatcher.record_attempt_end(exchange.target, ended, self._clock_ms())
         if again:
             return ended
         if failure is not None:
@@ -216,7 +216,7 @@
 
     def _may_repeat(self, exchange: Exchange, result: AttemptResult) -> bool:
         """Return whether another attempt is allowed: non-idempotent requests run at most once."""
-        if not exchange.repeatable or self._clock_ms() >= exchange.deadline_ms:
+        if not exchange.retryable or self._clock_ms() >= exchange.deadline_ms:
             return False
         if result in NOT_RUN_RESULTS:
             return True
@@ -251,7 +251,7 @@
         ]
         if answer.retry_after:
             sent += _retry_after(error.retry_after_ms or DEFAULT_RETRY_AFTER_MS)
-        if self.leaving:
+        if self.draining:
             sent.append((b"connection", b"close"))
         body = {"error": kind.value, "outcome": outcome.value, "detail": str(error)}
         await self._send_json(send, body, answer.status, sent)
--- a/cloverhook/caller_protocol.py
+++ b/cloverhook/caller_protocol.py
@@ -22,7 +22,7 @@
 from cloverhook.request_cycle import RequestCycle, error_answer
 from cloverhook.socket_options import CALLER_LIVENESS
 
-__all__ = ["CallerProtocol", "Limits"]
+__all__ = ["CallerProtocol", "RequestLimits"]
 
 FRAMING_ALLOWANCE_BYTES = 65_536
 FRAMING_RATIO = 16
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class RequestLimits:
     """How large and how slow a request may be.
 
     `body_timeout_ms` bounds the time between two parts of a body, and `header_timeout_ms` the
@@ -56,7 +56,7 @@
 class CallerProtocol(HttpToolsProtocol):
     """One caller's connection."""
 
-    limits = Limits()
+    limits = RequestLimits()
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Take the connection; one that stays silent is closed like an idle one."""
@@ -201,7 +201,7 @@
             self.transport.write_eof()
         self._linger_timer = self.loop.call_later(LINGER_MS / 1000, self.transport.abort)
 
-    def break_off(self) -> None:
+    def reset_connection(self) -> None:
         """Reset the connection, so that no caller takes a part of an answer for the whole."""
         if self.transport.is_closing():
             return
--- a/cloverhook/catch_up.py
+++ b/cloverhook/catch_up.py
@@ -6,9 +6,9 @@
 a record crosses a link only when it is needed there.
 
 >>> catch_up = CatchUp()
->>> catch_up.offered("vm-2", 5, 0.0)
->>> catch_up.due(4, 10.0)
->>> catch_up.due(4, 30.0)
+>>> catch_up.record_offset("vm-2", 5, 0.0)
+>>> catch_up.next_peer(4, 10.0)
+>>> catch_up.next_peer(4, 30.0)
 'vm-2'
 """
 
@@ -16,8 +16,8 @@
 
 __all__ = ["CatchUp"]
 
-PATIENCE_MS = 20
-ANSWER_MS = 400
+REQUEST_DELAY_MS = 20
+ANSWER_TIMEOUT_MS = 400
 
 
 class CatchUp:
@@ -29,30 +29,30 @@
         self._asked: list[str] = []
         self._asked_until_ms = 0.0
 
-    def offered(self, vm: str, next_offset: int, now_ms: float) -> None:
+    def record_offset(self, vm: str, next_offset: int, now_ms: float) -> None:
         """Note the offset up to which a peer has folded."""
         self._offers[vm] = next_offset
         if self._behind_ms is None:
             self._behind_ms = now_ms
 
-    def lost(self, vm: str) -> None:
+    def remove_peer(self, vm: str) -> None:
         """Note that a peer is linked no more."""
         self._offers.pop(vm, None)
         if vm in self._asked:
             self._asked_until_ms = 0.0
 
-    def answered(self, vm: str) -> None:
+    def record_answer(self, vm: str) -> None:
         """Note that the peer asked has answered, so that another request may follow."""
         if self._asked and self._asked[-1] == vm:
             self._asked_until_ms = 0.0
 
     def next_wake_ms(self, next_offset: int, now_ms: float) -> float:
-        """Return when `due` may next name a peer, if no peer offers more until then."""
+        """Return when `next_peer` may next name a peer, if no peer offers more until then."""
         if all(offset <= next_offset for offset in self._offers.values()):
             return math.inf
-        return max(now_ms + PATIENCE_MS, self._asked_until_ms)
+        return max(now_ms + REQUEST_DELAY_MS, self._asked_until_ms)
 
-    def due(self, next_offset: int, now_ms: float) -> str | None:
+    def next_peer(self, next_offset: int, now_ms: float) -> str | None:
         """Return the peer to ask now for the records from an offset on, if any."""
         ahead = sorted(vm for vm, offset in self._offers.items() if offset > next_offset)
         if not ahead:
@@ -61,9 +61,9 @@
             return None
         if self._behind_ms is None:
             self._behind_ms = now_ms
-        if now_ms - self._behind_ms < PATIENCE_MS or now_ms < self._asked_until_ms:
+        if now_ms - self._behind_ms < REQUEST_DELAY_MS or now_ms < self._asked_until_ms:
             return None
         vm = min(ahead, key=lambda name: (self._asked.count(name), -self._offers[name]))
         self._asked.append(vm)
-        self._asked_until_ms = now_ms + ANSWER_MS
+        self._asked_until_ms = now_ms + ANSWER_TIMEOUT_MS
         return vm
--- a/cloverhook/claims.py
+++ b/cloverhook/claims.py
@@ -8,7 +8,7 @@
 A claim that is folded twice counts once, and one that lands after its own release never holds.
 A daemon that has missed records can't know who holds a key, until a whole window has passed.
 
->>> book = ClaimBook("vm-1", window_ms=60_000)
+>>> book = ClaimTable("vm-1", window_ms=60_000)
 >>> book.claim("key", "c1", 0.0)
 >>> batch = book.take_batch(0.0)
 >>> book.fold(0, (batch.to_document(),), 0.0)
@@ -23,12 +23,12 @@
 
 __all__ = [
     "ClaimBatch",
-    "ClaimBook",
+    "ClaimTable",
     "ClaimState",
     "Decision",
     "Denied",
     "Granted",
-    "Unsure",
+    "Undecidable",
     "key_hash",
 ]
 
@@ -63,13 +63,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unsure:
+class Undecidable:
     """Records were missed, one of which may hold the key."""
 
     claim_id: str
 
 
-Decision = Granted | Denied | Unsure
+Decision = Granted | Denied | Undecidable
 
 
 Pairs = tuple[tuple[str, str], ...]
@@ -131,7 +131,7 @@
     return digest.hexdigest()
 
 
-class ClaimBook:
+class ClaimTable:
     """The claims of all daemons as this one has read them, and its own that are under way."""
 
     def __init__(self, vm: str, window_ms: float) -> None:
@@ -172,7 +172,7 @@
         self._unsent.pop(claim_id, None)
         self._released[claim_id] = key
 
-    def ran(self, key: str, claim_id: str) -> None:
+    def mark_ran(self, key: str, claim_id: str) -> None:
         """Tell that the request behind a claim has run."""
         self._ran[claim_id] = key
 
@@ -202,7 +202,7 @@
         for key, claim_id in batch.ran:
             self._ran[claim_id] = key
 
-    def missed(self, next_offset: int, now_ms: float) -> None:
+    def record_gap(self, next_offset: int, now_ms: float) -> None:
         """Go on at an offset, since the records before it can't be read any more."""
         self.next_offset = next_offset
         self._unsure_until_ms = now_ms + self._window_ms
@@ -212,7 +212,7 @@
     ) -> tuple[Decision, ...]:
         """Take records from the log and return the decisions on this daemon's claims."""
         if from_offset > self.next_offset:
-            self.missed(from_offset, now_ms)
+            self.record_gap(from_offset, now_ms)
         decisions: list[Decision] = []
         for record in records[self.next_offset - from_offset :]:
             self.next_offset += 1
@@ -260,7 +260,7 @@
         if holder.claim_id != claim_id:
             return Denied(claim_id, holder.claim_id, holder.vm, holder.state)
         if now_ms < self._unsure_until_ms:
-            return Unsure(claim_id)
+            return Undecidable(claim_id)
         return Granted(claim_id)
 
     def _forget(self, now_ms: float) -> None:
--- a/cloverhook/config_commands.py
+++ b/cloverhook/config_commands.py
@@ -14,7 +14,7 @@
 from cloverhook.errors import PlatformError
 from cloverhook.fleet import Preset
 from cloverhook.fold import BrandState
-from cloverhook.log_reading import Ruling
+from cloverhook.log_reading import ChangeOutcome
 from cloverhook.operator_client import statuses, wait_followed
 from cloverhook.platform_api import VmPhase
 from cloverhook.porcelain import ChangeResult, Operator, Settlement
@@ -210,7 +210,7 @@
     return "\n".join((head, *lines))
 
 
-def _ruling_document(ruling: Ruling) -> dict[str, Any]:
+def _ruling_document(ruling: ChangeOutcome) -> dict[str, Any]:
     change = ruling.change
     match change.action:
         case Publish():
--- a/cloverhook/dispatch.py
+++ b/cloverhook/dispatch.py
@@ -13,33 +13,33 @@
 from cloverhook.clock import monotonic_ms
 from cloverhook.errors import ErrorKind, RequestError
 from cloverhook.fleet import Endpoint, Policy, Service
-from cloverhook.measuring import ProbeTurns
+from cloverhook.measuring import ProbeSpacing
 from cloverhook.messages import Message
-from cloverhook.own_limit import OwnLimit
-from cloverhook.retry_after import ReturnTimes
+from cloverhook.own_limit import LoadShedder
+from cloverhook.retry_after import RetryAfterTimes
 from cloverhook.routing import PEER_BYTES_PER_S, ServiceRouter
 from cloverhook.routing_events import (
     Action,
     Arrival,
     AttemptEnded,
     AttemptResult,
-    CallerGone,
+    CallerDisconnected,
     EndpointsChanged,
     Event,
     HomesChanged,
-    PeerSaid,
+    PeerMessageReceived,
     Probe,
     ProbeEnded,
-    Refuse,
+    Reject,
+    SendMessage,
     Start,
-    Tell,
     Tick,
 )
 from cloverhook.state import BrandState, State
 from cloverhook.token_bucket import TokenBucket
 from cloverhook.wake_times import LoopTimer, WakeTimes
 
-__all__ = ["DispatchWatch", "Dispatcher", "Outlet", "Target"]
+__all__ = ["DispatchObserver", "DispatchTransport", "Dispatcher", "Target"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,23 +56,23 @@
         return f"{self.brand}/{self.service.name}"
 
 
-class Outlet(Protocol):
+class DispatchTransport(Protocol):
     """What the daemon does for the routers beside starting requests."""
 
-    def tell(self, vm: str, message: Message) -> None:
+    def send_message(self, vm: str, message: Message) -> None:
         """Send a message to another VM; it may be lost."""
 
     def probe(self, target: Target, address: str, health: bool) -> None:
         """Ask an endpoint for its load or health and report it by `Dispatcher.probe_ended`."""
 
 
-class DispatchWatch(Protocol):
+class DispatchObserver(Protocol):
     """Who is told of endpoints and probes; the events and metrics come from it."""
 
-    def endpoint_is(self, address: str, trouble: int) -> None:
+    def record_endpoint_state(self, address: str, trouble: int) -> None:
         """Take what is wrong with an endpoint after an attempt or probe there."""
 
-    def probed(self, target: Target, latency_ms: float) -> None:
+    def record_probe(self, target: Target, latency_ms: float) -> None:
         """Take a probe that has ended."""
 
 
@@ -80,15 +80,18 @@
     """The routers of this daemon and the requests that wait for them."""
 
     def __init__(
-        self, source: random.Random, outlet: Outlet, watch: DispatchWatch | None = None
+        self,
+        source: random.Random,
+        outlet: DispatchTransport,
+        watch: DispatchObserver | None = None,
     ) -> None:
         self._random = source
         self._watch = watch
         self._outlet = outlet
-        self.own_limit = OwnLimit()
-        self._returns = ReturnTimes(source)
+        self.load_shedder = LoadShedder()
+        self._returns = RetryAfterTimes(source)
         self._peer_bytes = TokenBucket(PEER_BYTES_PER_S, PEER_BYTES_PER_S)
-        self._turns = ProbeTurns()
+        self._turns = ProbeSpacing()
         self._brands: Mapping[str, BrandState] = {}
         self._in_force: tuple[Target, ...] = ()
         self._targets: dict[bytes, Target] = {}
@@ -103,7 +106,7 @@
     def start_timer(self, clock_ms: Callable[[], float]) -> None:
         """Let the running event loop call `wake` from now on whenever a router needs it."""
         self._timer = LoopTimer(clock_ms, lambda: self.wake(clock_ms()))
-        self._timer.by(self._wake_times.next_ms())
+        self._timer.call_by(self._wake_times.earliest_ms())
 
     def stop_timer(self) -> None:
         """Let the event loop call `wake` no more."""
@@ -143,7 +146,7 @@
         owner = self._routers[key].owns(address)
         return max(1, endpoint.connections // (2 if owner else 2 * max(1, vms)))
 
-    def waiting(self) -> int:
+    def queued_count(self) -> int:
         """Return the number of requests that wait for an endpoint."""
         return len(self._waiting)
 
@@ -159,10 +162,10 @@
 
         Raises `RequestError` with its final answer when it may not.
         """
-        if self.own_limit.refuses(arrival.priority):
-            after_ms = self._returns.refused(0.0)
+        if self.load_shedder.should_shed(arrival.priority):
+            after_ms = self._returns.record_rejection(0.0)
             raise RequestError(ErrorKind.OVERLOADED, "this VM is at its limit", after_ms)
-        self._returns.admitted()
+        self._returns.record_admission()
         return await self._wait(target, arrival.request_id, arrival, now_ms)
 
     async def retry(self, target: Target, ended: AttemptEnded, now_ms: float) -> str:
@@ -172,12 +175,12 @@
         finally:
             self._look_at(target.key, ended.address)
 
-    def ended(self, target: Target, ended: AttemptEnded, now_ms: float) -> None:
+    def record_attempt_end(self, target: Target, ended: AttemptEnded, now_ms: float) -> None:
         """Report the end of a request's last attempt."""
         self._drive(target.key, ended, now_ms)
         self._look_at(target.key, ended.address)
 
-    def homes_changed(
+    def set_homes(
         self,
         key: str,
         own_vm: str,
@@ -191,28 +194,28 @@
         """
         self._drive(key, HomesChanged(own_vm, homes, data_centers or {}), now_ms)
 
-    def peer_said(self, key: str, vm: str, message: Message, now_ms: float) -> None:
+    def handle_peer_message(self, key: str, vm: str, message: Message, now_ms: float) -> None:
         """Take another VM's message about a service."""
-        self._drive(key, PeerSaid(vm, message), now_ms)
+        self._drive(key, PeerMessageReceived(vm, message), now_ms)
 
     def probe_ended(self, key: str, ended: ProbeEnded, now_ms: float) -> None:
         """Take the end of a probe."""
         self._drive(key, ended, now_ms)
         target = self._target_of.get(key)
         if self._watch is not None and target is not None:
-            self._watch.probed(target, ended.latency_ms)
+            self._watch.record_probe(target, ended.latency_ms)
         self._look_at(key, ended.address)
 
     def next_wake_ms(self) -> float | None:
         """Return when `wake` has something to do next, if time alone brings that about."""
-        return self._wake_times.next_ms()
+        return self._wake_times.earliest_ms()
 
     def wake(self, now_ms: float) -> None:
         """Let time pass for the routers that have asked for it."""
-        for key in self._wake_times.due(now_ms):
+        for key in self._wake_times.pop_due(now_ms):
             self._drive(key, Tick(), now_ms)
         if self._timer is not None:
-            self._timer.by(self._wake_times.next_ms())
+            self._timer.call_by(self._wake_times.earliest_ms())
 
     def tick(self, now_ms: float) -> None:
         """Let time pass for all routers."""
@@ -238,12 +241,12 @@
             ended = AttemptEnded(request_id, future.result(), AttemptResult.CANCELLED, 0.0)
             self._drive(key, ended, now_ms)
         else:
-            self._drive(key, CallerGone(request_id), now_ms)
+            self._drive(key, CallerDisconnected(request_id), now_ms)
 
     def _look_at(self, key: str, address: str) -> None:
         router = self._routers.get(key)
         if self._watch is not None and router is not None:
-            self._watch.endpoint_is(address, router.trouble_of(address))
+            self._watch.record_endpoint_state(address, router.probation_reason_of(address))
 
     def _drive(self, key: str, event: Event, now_ms: float) -> None:
         handle = self._handle_of.get(key)
@@ -253,21 +256,21 @@
             self._perform(key, action)
         wake_ms = self._routers[key].next_wake_ms(now_ms)
         if wake_ms is not None:
-            self._wake_times.want(key, wake_ms)
+            self._wake_times.request(key, wake_ms)
             if self._timer is not None:
-                self._timer.by(wake_ms)
+                self._timer.call_by(wake_ms)
 
     def _perform(self, key: str, action: Action) -> None:
         match action:
-            case Tell(vm, message):
-                self._outlet.tell(vm, message)
+            case SendMessage(vm, message):
+                self._outlet.send_message(vm, message)
             case Probe(address, health):
                 self._outlet.probe(self._target_of[key], address, health)
             case Start(request_id, address):
                 future = self._pending(request_id)
                 if future is not None:
                     future.set_result(address)
-            case Refuse(request_id, kind, retry_after_ms):
+            case Reject(request_id, kind, retry_after_ms):
                 future = self._pending(request_id)
                 if future is not None:
                     future.set_exception(RequestError(kind, retry_after_ms=retry_after_ms))
--- a/cloverhook/endpoint_stats.py
+++ b/cloverhook/endpoint_stats.py
@@ -14,7 +14,7 @@
 from cloverhook.latency_model import LatencyModel
 from cloverhook.routing_events import AttemptResult
 
-__all__ = ["EndpointStats", "Trouble"]
+__all__ = ["EndpointStats", "ProbationReason"]
 
 SLOW_AT = 10.0
 GOOD_EVIDENCE = -0.5
@@ -27,7 +27,7 @@
 REPORT_LIFETIME_MS = 100.0
 
 
-class Trouble(IntEnum):
+class ProbationReason(IntEnum):
     """Why an endpoint is on probation."""
 
     NONE = 0
@@ -42,25 +42,25 @@
 
     `started_ms` holds this VM's own requests in flight there, `lent` counts slots granted to other
     VMs, and `limit` is how many may be in use at once.  `refused` says that it has refused a
-    request since its health was last asked for, at `health_ms`.
+    request since its health was last asked for, at `health_probed_ms`.
     """
 
     endpoint: Endpoint
     limit: int
     started_ms: dict[str, float] = field(default_factory=dict)
     lent: int = 0
-    trouble: Trouble = Trouble.NONE
+    probation_reason: ProbationReason = ProbationReason.NONE
     slowness: float = 0.0
     failures: float = 0.0
     next_trial_ms: float = 0.0
     trial_ms: float = FIRST_TRIAL_MS
     reported_ms: float = -1e12
-    foreign: int = 0
-    evidence_ms: float = -1e12
-    gone: bool = False
+    external_in_flight: int = 0
+    last_evidence_ms: float = -1e12
+    removed: bool = False
     refused: bool = False
     draining: bool = False
-    health_ms: float = -1e12
+    health_probed_ms: float = -1e12
 
     @classmethod
     def from_endpoint(cls, endpoint: Endpoint, proven: bool) -> "EndpointStats":
@@ -80,23 +80,23 @@
     @property
     def configured(self) -> bool:
         """Whether the configuration gives it work."""
-        return not self.gone and not self.endpoint.leaving
+        return not self.removed and not self.endpoint.leaving
 
-    def room(self, now_ms: float) -> int:
+    def free_slots(self, now_ms: float) -> int:
         """Return how many more requests may go there now."""
         limit = self.limit
         if self.slowness > 0 and now_ms - self.reported_ms < REPORT_LIFETIME_MS:
-            limit = max(1, limit - self.foreign)
+            limit = max(1, limit - self.external_in_flight)
         return limit - self.used
 
     def trial_due(self, now_ms: float) -> bool:
         """Return whether an endpoint on probation may get a trial request."""
-        return bool(self.trouble) and self.takes_work and now_ms >= self.next_trial_ms
+        return bool(self.probation_reason) and self.takes_work and now_ms >= self.next_trial_ms
 
-    def begin(self, request_id: str, now_ms: float) -> None:
+    def record_start(self, request_id: str, now_ms: float) -> None:
         """Count a request that starts; on probation it is a trial."""
         self.started_ms[request_id] = now_ms
-        if self.trouble:
+        if self.probation_reason:
             self.next_trial_ms = now_ms + self.trial_ms
             self.trial_ms = min(MAX_TRIAL_MS, self.trial_ms * 2)
 
@@ -107,7 +107,7 @@
             evidence += model.age_evidence(now_ms - started_ms)
         return evidence >= SLOW_AT
 
-    def end(
+    def record_end(
         self, request_id: str, result: AttemptResult, latency_ms: float, model: LatencyModel
     ) -> None:
         """Take the end of a request.  Errors give no latency, so fast ones attract nothing."""
@@ -118,7 +118,7 @@
             self._add_slowness(evidence)
             if evidence < GOOD_EVIDENCE:
                 self.slowness = 0.0
-            self._add_failures(SUCCESS_EVIDENCE if not self.trouble else -FAILURE_EVIDENCE)
+            self._add_failures(SUCCESS_EVIDENCE if not self.probation_reason else -FAILURE_EVIDENCE)
         elif result is AttemptResult.TIMED_OUT:
             self._add_slowness(max(0.0, model.age_evidence(latency_ms)))
         elif result is AttemptResult.NOT_SENT:
@@ -126,36 +126,36 @@
         elif result is not AttemptResult.CANCELLED:
             self._add_failures(FAILURE_EVIDENCE)
 
-    def clear(self) -> bool:
+    def can_end_probation(self) -> bool:
         """Return whether trials have answered well enough to end the probation."""
         return self.slowness < SLOW_AT / 2 and self.failures < FAILING_CLEAR_AT
 
-    def suspect(self, trouble: Trouble, now_ms: float) -> None:
+    def start_probation(self, trouble: ProbationReason, now_ms: float) -> None:
         """Put the endpoint on probation; a slow one keeps its limit for when the line is long."""
-        self.trouble = trouble
-        if trouble == Trouble.SLOW:
+        self.probation_reason = trouble
+        if trouble == ProbationReason.SLOW:
             self.slowness = SLOW_AT
         else:
             self.limit = 1
         self.trial_ms = FIRST_TRIAL_MS
         self.next_trial_ms = now_ms + self.trial_ms
 
-    def acquit(self) -> None:
+    def end_probation(self) -> None:
         """End the probation; the limit grows back by one with each good answer."""
-        self.trouble = Trouble.NONE
+        self.probation_reason = ProbationReason.NONE
         self.limit = max(1, min(2, self.endpoint.slots))
         self.trial_ms = FIRST_TRIAL_MS
 
-    def grow(self) -> None:
+    def raise_limit(self) -> None:
         """Let one more request in, never more than there are slots."""
         self.limit = min(self.endpoint.slots, self.limit + 1)
 
-    def hear(self, load: int, now_ms: float) -> None:
+    def record_load(self, load: int, now_ms: float) -> None:
         """Take a load that an answer or a probe reports: what is there beside requests known of."""
-        self.foreign = max(0, min(load - self.used, self.endpoint.slots - 1))
+        self.external_in_flight = max(0, min(load - self.used, self.endpoint.slots - 1))
         self.reported_ms = now_ms
 
-    def blame(self, suspicion: float) -> None:
+    def record_peer_evidence(self, suspicion: float) -> None:
         """Take another VM's evidence; it alone can't put the endpoint on probation."""
         self.slowness = max(self.slowness, min(suspicion, SLOW_AT - 1))
 
--- a/cloverhook/exchange.py
+++ b/cloverhook/exchange.py
@@ -20,7 +20,7 @@
     "CapturedAnswer",
     "Exchange",
     "Receive",
-    "RefusedError",
+    "RejectedError",
     "RequestBody",
     "Send",
 ]
@@ -32,15 +32,15 @@
 Send = Callable[[dict[str, Any]], Awaitable[None]]
 
 
-class RefusedError(Exception):
+class RejectedError(Exception):
     """The backend server refused the request before it did any work.
 
-    `leaving` is whether it said that it takes no new work at all.
+    `server_draining` is whether it said that it takes no new work at all.
     """
 
     def __init__(self, leaving: bool) -> None:
         super().__init__("the backend server refused the request")
-        self.leaving = leaving
+        self.server_draining = leaving
 
 
 class RequestBody:
@@ -52,15 +52,15 @@
         self._kept: list[bytes] = []
         self._kept_bytes = 0
         self.ended = False
-        self.repeatable = True
+        self.can_resend = True
 
-    async def begin(self) -> bytes:
+    async def initial_part(self) -> bytes:
         """Return what is at hand for a new attempt; wait where that is nothing."""
         if self._kept or self.ended:
             return b"".join(self._kept)
         return await self._take()
 
-    async def rest(self) -> AsyncIterator[bytes]:
+    async def remaining_parts(self) -> AsyncIterator[bytes]:
         """Yield what the caller still has to send."""
         while not self.ended:
             yield await self._take()
@@ -77,7 +77,7 @@
     def _keep(self, part: bytes) -> None:
         self._kept_bytes += len(part)
         if self._kept_bytes > self._limit_bytes:
-            self.repeatable = False
+            self.can_resend = False
             self._kept.clear()
         elif part:
             self._kept.append(part)
@@ -101,26 +101,26 @@
         self._headers: h.Headers = []
         self._parts: list[bytes] = []
         self.answer: CapturedAnswer | None = None
-        self.whole = False
+        self.complete = False
 
-    def begin(self, status: int, headers: h.Headers) -> None:
+    def record_head(self, status: int, headers: h.Headers) -> None:
         """Take the head of the answer."""
         self._status = status
         self._headers = [pair for pair in headers if pair[0] != b"connection"]
 
-    def add(self, part: bytes, more: bool) -> None:
+    def add_body_part(self, part: bytes, more: bool) -> None:
         """Take a part of the body; without `more` the answer is whole."""
         self._room_bytes -= len(part)
         if self._room_bytes >= 0:
             self._parts.append(part)
-        self.whole = not more
-        if self.whole and self._room_bytes >= 0:
+        self.complete = not more
+        if self.complete and self._room_bytes >= 0:
             self.answer = CapturedAnswer(self._status, self._headers, b"".join(self._parts))
 
     @property
     def ran(self) -> bool:
         """Whether the whole answer says that its request ran."""
-        return self.whole and h.outcome_of(self._headers) is Outcome.RAN
+        return self.complete and h.outcome_of(self._headers) is Outcome.RAN
 
 
 @dataclass(slots=True)
@@ -128,7 +128,7 @@
     """A request with what is known of its attempts.
 
     `sent` says whether a byte of the attempt under way may have left this process, and
-    `maybe_ran` whether an earlier attempt may have run.  `told_attempt` is which attempt of the
+    `maybe_ran` whether an earlier attempt may have run.  `caller_attempt` is which attempt of the
     layer above the request is: with more than 1, that layer retries, and this one does not.
     """
 
@@ -140,8 +140,8 @@
     idempotent: bool
     body: RequestBody | None
     send: Send
-    seen: Observation
-    told_attempt: int = 1
+    observation: Observation
+    caller_attempt: int = 1
     attempts: int = 0
     sent: bool = False
     maybe_ran: bool = False
@@ -150,16 +150,16 @@
     capture: "AnswerCapture | None" = None
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Whether another attempt could send the same request and its answer would be the first."""
-        return not self.answer_started and (self.body is None or self.body.repeatable)
+        return not self.answer_started and (self.body is None or self.body.can_resend)
 
     async def attempt(
         self, address: str, pool: UpstreamPool, now_ms: Callable[[], float], closing: bool
     ) -> AnswerHead:
         """Send the request to an endpoint and its answer to the caller.
 
-        Raises `UpstreamError` when the exchange with the backend server fails, `RefusedError`
+        Raises `UpstreamError` when the exchange with the backend server fails, `RejectedError`
         when it refuses the request, and `RequestError` when the request's body fails.
         """
         self.sent = False
@@ -168,12 +168,12 @@
         try:
             answer = await self._send_request(connection, now_ms)
             if _is_refusal(answer):
-                raise RefusedError(h.is_leaving(answer.headers))
+                raise RejectedError(h.is_draining(answer.headers))
             await self._send_answer(answer, connection, closing)
-        except RefusedError:
+        except RejectedError:
             raise
         except (UpstreamError, asyncio.CancelledError):
-            if connection.silent:
+            if connection.is_unanswered:
                 pool.close_idle_since(address, started_ms)
             connection.close()
             raise
@@ -187,8 +187,8 @@
     async def _send_request(
         self, connection: UpstreamConnection, now_ms: Callable[[], float]
     ) -> AnswerHead:
-        first = b"" if self.body is None else await self.body.begin()
-        rest = None if self.body is None or self.body.ended else self.body.rest()
+        first = b"" if self.body is None else await self.body.initial_part()
+        rest = None if self.body is None or self.body.ended else self.body.remaining_parts()
         remaining_ms = self.deadline_ms - now_ms()
         if remaining_ms <= 0:
             raise TimeoutError
@@ -204,7 +204,7 @@
             (h.DEADLINE, str(max(1, int(remaining_ms))).encode()),
         ]
         self.attempts += 1
-        attempt = max(self.attempts, self.told_attempt)
+        attempt = max(self.attempts, self.caller_attempt)
         if attempt > 1:
             headers.append((h.ATTEMPT, str(attempt).encode()))
         head = self.head
@@ -220,7 +220,7 @@
             headers.append((b"connection", b"close"))
         self.answer_started = True
         if self.capture is not None:
-            self.capture.begin(answer.status, headers)
+            self.capture.record_head(answer.status, headers)
         start = {"type": "http.response.start", "status": answer.status, "headers": headers}
         await self.send(start)
         more = True
@@ -229,7 +229,7 @@
         while more:
             part, more = await connection.read()
             if self.capture is not None:
-                self.capture.add(part, more)
+                self.capture.add_body_part(part, more)
             await self.send({"type": "http.response.body", "body": part, "more_body": more})
 
 
--- a/cloverhook/failure_detector.py
+++ b/cloverhook/failure_detector.py
@@ -10,34 +10,34 @@
 from collections.abc import Collection
 from dataclasses import dataclass, replace
 
-from cloverhook.member_events import MemberAction, Send
+from cloverhook.member_events import MemberAction, SendMessage
 from cloverhook.members import Member, MemberTable, Status
-from cloverhook.messages import Ping, ProbeRequest, Seen
+from cloverhook.messages import Ping, ProbeRequest, ProbeSuccess
 
-__all__ = ["BUSY_TICK_MS", "DetectorTimes", "FailureDetector"]
+__all__ = ["BUSY_TICK_MS", "DetectorTimeouts", "FailureDetector"]
 
 ASKED_PEERS = 3
 BUSY_TICK_MS = 50.0
 
 
 @dataclass(frozen=True, slots=True)
-class DetectorTimes:
+class DetectorTimeouts:
     """How long a neighbour may be silent, how long its check takes, and how long it is suspected.
 
-    A daemon that hears none of its neighbours is probably cut off itself, and takes `alone_factor`
-    times as long over the last two.
+    A daemon that hears none of its neighbours is probably cut off itself, and takes
+    `isolated_factor` times as long over the last two.
     """
 
-    silent_ms: float = 800
-    check_ms: float = 500
-    suspect_ms: float = 700
-    alone_factor: float = 3
+    silence_timeout_ms: float = 800
+    check_timeout_ms: float = 500
+    suspicion_timeout_ms: float = 700
+    isolated_factor: float = 3
 
 
 class FailureDetector:
     """The evidence about each member, and the checks under way."""
 
-    def __init__(self, table: MemberTable, source: random.Random, times: DetectorTimes) -> None:
+    def __init__(self, table: MemberTable, source: random.Random, times: DetectorTimeouts) -> None:
         self._table = table
         self._random = source
         self._times = times
@@ -46,7 +46,7 @@
         self._checks: dict[str, float] = {}
         self._askers: dict[str, dict[str, float]] = {}
 
-    def heard(self, vm: str, now_ms: float) -> tuple[MemberAction, ...]:
+    def record_message(self, vm: str, now_ms: float) -> tuple[MemberAction, ...]:
         """Note that a VM has spoken to this one; tell those who asked."""
         self._heard_ms[vm] = now_ms
         self._checks.pop(vm, None)
@@ -54,26 +54,30 @@
         askers = self._askers.pop(vm, {})
         if member is None:
             return ()
-        answer = Seen(vm, member.incarnation)
-        return tuple(Send(asker, answer) for asker, until in askers.items() if now_ms < until)
+        answer = ProbeSuccess(vm, member.incarnation)
+        return tuple(
+            SendMessage(asker, answer) for asker, until in askers.items() if now_ms < until
+        )
 
-    def seen(self, message: Seen, now_ms: float) -> None:
+    def record_probe_success(self, message: ProbeSuccess, now_ms: float) -> None:
         """Note that another peer has heard a VM in its present incarnation."""
         member = self._table.get(message.target)
         if member is not None and message.incarnation >= member.incarnation:
             self._heard_ms[message.target] = now_ms
             self._checks.pop(message.target, None)
 
-    def asked(self, asker: str, target: str, now_ms: float) -> tuple[MemberAction, ...]:
+    def handle_probe_request(
+        self, asker: str, target: str, now_ms: float
+    ) -> tuple[MemberAction, ...]:
         """Take a peer's request to ping a VM."""
         member = self._table.get(target)
         if member is None or target == self._table.own.vm:
             return ()
-        until = now_ms + 2 * self._times.check_ms
+        until = now_ms + 2 * self._times.check_timeout_ms
         self._askers.setdefault(target, {})[asker] = until
-        return (Send(target, Ping()),)
+        return (SendMessage(target, Ping()),)
 
-    def check(
+    def start_check(
         self, vm: str, linked: Collection[str], now_ms: float, alone: bool = False
     ) -> tuple[MemberAction, ...]:
         """Begin to check a member unless a check is under way."""
@@ -82,11 +86,11 @@
             return ()
         if vm == self._table.own.vm:
             return ()
-        factor = self._times.alone_factor if alone else 1
-        self._checks[vm] = now_ms + factor * self._times.check_ms
+        factor = self._times.isolated_factor if alone else 1
+        self._checks[vm] = now_ms + factor * self._times.check_timeout_ms
         others = sorted(set(linked) - {vm})
         asked = self._random.sample(others, min(ASKED_PEERS, len(others)))
-        return (Send(vm, Ping()), *(Send(peer, ProbeRequest(vm)) for peer in asked))
+        return (SendMessage(vm, Ping()), *(SendMessage(peer, ProbeRequest(vm)) for peer in asked))
 
     def tick(
         self, watched: Collection[str], linked: Collection[str], now_ms: float
@@ -97,7 +101,7 @@
         actions: list[MemberAction] = []
         for vm in watched:
             if self._silent(vm, now_ms):
-                actions.extend(self.check(vm, linked, now_ms, alone))
+                actions.extend(self.start_check(vm, linked, now_ms, alone))
         return tuple(actions), (*self._suspects(now_ms), *self._lost(now_ms, alone))
 
     def next_wake_ms(self, watched: Collection[str], now_ms: float) -> float:
@@ -109,10 +113,10 @@
             for vm in watched
             if (member := self._table.get(vm)) is not None and member.status is Status.ALIVE
         ]
-        silent_ms = min(last_ms, default=now_ms) + self._times.silent_ms + 1
+        silent_ms = min(last_ms, default=now_ms) + self._times.silence_timeout_ms + 1
         return silent_ms if silent_ms > now_ms else now_ms + BUSY_TICK_MS
 
-    def woke(self, now_ms: float) -> None:
+    def reset_after_pause(self, now_ms: float) -> None:
         """Start anew: silence during a pause of this process says nothing."""
         self._heard_ms.clear()
         self._checks.clear()
@@ -127,7 +131,7 @@
 
     def _silent(self, vm: str, now_ms: float) -> bool:
         last_ms = max(self._heard_ms.get(vm, 0.0), self._watched_ms.get(vm, 0.0))
-        return now_ms - last_ms > self._times.silent_ms
+        return now_ms - last_ms > self._times.silence_timeout_ms
 
     def _suspects(self, now_ms: float) -> list[Member]:
         over = [vm for vm, until in self._checks.items() if now_ms >= until]
@@ -140,7 +144,7 @@
         return found
 
     def _lost(self, now_ms: float, alone: bool) -> list[Member]:
-        limit_ms = self._times.suspect_ms * (self._times.alone_factor if alone else 1)
+        limit_ms = self._times.suspicion_timeout_ms * (self._times.isolated_factor if alone else 1)
         return [
             replace(member, status=Status.LOST, since_ms=now_ms)
             for member in self._table.suspects()
--- a/cloverhook/gateway/attempt.py
+++ b/cloverhook/gateway/attempt.py
@@ -153,7 +153,7 @@
             self.sent = self.sent and error.sent
             result = self._failed(error, monotonic_ms() - started_ms)
             forgotten = False
-            if connection is not None and connection.silent:
+            if connection is not None and connection.is_unanswered:
                 pool.close_idle_since(server, started_ms)
                 quick = result.latency_ms < FORGOTTEN_MS
                 if quick and self.choice.load < server.slots:
@@ -215,7 +215,7 @@
             headers.append((b"content-length", b"%d" % len(request.body)))
         head = RequestHead(request.method, request.target, headers, request.has_body)
         self.sent = True
-        return await connection.send(head, request.body, is_own=self._is_own)
+        return await connection.send(head, request.body, matches_request=self._is_own)
 
     def _is_own(self, head: AnswerHead) -> bool:
         """Return whether an answer is to this request; one that names none may be a refusal."""
--- a/cloverhook/gateway/call_headers.py
+++ b/cloverhook/gateway/call_headers.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from cloverhook.gateway.load import LoadReport
-from cloverhook.hop_by_hop import HOP_BY_HOP, KEPT_ALWAYS, find
+from cloverhook.hop_by_hop import ALWAYS_FORWARDED, HOP_BY_HOP, find
 
 __all__ = [
     "CallHeaders",
@@ -79,7 +79,7 @@
             named.update(token.strip().lower() for token in pair[1].split(b","))
         elif pair[0] not in NEVER_PASSED_ON and pair[0] not in left_out:
             kept.append(pair)
-    named -= KEPT_ALWAYS
+    named -= ALWAYS_FORWARDED
     return [pair for pair in kept if pair[0] not in named] if named else kept
 
 
--- a/cloverhook/gateway/daemon.py
+++ b/cloverhook/gateway/daemon.py
@@ -11,7 +11,7 @@
 import traceback
 from collections.abc import Callable
 
-from cloverhook.clock import PauseWatch, monotonic_ms
+from cloverhook.clock import PauseDetector, monotonic_ms
 from cloverhook.errors import SettingsError
 from cloverhook.gateway.announcing import Announcer
 from cloverhook.gateway.backend_pool import BackendPool
@@ -313,7 +313,7 @@
     # What goes on without requests.
 
     async def _tick(self) -> None:
-        watch = PauseWatch(monotonic_ms())
+        watch = PauseDetector(monotonic_ms())
         while True:
             await asyncio.sleep(self._tick_ms() / 1000)
             now_ms = monotonic_ms()
--- a/cloverhook/gossip.py
+++ b/cloverhook/gossip.py
@@ -9,7 +9,7 @@
 import random
 from collections.abc import Collection, Iterable
 
-from cloverhook.member_events import MemberAction, Send
+from cloverhook.member_events import MemberAction, SendMessage
 from cloverhook.members import Member, MemberTable
 from cloverhook.messages import MemberDigests, MemberUpdate, MemberUpdates
 
@@ -31,20 +31,20 @@
         self._differs_ms: dict[str, float] = {}
         self._compared_ms: dict[str, float] = {}
 
-    def take(self, member: Member, from_vm: str = "") -> bool:
+    def apply(self, member: Member, from_vm: str = "") -> bool:
         """Take knowledge of a member; pass it on if it is new here."""
         if not self._table.put(member):
             return False
         self._pending[member.vm] = from_vm
         return True
 
-    def take_word(self, member: Member) -> None:
+    def apply_self_report(self, member: Member) -> None:
         """Take what a member says of itself."""
         known = self._table.get(member.vm)
         if known is not None and known.precedence == member.precedence:
             self._table.confirm(member.vm)
             return
-        self.take(member, member.vm)
+        self.apply(member, member.vm)
 
     def flush(self, linked: Collection[str]) -> tuple[MemberAction, ...]:
         """Return the messages that pass changes on, a bounded number of changes in each."""
@@ -58,17 +58,17 @@
             wanted = [vm for vm, source in batch.items() if peer not in (vm, source)]
             updates = self._updates(wanted)
             if updates:
-                actions.append(Send(peer, MemberUpdates(updates)))
+                actions.append(SendMessage(peer, MemberUpdates(updates)))
         return tuple(actions)
 
-    def updated(
+    def handle_updates(
         self, peer: str, updates: Iterable[MemberUpdate], now_ms: float
     ) -> tuple[MemberAction, ...]:
         """Take a peer's updates; send back what is newer here."""
         newer: list[str] = []
         for update in updates:
             member = Member.from_update(update, now_ms)
-            if self.take(member, peer):
+            if self.apply(member, peer):
                 continue
             known = self._table.get(update.vm)
             if known.precedence == member.precedence:
@@ -77,9 +77,9 @@
                 newer.append(update.vm)
         if not newer:
             return ()
-        return (Send(peer, MemberUpdates(self._updates(newer))),)
+        return (SendMessage(peer, MemberUpdates(self._updates(newer))),)
 
-    def digest_heard(self, peer: str, digest: int, now_ms: float) -> tuple[MemberAction, ...]:
+    def handle_digest(self, peer: str, digest: int, now_ms: float) -> tuple[MemberAction, ...]:
         """Take the digest of a peer's heartbeat; compare the buckets if it keeps differing."""
         if digest == self._table.digest:
             self._differs_ms.pop(peer, None)
@@ -91,9 +91,9 @@
         if now_ms - self._compared_ms.get(peer, -COMPARE_EVERY_MS) < COMPARE_EVERY_MS:
             return ()
         self._compared_ms[peer] = now_ms
-        return (Send(peer, MemberDigests(self._table.digests())),)
+        return (SendMessage(peer, MemberDigests(self._table.digests())),)
 
-    def compared(self, peer: str, buckets: tuple[int, ...]) -> tuple[MemberAction, ...]:
+    def reply_to_digests(self, peer: str, buckets: tuple[int, ...]) -> tuple[MemberAction, ...]:
         """Take a peer's digests and return the members of the buckets that differ."""
         own = self._table.digests()
         differing = [index for index, value in enumerate(own) if buckets[index] != value]
@@ -104,7 +104,7 @@
             found += [item.to_update() for item in members if not item.unconfirmed]
         if not found:
             return ()
-        return (Send(peer, MemberUpdates(tuple(found[:MAX_REPAIRS]))),)
+        return (SendMessage(peer, MemberUpdates(tuple(found[:MAX_REPAIRS]))),)
 
     def forget(self, peer: str) -> None:
         """Drop what is kept about a peer whose link has closed."""
--- a/cloverhook/load_watch.py
+++ b/cloverhook/load_watch.py
@@ -9,16 +9,16 @@
 from collections.abc import Callable
 
 from cloverhook.clock import monotonic_ms
-from cloverhook.own_limit import OwnLimit
+from cloverhook.own_limit import LoadShedder
 
-__all__ = ["LoadWatch"]
+__all__ = ["LoadMonitor"]
 
 LOOK_EVERY_MS = 50.0
 TELL_EVERY_MS = 1_000.0
 TELL_FROM_TENTHS = 2
 
 
-class LoadWatch:
+class LoadMonitor:
     """The load of this process; `on_busy` takes tenths of a core when the peers should know.
 
     `on_look` takes when each look was due, to tell how late it is.
@@ -26,7 +26,7 @@
 
     def __init__(
         self,
-        limit: OwnLimit,
+        limit: LoadShedder,
         on_busy: Callable[[int], None],
         on_look: Callable[[float], None] = lambda due_ms: None,
     ) -> None:
@@ -46,9 +46,9 @@
             took_ms = now_ms - started_ms
             busy = (time.process_time() - used_s) * 1000 / took_ms
             self._limit.observe(took_ms - LOOK_EVERY_MS, busy)
-            self.look(now_ms)
+            self.report_if_changed(now_ms)
 
-    def look(self, now_ms: float) -> None:
+    def report_if_changed(self, now_ms: float) -> None:
         """Tell the peers if the load differs enough from what they know."""
         tenths = round(10 * min(1.0, self._limit.busy))
         differs = abs(tenths - self._told_tenths) >= TELL_FROM_TENTHS
--- a/cloverhook/members.py
+++ b/cloverhook/members.py
@@ -50,7 +50,7 @@
     leaving: bool = False
     since_ms: float = 0.0
     unconfirmed: bool = False
-    busy_tenths: int = 0
+    load_tenths: int = 0
 
     @classmethod
     def from_update(cls, update: MemberUpdate, now_ms: float) -> "Member":
@@ -65,7 +65,7 @@
             Status(update.status),
             update.leaving,
             now_ms,
-            busy_tenths=update.busy_tenths,
+            load_tenths=update.load_tenths,
         )
 
     def to_update(self) -> MemberUpdate:
@@ -79,7 +79,7 @@
             self.sequence,
             int(self.status),
             self.leaving,
-            self.busy_tenths,
+            self.load_tenths,
         )
 
     @property
@@ -176,7 +176,7 @@
             for vm in tuple(self._members):
                 self.confirm(vm)
 
-    def doubt_all(self, now_ms: float) -> None:
+    def mark_all_unconfirmed(self, now_ms: float) -> None:
         """Note that what is known of every other VM may have changed during a pause."""
         self._doubting = True
         for vm, member in self._members.items():
@@ -184,20 +184,20 @@
                 self._members[vm] = replace(member, unconfirmed=True, since_ms=now_ms)
 
     @property
-    def doubted(self) -> bool:
+    def has_unconfirmed(self) -> bool:
         """Whether something that callers may be told dates from before a pause."""
         return self._doubting and any(
             member.unconfirmed and member.present for member in self._members.values()
         )
 
-    def drop_doubted(self) -> None:
+    def drop_unconfirmed(self) -> None:
         """Take back to `LISTED` what nobody has confirmed since a pause."""
         self._doubting = False
         for member in self.all():
             if member.unconfirmed and member.present:
                 self._replace(replace(member, status=Status.LISTED, unconfirmed=False))
 
-    def listed(self, vms: Iterable[ListedVm], now_ms: float) -> None:
+    def apply_vm_list(self, vms: Iterable[ListedVm], now_ms: float) -> None:
         """Take the platform's list: addresses of VMs not heard of yet, and who is leaving."""
         phases = {item.vm: item.phase for item in vms}
         for item in vms:
--- a/cloverhook/membership.py
+++ b/cloverhook/membership.py
@@ -15,25 +15,25 @@
 from dataclasses import replace
 from functools import singledispatchmethod
 
-from cloverhook.failure_detector import DetectorTimes, FailureDetector
+from cloverhook.failure_detector import DetectorTimeouts, FailureDetector
 from cloverhook.gossip import Gossip
 from cloverhook.member_events import (
-    CallerReport,
+    CallerConnectFailed,
     ConfigFolded,
     Dial,
-    Leave,
     LinkLost,
     LinkOpened,
-    ListRead,
     LoadChanged,
     MemberAction,
     MemberEvent,
-    MessageHeard,
+    MessageReceived,
+    ProcessResumed,
     Replaced,
-    Send,
+    SendMessage,
+    ShutdownStarted,
     Stopped,
     Tick,
-    Woke,
+    VmListRead,
 )
 from cloverhook.members import Member, MemberTable, Status
 from cloverhook.messages import (
@@ -45,14 +45,14 @@
     Message,
     Ping,
     ProbeRequest,
-    Seen,
+    ProbeSuccess,
 )
 from cloverhook.overlay import neighbours, successors
 
 __all__ = ["Membership"]
 
 REDIAL_MS = 500
-SEARCH_MS = 1_000
+SEARCH_INTERVAL_MS = 1_000
 SEARCHED = 3
 START_MS = 5_000
 ENOUGH_NEIGHBOURS = 2
@@ -69,12 +69,12 @@
         source: random.Random,
         now_ms: float,
         heartbeat_ms: float = 250,
-        times: DetectorTimes | None = None,
+        times: DetectorTimeouts | None = None,
     ) -> None:
         self.table = MemberTable(own)
         self.linked: set[str] = set()
         self._random = source
-        self._detector = FailureDetector(self.table, source, times or DetectorTimes())
+        self._detector = FailureDetector(self.table, source, times or DetectorTimeouts())
         self._gossip = Gossip(self.table, source)
         self._heartbeat_ms = heartbeat_ms
         self._started_ms = now_ms
@@ -93,10 +93,10 @@
         """Return the daemons that callers may be sent to, ordered by name."""
         return self.table.serving()
 
-    def busiest(self, vms: Iterable[str]) -> float:
+    def highest_load(self, vms: Iterable[str]) -> float:
         """Return the load, 0 to 1, that the busiest of these VMs has told."""
         known = [self.table.get(vm) for vm in vms]
-        return max((member.busy_tenths for member in known if member is not None), default=0) / 10
+        return max((member.load_tenths for member in known if member is not None), default=0) / 10
 
     @property
     def version(self) -> int:
@@ -104,9 +104,9 @@
         return self.table.version
 
     @property
-    def doubtful(self) -> bool:
+    def has_unconfirmed_members(self) -> bool:
         """Whether answers rest on what was known before a pause of this process."""
-        return self.table.doubted
+        return self.table.has_unconfirmed
 
     def neighbours(self) -> tuple[str, ...]:
         """Return the VMs beside this one in the overlay."""
@@ -148,19 +148,19 @@
         raise TypeError(f"not an event: {event!r}")
 
     @_take.register
-    def _(self, event: ListRead, now_ms: float) -> tuple[MemberAction, ...]:
-        self.table.listed(event.vms, now_ms)
+    def _(self, event: VmListRead, now_ms: float) -> tuple[MemberAction, ...]:
+        self.table.apply_vm_list(event.vms, now_ms)
         return ()
 
     @_take.register
     def _(self, event: LinkOpened, now_ms: float) -> tuple[MemberAction, ...]:
         hello = event.hello
         self.linked.add(hello.vm)
-        self._gossip.take_word(_member_of(hello, now_ms))
+        self._gossip.apply_self_report(_member_of(hello, now_ms))
         return (
-            *self._detector.heard(hello.vm, now_ms),
+            *self._detector.record_message(hello.vm, now_ms),
             *self._correct(hello.vm, hello.incarnation, hello.sequence),
-            Send(hello.vm, self._heartbeat()),
+            SendMessage(hello.vm, self._heartbeat()),
         )
 
     @_take.register
@@ -169,13 +169,13 @@
         self._gossip.forget(event.vm)
         if event.vm not in self.neighbours():
             return ()
-        return self._detector.check(event.vm, self.linked, now_ms)
+        return self._detector.start_check(event.vm, self.linked, now_ms)
 
     @_take.register
-    def _(self, event: CallerReport, now_ms: float) -> tuple[MemberAction, ...]:
+    def _(self, event: CallerConnectFailed, now_ms: float) -> tuple[MemberAction, ...]:
         for member in self.table.serving():
             if member.caller_address == event.caller_address:
-                return self._detector.check(member.vm, self.linked, now_ms)
+                return self._detector.start_check(member.vm, self.linked, now_ms)
         return ()
 
     @_take.register
@@ -186,13 +186,13 @@
         return self._beat(now_ms)
 
     @_take.register
-    def _(self, event: Leave, now_ms: float) -> tuple[MemberAction, ...]:
+    def _(self, event: ShutdownStarted, now_ms: float) -> tuple[MemberAction, ...]:
         self._say(leaving=True)
         return self._beat(now_ms)
 
     @_take.register
     def _(self, event: LoadChanged, now_ms: float) -> tuple[MemberAction, ...]:
-        self._say(busy_tenths=event.busy_tenths)
+        self._say(load_tenths=event.load_tenths)
         return ()
 
     @_take.register
@@ -201,18 +201,18 @@
         return ()
 
     @_take.register
-    def _(self, event: Woke, now_ms: float) -> tuple[MemberAction, ...]:
+    def _(self, event: ProcessResumed, now_ms: float) -> tuple[MemberAction, ...]:
         self.linked.clear()
         self._dialled_ms.clear()
-        self.table.doubt_all(now_ms)
-        self._detector.woke(now_ms)
+        self.table.mark_all_unconfirmed(now_ms)
+        self._detector.reset_after_pause(now_ms)
         self._confirm_until_ms = None
         return ()
 
     @_take.register
-    def _(self, event: MessageHeard, now_ms: float) -> tuple[MemberAction, ...]:
-        heard = self._detector.heard(event.vm, now_ms)
-        if self.table.doubted and self._confirm_until_ms is None:
+    def _(self, event: MessageReceived, now_ms: float) -> tuple[MemberAction, ...]:
+        heard = self._detector.record_message(event.vm, now_ms)
+        if self.table.has_unconfirmed and self._confirm_until_ms is None:
             self._confirm_until_ms = now_ms + CONFIRM_MS
         return (*heard, *self._answer(event.vm, event.message, now_ms))
 
@@ -222,11 +222,11 @@
             return ()
         actions, changed = self._detector.tick(self.neighbours(), self.linked, now_ms)
         for member in changed:
-            self._gossip.take(member)
-        told = [Send(item.vm, MemberUpdates((item.to_update(),))) for item in changed]
+            self._gossip.apply(member)
+        told = [SendMessage(item.vm, MemberUpdates((item.to_update(),))) for item in changed]
         if self._confirm_until_ms is not None and now_ms >= self._confirm_until_ms:
             self._confirm_until_ms = None
-            self.table.drop_doubted()
+            self.table.drop_unconfirmed()
         if now_ms >= self._next_forget_ms:
             self._next_forget_ms = now_ms + FORGET_MS
             self.table.forget_lost(now_ms)
@@ -240,13 +240,13 @@
             case MemberUpdates(updates):
                 return self._updates_heard(vm, updates, now_ms)
             case MemberDigests(buckets):
-                return self._gossip.compared(vm, buckets)
+                return self._gossip.reply_to_digests(vm, buckets)
             case Ping():
-                return (Send(vm, self._heartbeat()),)
+                return (SendMessage(vm, self._heartbeat()),)
             case ProbeRequest(target):
-                return self._detector.asked(vm, target, now_ms)
-            case Seen():
-                self._detector.seen(message, now_ms)
+                return self._detector.handle_probe_request(vm, target, now_ms)
+            case ProbeSuccess():
+                self._detector.record_probe_success(message, now_ms)
         return ()
 
     def _heartbeat_heard(self, vm: str, beat: Heartbeat, now_ms: float) -> tuple[MemberAction, ...]:
@@ -261,10 +261,10 @@
                 since_ms=now_ms,
                 unconfirmed=False,
             )
-            self._gossip.take_word(fresh)
+            self._gossip.apply_self_report(fresh)
         return (
             *self._correct(vm, beat.incarnation, beat.sequence),
-            *self._gossip.digest_heard(vm, beat.digest, now_ms),
+            *self._gossip.handle_digest(vm, beat.digest, now_ms),
         )
 
     def _updates_heard(
@@ -273,7 +273,7 @@
         own_vm = self.table.own.vm
         about_own = [update for update in updates if update.vm == own_vm]
         others = [update for update in updates if update.vm != own_vm]
-        actions = list(self._gossip.updated(vm, others, now_ms))
+        actions = list(self._gossip.handle_updates(vm, others, now_ms))
         for update in about_own:
             actions.extend(self._refute(update, now_ms))
         return tuple(actions)
@@ -295,7 +295,7 @@
     def _say(self, **changes: object) -> None:
         """Say something new of this daemon."""
         own = self.table.own
-        self._gossip.take(replace(own, **{"sequence": own.sequence + 1, **changes}))
+        self._gossip.apply(replace(own, **{"sequence": own.sequence + 1, **changes}))
 
     def _correct(self, vm: str, incarnation: int, sequence: int) -> tuple[MemberAction, ...]:
         """Tell a VM that others hold it for suspect or lost, so that it refutes."""
@@ -304,7 +304,7 @@
             return ()
         if (known.incarnation, known.sequence) < (incarnation, sequence):
             return ()
-        return (Send(vm, MemberUpdates((known.to_update(),))),)
+        return (SendMessage(vm, MemberUpdates((known.to_update(),))),)
 
     def _heartbeat(self) -> Heartbeat:
         own = self.table.own
@@ -320,13 +320,13 @@
     def _beat(self, now_ms: float) -> tuple[MemberAction, ...]:
         self._next_beat_ms = now_ms + self._heartbeat_ms
         beat = self._heartbeat()
-        return tuple(Send(vm, beat) for vm in sorted(self.linked))
+        return tuple(SendMessage(vm, beat) for vm in sorted(self.linked))
 
     def _dials(self, now_ms: float) -> tuple[MemberAction, ...]:
         self.neighbours()
         wanted = [vm for vm in self._successors if vm not in self.linked]
         if now_ms >= self._next_search_ms:
-            self._next_search_ms = now_ms + (SEARCH_MS if self.linked else REDIAL_MS)
+            self._next_search_ms = now_ms + (SEARCH_INTERVAL_MS if self.linked else REDIAL_MS)
             wanted += self._searched()
         due = [vm for vm in wanted if now_ms - self._dialled_ms.get(vm, -REDIAL_MS) >= REDIAL_MS]
         self._dialled_ms.update(dict.fromkeys(due, now_ms))
--- a/cloverhook/messages.py
+++ b/cloverhook/messages.py
@@ -5,8 +5,8 @@
 field that a newer version adds goes to the end and has a default, so that older and newer daemons
 understand each other during a rolling replacement.
 
->>> decode(encode(RecordsWanted(12)))
-RecordsWanted(from_offset=12)
+>>> decode(encode(RecordsRequest(12)))
+RecordsRequest(from_offset=12)
 
 A message about one service has a field `service`, the service's key across brands; the daemon
 passes it to that service's router.
@@ -30,13 +30,13 @@
     "Message",
     "Ping",
     "ProbeRequest",
-    "RecordsPassedOn",
-    "RecordsWanted",
-    "Seen",
-    "SlotAsk",
+    "ProbeSuccess",
+    "RecordsReply",
+    "RecordsRequest",
     "SlotGrant",
+    "SlotRequest",
     "SlotReturn",
-    "StatePassedOn",
+    "StateReply",
     "decode",
     "decode_stamped",
     "encode",
@@ -86,7 +86,7 @@
 class MemberUpdate:
     """What a daemon knows of a member; `status` is a value of `members.Status`.
 
-    `busy_tenths` is the load that the member's process told, in tenths of a core.
+    `load_tenths` is the load that the member's process told, in tenths of a core.
     """
 
     vm: str
@@ -97,7 +97,7 @@
     sequence: int
     status: int
     leaving: bool
-    busy_tenths: int = 0
+    load_tenths: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -127,7 +127,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ProbeSuccess:
     """Answers a probe request: the sender has heard from the VM itself."""
 
     target: str
@@ -135,14 +135,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RecordsWanted:
+class RecordsRequest:
     """Asks for the configuration records from an offset on."""
 
     from_offset: int
 
 
 @dataclass(frozen=True, slots=True)
-class RecordsPassedOn:
+class RecordsReply:
     """Records of the configuration stream, from `from_offset` on, for a peer that lacks them."""
 
     from_offset: int
@@ -150,7 +150,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SlotAsk:
+class SlotRequest:
     """The sender has requests waiting and would use slots that the receiver owns.
 
     `oldest_ms` is how long the first of the `waiting` requests has waited, and `priority` the most
@@ -167,29 +167,30 @@
 class SlotGrant:
     """The receiver may use one slot of each address until it returns it; the answer to an ask.
 
-    An address may stand twice.  With none, the sender has no slot to spare now; `working` is False
-    when none of the endpoints it owns can be reached.
+    An address may stand twice.  With none, the sender has no slot to spare now;
+    `has_working_endpoint` is False when none of the endpoints it owns can be reached.
     """
 
     service: str
     addresses: tuple[str, ...]
-    working: bool = True
+    has_working_endpoint: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class SlotReturn:
     """Slots that were granted are no longer used.
 
-    `suspicion` tells for each address how much evidence of trouble the sender has seen there.
+    `failure_evidence` tells for each address how much evidence of trouble the sender has seen
+    there.
     """
 
     service: str
     addresses: tuple[str, ...]
-    suspicion: tuple[int, ...]
+    failure_evidence: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class StatePassedOn:
+class StateReply:
     """The whole folded state, as `fold.State.to_document` gives it, for a peer far behind."""
 
     state: dict[str, Any]
@@ -202,13 +203,13 @@
     | MemberUpdates
     | Ping
     | ProbeRequest
-    | RecordsPassedOn
-    | RecordsWanted
-    | Seen
-    | SlotAsk
+    | RecordsReply
+    | RecordsRequest
+    | ProbeSuccess
+    | SlotRequest
     | SlotGrant
     | SlotReturn
-    | StatePassedOn
+    | StateReply
 )
 
 TAGS: dict[str, type] = {
@@ -218,13 +219,13 @@
     "members": MemberUpdates,
     "ping": Ping,
     "probe": ProbeRequest,
-    "records": RecordsPassedOn,
-    "ask": SlotAsk,
+    "records": RecordsReply,
+    "ask": SlotRequest,
     "grant": SlotGrant,
     "return": SlotReturn,
-    "wanted": RecordsWanted,
-    "seen": Seen,
-    "state": StatePassedOn,
+    "wanted": RecordsRequest,
+    "seen": ProbeSuccess,
+    "state": StateReply,
 }
 TAG_OF = {kind: tag for tag, kind in TAGS.items()}
 FIELDS = {kind: tuple(field.name for field in fields(kind)) for kind in TAG_OF}
--- a/cloverhook/observed_app.py
+++ b/cloverhook/observed_app.py
@@ -98,7 +98,7 @@
             seen.kind = seen.kind or ErrorKind.CONNECTION_CUT
         kind = seen.kind.value if seen.kind else ""
         latency_ms = monotonic_ms() - started_ms
-        self._stats.ended(
+        self._stats.record_end(
             seen.brand, seen.service, seen.outcome, kind, latency_ms, seen.upstream_ms
         )
         detail = kind or str(seen.status)
--- a/cloverhook/observer.py
+++ b/cloverhook/observer.py
@@ -91,7 +91,7 @@
         for change in self._members.update(members):
             self.note(change.name, change.vm)
 
-    def endpoint_is(self, address: str, trouble: int) -> None:
+    def record_endpoint_state(self, address: str, trouble: int) -> None:
         """Note what is wrong with an endpoint, if that has changed."""
         if self._troubles.get(address, 0) != trouble:
             self._troubles[address] = trouble
@@ -99,7 +99,7 @@
             detail = TROUBLES[trouble]
             self.time_line.add(now_ms, EventName.ENDPOINT_STATE, address=address, detail=detail)
 
-    def probed(self, target: Target, latency_ms: float) -> None:
+    def record_probe(self, target: Target, latency_ms: float) -> None:
         """Count a probe and the time it took."""
         probes = self._probes.setdefault(target.key, ProbeCounts())
         probes.count += 1
--- a/cloverhook/ownership.py
+++ b/cloverhook/ownership.py
@@ -13,12 +13,12 @@
 
 from cloverhook.fleet import Endpoint
 
-__all__ = ["REMOTE_TOLERANCE", "owned_slots", "owners"]
+__all__ = ["LOCAL_SHARE_FACTOR", "assign_owners", "owned_slots"]
 
-REMOTE_TOLERANCE = 1.25
+LOCAL_SHARE_FACTOR = 1.25
 
 
-def owners(
+def assign_owners(
     endpoints: Sequence[Endpoint], homes: Sequence[str], data_centers: Mapping[str, str]
 ) -> dict[str, str]:
     """Return the owner of each endpoint's address.
@@ -43,7 +43,7 @@
     endpoints: Sequence[Endpoint], homes: Sequence[str], data_centers: Mapping[str, str]
 ) -> dict[str, float]:
     """Return how many slots each home owns: its share of the callers."""
-    owner_of = owners(endpoints, homes, data_centers)
+    owner_of = assign_owners(endpoints, homes, data_centers)
     slots = dict.fromkeys(homes, 0.0)
     for endpoint in endpoints:
         if endpoint.address in owner_of:
@@ -59,7 +59,7 @@
     data_centers: Mapping[str, str],
 ) -> str:
     near = [vm for vm in order if data_centers.get(vm) == endpoint.data_center]
-    near_limit = math.ceil(fair * REMOTE_TOLERANCE)
+    near_limit = math.ceil(fair * LOCAL_SHARE_FACTOR)
     for vm in near:
         if taken[vm] + endpoint.slots <= max(near_limit, endpoint.slots):
             return vm
--- a/cloverhook/peering.py
+++ b/cloverhook/peering.py
@@ -19,7 +19,7 @@
 
 from cloverhook.clock import wall_ms
 from cloverhook.errors import AuthenticationError, MessageError
-from cloverhook.greeting import Greeting, Role
+from cloverhook.greeting import Handshake, Role
 from cloverhook.messages import (
     Heartbeat,
     Hello,
@@ -28,7 +28,7 @@
     Message,
     Ping,
     ProbeRequest,
-    Seen,
+    ProbeSuccess,
     decode,
     decode_stamped,
     encode,
@@ -37,15 +37,15 @@
 from cloverhook.outbox import Outbox
 from cloverhook.timeline import HybridClock
 
-__all__ = ["LinkEvents", "PeerLinks", "Traffic"]
+__all__ = ["LinkEvents", "PeerLinks", "TrafficCounter"]
 
 GREETING_TIMEOUT_MS = 3_000
 CLOSE_TIMEOUT_MS = 500
 FLUSH_TIMEOUT_MS = 500
-SILENT_LINK_MS = 1_500
-IDLE_LINK_MS = 10_000
+LINK_SILENCE_TIMEOUT_MS = 1_500
+LINK_IDLE_TIMEOUT_MS = 10_000
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
-UPKEEP = (Heartbeat, MemberDigests, MemberUpdates, Ping, ProbeRequest, Seen)
+UPKEEP = (Heartbeat, MemberDigests, MemberUpdates, Ping, ProbeRequest, ProbeSuccess)
 OPTIONS: dict[str, Any] = {
     "compression": None,
     "max_size": MAX_MESSAGE_BYTES,
@@ -65,10 +65,10 @@
     def link_lost(self, vm: str) -> None:
         """Note that there is no link to a VM any more."""
 
-    def message_heard(self, vm: str, message: Message) -> None:
+    def message_received(self, vm: str, message: Message) -> None:
         """Take a peer's message."""
 
-    def stranger_refused(self) -> None:
+    def authentication_failed(self) -> None:
         """Count a link whose other side did not prove itself."""
 
 
@@ -83,7 +83,7 @@
 
     def silent(self, now_ms: float) -> bool:
         """Return whether nothing has come for too long."""
-        return now_ms - self.received_ms > SILENT_LINK_MS
+        return now_ms - self.received_ms > LINK_SILENCE_TIMEOUT_MS
 
     def abort(self) -> None:
         """Close the connection without a word."""
@@ -91,7 +91,7 @@
 
 
 @dataclass(slots=True)
-class Traffic:
+class TrafficCounter:
     """Messages and their bytes in one direction, all links together."""
 
     messages: int = 0
@@ -106,32 +106,32 @@
 class PeerLinks:
     """This daemon's links to its peers, by VM name.
 
-    `greeting` gives what this daemon says of itself when a link opens; `stamps` is the clock of
-    the time line, whose stamps go with each message.
+    `make_hello` gives what this daemon says of itself when a link opens; `hybrid_clock` is
+    the clock of the time line, whose stamps go with each message.
     """
 
     def __init__(
         self,
-        greeting: Callable[[], Hello],
+        make_hello: Callable[[], Hello],
         key: bytes,
         events: LinkEvents,
         clock_ms: Callable[[], float],
-        stamps: HybridClock | None = None,
+        hybrid_clock: HybridClock | None = None,
     ) -> None:
-        self._greeting = greeting
+        self._greeting = make_hello
         self._key = key
         self._events = events
         self._clock_ms = clock_ms
-        self._stamps = stamps or HybridClock()
+        self._stamps = hybrid_clock or HybridClock()
         self._links: dict[str, _Link] = {}
         self._outboxes: dict[str, Outbox] = {}
         self._dialling: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: Server | None = None
-        self.refused_strangers = 0
+        self.authentication_failures = 0
         self.dropped_messages = 0
-        self.sent = Traffic()
-        self.received = Traffic()
+        self.sent = TrafficCounter()
+        self.received = TrafficCounter()
         self.address = ""
 
     async def start(self, address: str) -> None:
@@ -164,7 +164,7 @@
         """Return the counts of links and messages for the metrics page."""
         return [
             Sample(Metric.LINKS, len(self._links)),
-            Sample(Metric.REFUSED_STRANGERS, self.refused_strangers),
+            Sample(Metric.REFUSED_STRANGERS, self.authentication_failures),
             Sample(Metric.DROPPED_MESSAGES, self.dropped_messages),
             Sample(Metric.PEER_MESSAGES, self.sent.messages, ("sent",)),
             Sample(Metric.PEER_MESSAGES, self.received.messages, ("received",)),
@@ -202,7 +202,11 @@
                 logging.info("peering: the link to %s has gone silent.", vm)
                 link.abort()
                 self._remove(vm, link)
-            elif link.dialler != vm and vm not in kept and now_ms - link.used_ms > IDLE_LINK_MS:
+            elif (
+                link.dialler != vm
+                and vm not in kept
+                and now_ms - link.used_ms > LINK_IDLE_TIMEOUT_MS
+            ):
                 self._spawn(self._close(link))
 
     def reset(self) -> None:
@@ -240,8 +244,8 @@
             async with asyncio.timeout(GREETING_TIMEOUT_MS / 1000):
                 peer = await self._greet(connection, role, target)
         except (AuthenticationError, MessageError, TimeoutError) as error:
-            self.refused_strangers += 1
-            self._events.stranger_refused()
+            self.authentication_failures += 1
+            self._events.authentication_failed()
             logging.warning("peering: refused a stranger: %s.", error)
             await connection.close()
             return
@@ -280,23 +284,23 @@
         return link.dialler < present.dialler
 
     async def _greet(self, connection: Connection, role: Role, target: str) -> Hello:
-        nonce = Greeting.new_nonce()
+        nonce = Handshake.new_nonce()
         if role is Role.CLIENT:
             await connection.send(nonce)
-            greeting = Greeting.from_nonces(self._key, role, nonce, await connection.recv())
+            greeting = Handshake.from_nonces(self._key, role, nonce, await connection.recv())
             await self._send_greeting(connection, greeting, target)
             return await self._receive_greeting(connection, greeting)
         peer_nonce = await connection.recv()
         await connection.send(nonce)
-        greeting = Greeting.from_nonces(self._key, role, nonce, peer_nonce)
+        greeting = Handshake.from_nonces(self._key, role, nonce, peer_nonce)
         peer = await self._receive_greeting(connection, greeting)
         await self._send_greeting(connection, greeting, peer.vm)
         return peer
 
-    async def _send_greeting(self, connection: Connection, greeting: Greeting, vm: str) -> None:
+    async def _send_greeting(self, connection: Connection, greeting: Handshake, vm: str) -> None:
         await connection.send(encode(greeting.prove(replace(self._greeting(), target=vm))))
 
-    async def _receive_greeting(self, connection: Connection, greeting: Greeting) -> Hello:
+    async def _receive_greeting(self, connection: Connection, greeting: Handshake) -> Hello:
         return greeting.check(decode(await connection.recv()), self._greeting().vm)
 
     async def _receive(self, vm: str, link: _Link) -> None:
@@ -313,7 +317,7 @@
                     link.used_ms = link.received_ms
                 if self._links.get(vm) is link:
                     self._stamps.witness(stamp)
-                    self._events.message_heard(vm, message)
+                    self._events.message_received(vm, message)
 
     async def _write(self, link: _Link, outbox: Outbox) -> None:
         with contextlib.suppress(websockets.ConnectionClosed):
--- a/cloverhook/porcelain.py
+++ b/cloverhook/porcelain.py
@@ -17,7 +17,7 @@
 from cloverhook.errors import ConfigError, Fault, PlatformError, PlatformSilentError
 from cloverhook.fleet import Brand, Preset
 from cloverhook.fold import State, Verdict
-from cloverhook.log_reading import LogReading, Ruling
+from cloverhook.log_reading import ChangeOutcome, LogReader
 from cloverhook.platform_api import Platform
 from cloverhook.records import (
     CONFIG_STREAM,
@@ -113,16 +113,16 @@
 
 async def read_state(platform: Platform) -> State:
     """Return the state that the log's records fold to.  Raises `PlatformError`."""
-    reading = LogReading(platform)
+    reading = LogReader(platform)
     await reading.read_to_end()
     return reading.state
 
 
-async def history(platform: Platform) -> tuple[Ruling, ...]:
+async def history(platform: Platform) -> tuple[ChangeOutcome, ...]:
     """Return the changes that the log still holds and what became of each."""
-    reading = LogReading(platform)
+    reading = LogReader(platform)
     await reading.read_to_end()
-    return reading.rulings()
+    return reading.change_outcomes()
 
 
 async def publish(
@@ -169,7 +169,7 @@
 
 async def settle(platform: Platform, change_id: str) -> ChangeResult:
     """Tell what became of a change whose answer was lost."""
-    reading = LogReading(platform)
+    reading = LogReader(platform)
     try:
         return await _look(reading, change_id)
     except PlatformError as error:
@@ -180,7 +180,7 @@
     platform: Platform, brand: str, operator: Operator, action: Callable[[State], Action]
 ) -> ChangeResult:
     change_id = uuid.uuid4().hex
-    reading = LogReading(platform)
+    reading = LogReader(platform)
     try:
         await reading.read_to_end()
     except PlatformError as error:
@@ -198,7 +198,7 @@
         return ChangeResult(Settlement.UNKNOWN, change_id, reason, brand)
 
 
-async def _append(platform: Platform, reading: LogReading, change: Change) -> ChangeResult:
+async def _append(platform: Platform, reading: LogReader, change: Change) -> ChangeResult:
     """Append a change until the log shows it, a few times at most."""
     for attempt in range(APPEND_TRIES):
         try:
@@ -217,7 +217,7 @@
     return result
 
 
-async def _look(reading: LogReading, change_id: str) -> ChangeResult:
+async def _look(reading: LogReader, change_id: str) -> ChangeResult:
     """Look for a change in the log, a few times.  Raises `PlatformError` when the last fails."""
     for look in range(LOOKS):
         await asyncio.sleep(LOOK_PAUSE_MS * look / 1000)
@@ -233,12 +233,12 @@
     return ChangeResult(Settlement.UNKNOWN, change_id, "the log does not show the change")
 
 
-def _result(reading: LogReading, change_id: str) -> ChangeResult | None:
-    accepted = reading.state.accepted(change_id)
+def _result(reading: LogReader, change_id: str) -> ChangeResult | None:
+    accepted = reading.state.find_accepted(change_id)
     if accepted is not None:
         brand, change = accepted
         return ChangeResult(Settlement.ACCEPTED, change_id, "", brand, change.version)
-    rulings = reading.rulings(change_id)
+    rulings = reading.change_outcomes(change_id)
     if not rulings:
         return None
     ruling = rulings[0]
@@ -258,7 +258,7 @@
     )
 
 
-def _winner(ruling: Ruling) -> str:
+def _winner(ruling: ChangeOutcome) -> str:
     winner = ruling.winner
     if winner is None:
         return ""
--- a/cloverhook/probing.py
+++ b/cloverhook/probing.py
@@ -60,9 +60,9 @@
             logging.debug("probing: %s gave no answer.", address)
         load = draining = None
         if body is not None and health:
-            draining = draining_in(body)
+            draining = parse_draining(body)
         elif body is not None:
-            load = load_in(body)
+            load = parse_load(body)
         latency_ms = self._clock_ms() - started_ms
         self._on_ended(target.key, ProbeEnded(address, load, latency_ms, draining))
 
@@ -81,12 +81,12 @@
         return body
 
 
-def load_in(body: bytes) -> int | None:
+def parse_load(body: bytes) -> int | None:
     """Return the requests in flight that the answer to a probe tells, or None.
 
-    >>> load_in(b'{"in_flight": 3, "slots": 4}')
+    >>> parse_load(b'{"in_flight": 3, "slots": 4}')
     3
-    >>> load_in(b"not found") is None
+    >>> parse_load(b"not found") is None
     True
     """
     load = _document(body).get("in_flight")
@@ -94,10 +94,10 @@
     return load if counts else None
 
 
-def draining_in(body: bytes) -> bool:
+def parse_draining(body: bytes) -> bool:
     """Return whether the answer to a probe of health says that the backend server is draining.
 
-    >>> draining_in(b'{"healthy": false, "draining": true}')
+    >>> parse_draining(b'{"healthy": false, "draining": true}')
     True
     """
     return _document(body).get("draining") is True
--- a/cloverhook/replica.py
+++ b/cloverhook/replica.py
@@ -1,8 +1,9 @@
 """A replica of the configuration in force, kept by folding the log's records in order.
 
 Layer: coordination, free of input and output.  `next_read` says what to read next from the log
-and `take_slice` takes what was read; `take` and `adopt` take records and states from peers.  A log
-that ends before the replica's position is taken to have started over only when it is seen twice.
+and `apply_read` takes what was read; `fold_records` and `adopt` take records and states
+from peers.  A log that ends before the replica's position is taken to have started over only when
+it is seen twice.
 
 A replica searches the log for the newest snapshot when it starts, when the log has lost records
 that the replica has not folded, and when the log has started over.  It folds on from there.  While
@@ -90,7 +91,7 @@
         self.at_end = False
 
     @property
-    def lost(self) -> bool:
+    def records_lost(self) -> bool:
         """Whether the log lacks records between this replica's position and its head."""
         return self._search is not None and self._search.lost and self._search.at_end
 
@@ -108,12 +109,12 @@
             return Read(offset - 1, wait=False)
         return Read(offset, self.at_end)
 
-    def read_failed(self) -> None:
+    def record_read_failure(self) -> None:
         """Take that a read failed: the log may be another one when it is back."""
         self._verify = bool(self._kept)
         self.at_end = False
 
-    def take_slice(self, read: LogSlice) -> int:
+    def apply_read(self, read: LogSlice) -> int:
         """Take records that were read from the log and return how many were folded."""
         self.first_offset = read.first_offset
         if self._search is not None:
@@ -134,11 +135,11 @@
             self._begin_search(lost=True, restarts=restarts)
             return 0
         self._verify = False
-        taken = self.take(position_of(restarts, read.from_offset), read.records)
+        taken = self.fold_records(position_of(restarts, read.from_offset), read.records)
         self.at_end = offset_of(self.state.next_offset) >= read.next_offset
         return taken
 
-    def take(self, from_offset: int, records: tuple[Mapping[str, Any], ...]) -> int:
+    def fold_records(self, from_offset: int, records: tuple[Mapping[str, Any], ...]) -> int:
         """Fold records that start at a position and return how many were new.
 
         Records that do not join onto the replica's position are left.
--- a/cloverhook/request_cycle.py
+++ b/cloverhook/request_cycle.py
@@ -38,7 +38,7 @@
     def close_after_answer(self, drain: bool) -> None:
         """Close once the answer is out."""
 
-    def break_off(self) -> None:
+    def reset_connection(self) -> None:
         """Reset the connection."""
 
 
@@ -78,7 +78,7 @@
             await self._give_up()
         finally:
             if not self.response_complete:
-                self._connection.break_off()
+                self._connection.reset_connection()
 
     async def receive(self) -> dict[str, Any]:
         """Return the next part of the body.  Raises `RequestError` when there can be none."""
--- a/cloverhook/request_stats.py
+++ b/cloverhook/request_stats.py
@@ -48,7 +48,7 @@
     latency_ms: dict[str, HistogramCounts] = field(default_factory=dict)
     added_ms: dict[str, HistogramCounts] = field(default_factory=dict)
 
-    def ended(
+    def record_end(
         self,
         brand: str,
         service: str,
--- a/cloverhook/retry_after.py
+++ b/cloverhook/retry_after.py
@@ -5,7 +5,7 @@
 
 import random
 
-__all__ = ["ReturnTimes"]
+__all__ = ["RetryAfterTimes"]
 
 BASE_MS = 500.0
 MAX_MS = 15_000.0
@@ -14,18 +14,18 @@
 SPREAD = 0.5
 
 
-class ReturnTimes:
+class RetryAfterTimes:
     """Gives refused requests their time to come back."""
 
     def __init__(self, source: random.Random) -> None:
         self._random = source
         self._refused = 0.0
 
-    def admitted(self) -> None:
+    def record_admission(self) -> None:
         """Count a request that was not refused."""
         self._refused -= RATE * self._refused
 
-    def refused(self, wait_ms: float) -> float:
+    def record_rejection(self, wait_ms: float) -> float:
         """Return the milliseconds after which a request refused now may come back."""
         self._refused += RATE * (1.0 - self._refused)
         after_ms = (BASE_MS + wait_ms) * (1.0 + GROWTH * self._refused)
--- a/cloverhook/retry_budget.py
+++ b/cloverhook/retry_budget.py
@@ -6,7 +6,7 @@
 chain of calls only the layer next to the failure retries.
 
 >>> budget = RetryBudget()
->>> [budget.take() for _ in range(4)]
+>>> [budget.try_take() for _ in range(4)]
 [True, True, True, False]
 """
 
@@ -22,11 +22,11 @@
     def __init__(self) -> None:
         self._earned = RESERVE
 
-    def earn(self, ratio: float) -> None:
+    def count_request(self, ratio: float) -> None:
         """Count a new request."""
         self._earned = min(CAPACITY, self._earned + ratio)
 
-    def take(self) -> bool:
+    def try_take(self) -> bool:
         """Spend a retry and return True, or return False when none is left."""
         if self._earned < 1:
             return False
--- a/cloverhook/routing.py
+++ b/cloverhook/routing.py
@@ -22,11 +22,11 @@
 from cloverhook.endpoint_table import EndpointTable
 from cloverhook.errors import ErrorKind
 from cloverhook.fleet import Endpoint, Policy
-from cloverhook.lending import Ask
-from cloverhook.measuring import Prober, ProbeTurns, budget_share
-from cloverhook.messages import SlotAsk, SlotGrant, SlotReturn
-from cloverhook.ownership import owners
-from cloverhook.retry_after import ReturnTimes
+from cloverhook.lending import PeerSlotRequest
+from cloverhook.measuring import ProbeSchedule, ProbeSpacing, probe_budget_share
+from cloverhook.messages import SlotGrant, SlotRequest, SlotReturn
+from cloverhook.ownership import assign_owners
+from cloverhook.retry_after import RetryAfterTimes
 from cloverhook.retry_budget import RetryBudget
 from cloverhook.routing_events import (
     FINAL_KINDS,
@@ -35,20 +35,20 @@
     Arrival,
     AttemptEnded,
     AttemptResult,
-    CallerGone,
+    CallerDisconnected,
     EndpointsChanged,
     Event,
     HomesChanged,
-    PeerSaid,
+    PeerMessageReceived,
     ProbeEnded,
-    Refuse,
+    Reject,
+    SendMessage,
     Start,
-    Tell,
     Tick,
 )
 from cloverhook.slot_exchange import IDLE_LOAN_MS, SlotExchange
 from cloverhook.token_bucket import TokenBucket
-from cloverhook.waiting import Request, WaitingLine
+from cloverhook.waiting import PendingRequest, RequestQueue
 
 __all__ = ["PEER_BYTES_PER_S", "ServiceRouter"]
 
@@ -72,18 +72,18 @@
         source: random.Random,
         service: str = "",
         peer_bytes: TokenBucket | None = None,
-        turns: ProbeTurns | None = None,
+        turns: ProbeSpacing | None = None,
     ) -> None:
         self._random = source
         self._policy = Policy()
         self._table = EndpointTable()
         own_bytes = TokenBucket(PEER_BYTES_PER_S, PEER_BYTES_PER_S)
         self._exchange = SlotExchange(service, peer_bytes or own_bytes)
-        self._line = WaitingLine()
-        self._requests: dict[str, Request] = {}
+        self._line = RequestQueue()
+        self._requests: dict[str, PendingRequest] = {}
         self._retries = RetryBudget()
-        self._returns = ReturnTimes(source)
-        self._prober = Prober(turns)
+        self._returns = RetryAfterTimes(source)
+        self._prober = ProbeSchedule(turns)
         self._homes = HomesChanged("", ())
         self._present: list[Endpoint] = []
 
@@ -91,10 +91,10 @@
         """Return whether this VM owns an endpoint."""
         return self._table.owns(address)
 
-    def trouble_of(self, address: str) -> int:
-        """Return what is wrong with an endpoint, as `endpoint_stats.Trouble` numbers it."""
+    def probation_reason_of(self, address: str) -> int:
+        """Return what is wrong with an endpoint, as `endpoint_stats.ProbationReason` numbers it."""
         stats = self._table.get(address)
-        return 0 if stats is None else int(stats.trouble)
+        return 0 if stats is None else int(stats.probation_reason)
 
     @singledispatchmethod
     def handle(self, event: Event, now_ms: float) -> tuple[Action, ...]:
@@ -103,19 +103,19 @@
 
     @handle.register
     def _(self, event: Arrival, now_ms: float) -> tuple[Action, ...]:
-        request = Request(event, now_ms)
+        request = PendingRequest(event, now_ms)
         self._requests[event.request_id] = request
         if event.attempt == 1:
-            self._retries.earn(self._policy.retry_ratio)
+            self._retries.count_request(self._policy.retry_ratio)
         return tuple(self._place(request, now_ms))
 
     @handle.register
     def _(self, event: AttemptEnded, now_ms: float) -> tuple[Action, ...]:
-        self._table.end(event, now_ms)
-        if event.result is not AttemptResult.ANSWERED or event.leaving:
-            self._prober.look_again()
+        self._table.record_end(event, now_ms)
+        if event.result is not AttemptResult.ANSWERED or event.server_draining:
+            self._prober.schedule_check()
         actions = self._release_loan(event, now_ms)
-        if event.again:
+        if event.wants_retry:
             actions.extend(self._retry(event, now_ms))
         else:
             self._requests.pop(event.request_id, None)
@@ -123,7 +123,7 @@
         return tuple(actions)
 
     @handle.register
-    def _(self, event: CallerGone, now_ms: float) -> tuple[Action, ...]:
+    def _(self, event: CallerDisconnected, now_ms: float) -> tuple[Action, ...]:
         request = self._requests.pop(event.request_id, None)
         if request is not None:
             self._line.remove(request)
@@ -145,74 +145,74 @@
         return tuple(self._share_out(now_ms))
 
     @handle.register
-    def _(self, event: PeerSaid, now_ms: float) -> tuple[Action, ...]:
-        if self._exchange.heard(event.vm, now_ms):
+    def _(self, event: PeerMessageReceived, now_ms: float) -> tuple[Action, ...]:
+        if self._exchange.record_message(event.vm, now_ms):
             self._divide(now_ms)
         match event.message:
-            case SlotAsk():
+            case SlotRequest():
                 return tuple(self._answer_ask(event.vm, event.message, now_ms))
             case SlotGrant():
                 return tuple(self._take_grant(event.vm, event.message, now_ms))
             case SlotReturn(_, addresses, suspicion):
                 for address, evidence in zip(addresses, suspicion, strict=False):
-                    if self._exchange.lent.back(event.vm, address):
-                        self._table.take_back(address, evidence, now_ms)
+                    if self._exchange.lent.record_return(event.vm, address):
+                        self._table.release_lent(address, evidence, now_ms)
                 return tuple(self._share_out(now_ms))
         return ()
 
     @handle.register
     def _(self, event: ProbeEnded, now_ms: float) -> tuple[Action, ...]:
-        self._prober.ended(event.address, event.latency_ms, now_ms)
+        self._prober.probe_ended(event.address, event.latency_ms, now_ms)
         stats = self._table.get(event.address)
         if stats is not None:
-            self._table.take_probe(stats, event, now_ms)
+            self._table.record_probe(stats, event, now_ms)
         return tuple(self._share_out(now_ms))
 
     @handle.register
     def _(self, event: Tick, now_ms: float) -> tuple[Action, ...]:
-        if self._exchange.find_silent(now_ms):
+        if self._exchange.detect_unresponsive(now_ms):
             self._divide(now_ms)
         actions: list[Action] = []
-        for request in self._line.overdue(now_ms, self._requests):
+        for request in self._line.pop_overdue(now_ms, self._requests):
             actions.append(self._refuse_overdue(request, now_ms))
-        for address in self._exchange.lent.lapsed(now_ms):
-            self._table.take_back(address, 0, now_ms)
+        for address in self._exchange.lent.pop_expired(now_ms):
+            self._table.release_lent(address, 0, now_ms)
         if len(self._line) and self._nothing_works():
             actions.extend(self._refuse_all_waiting(ErrorKind.NO_BACKEND_SERVER, now_ms))
         actions.extend(self._share_out(now_ms))
-        actions.extend(self._prober.due(self._table.owned, now_ms))
+        actions.extend(self._prober.due_probes(self._table.owned, now_ms))
         return tuple(actions)
 
     def next_wake_ms(self, now_ms: float) -> float | None:
         """Return when the router next needs a `Tick`, or None while only events matter to it."""
         waiting = len(self._line) > 0
-        wake_ms = min(self._prober.next_look_ms, self._exchange.next_wake_ms(now_ms, waiting))
+        wake_ms = min(self._prober.next_check_ms, self._exchange.next_wake_ms(now_ms, waiting))
         if waiting:
-            wake_ms = min(wake_ms, self._line.next_end_ms(), now_ms + WAITING_TICK_MS)
+            wake_ms = min(wake_ms, self._line.next_expiry_ms(), now_ms + WAITING_TICK_MS)
         return None if wake_ms == math.inf else max(wake_ms, now_ms + SHORTEST_TICK_MS)
 
     def _divide(self, now_ms: float) -> None:
         """Work out which endpoints this VM owns, as far as the other homes can be reached."""
-        self._present = self._table.present()
+        self._present = self._table.configured_endpoints()
         own = self._homes.own_vm
         others = [vm for vm in self._homes.homes if vm != own]
         self._exchange.set_owners(others)
-        silent = self._exchange.silent()
+        silent = self._exchange.unresponsive_owners()
         for vm in silent:
-            for address in self._exchange.lent.take_all_back(vm):
-                self._table.take_back(address, 0, now_ms)
+            for address in self._exchange.lent.reclaim_all(vm):
+                self._table.release_lent(address, 0, now_ms)
         homes = [vm for vm in self._homes.homes if vm not in silent]
         if homes:
-            owner_of = owners(self._present, homes, self._homes.data_centers)
+            owner_of = assign_owners(self._present, homes, self._homes.data_centers)
             mine = [address for address, vm in owner_of.items() if vm == own]
         else:
             mine = [endpoint.address for endpoint in self._present]
-        self._table.own(mine, self._homes.data_centers.get(own, ""), now_ms)
-        share = budget_share(len(mine), len(self._present), self._homes)
+        self._table.set_owned(mine, self._homes.data_centers.get(own, ""), now_ms)
+        share = probe_budget_share(len(mine), len(self._present), self._homes)
         self._prober.budget.set_share(self._policy.measuring_ms_per_s * share, now_ms)
-        self._prober.look_again()
+        self._prober.schedule_check()
 
-    def _place(self, request: Request, now_ms: float, avoid: str = "") -> list[Action]:
+    def _place(self, request: PendingRequest, now_ms: float, avoid: str = "") -> list[Action]:
         request_id = request.arrival.request_id
         if not self._present or self._nothing_works():
             stats = self._table.choose(now_ms, 0.0) if self._present else None
@@ -223,7 +223,7 @@
             address = self._slot_for(request_id, now_ms, avoid)
             if address is not None:
                 return [self._start(request, address, now_ms)]
-        wait_ms = self._wait_ms(self._line.ahead_of(request.arrival.priority))
+        wait_ms = self._wait_ms(self._line.count_ahead(request.arrival.priority))
         if now_ms + wait_ms + self._table.model.mean_ms / 2 > request.arrival.deadline_ms:
             return [self._refuse(request, ErrorKind.OVERLOADED, wait_ms)]
         give_up_ms = min(
@@ -237,8 +237,12 @@
         stats = self._table.choose(now_ms, wait_ms, avoid, self._patient(now_ms))
         if stats is not None:
             return stats.endpoint.address
-        address = self._exchange.borrowed.take(request_id)
-        if address is None and not self._table.owned_count and not self._exchange.may_ask(now_ms):
+        address = self._exchange.borrowed.use_idle(request_id)
+        if (
+            address is None
+            and not self._table.owned_count
+            and not self._exchange.can_send_request(now_ms)
+        ):
             return self._direct(avoid)
         return address
 
@@ -246,7 +250,7 @@
         """Return whether another VM may still answer an ask for the first waiting request."""
         first = self._line.first()
         waited_ms = 0.0 if first is None else now_ms - first.arrived_ms
-        return waited_ms < PATIENCE_MS and self._exchange.has_peers()
+        return waited_ms < PATIENCE_MS and self._exchange.has_responsive_peer()
 
     def _direct(self, avoid: str) -> str | None:
         """Choose without an owner: of a few endpoints the one with least of this VM's requests.
@@ -257,12 +261,12 @@
         if not addresses:
             return None
         few = self._random.sample(addresses, min(DIRECT_CHOICES, len(addresses)))
-        return self._table.any_unowned(few)
+        return self._table.least_used(few)
 
-    def _start(self, request: Request, address: str, now_ms: float) -> Start:
+    def _start(self, request: PendingRequest, address: str, now_ms: float) -> Start:
         request.attempts += 1
-        self._returns.admitted()
-        self._table.begin(request.arrival.request_id, address, now_ms)
+        self._returns.record_admission()
+        self._table.record_start(request.arrival.request_id, address, now_ms)
         return Start(request.arrival.request_id, address)
 
     def _share_out(self, now_ms: float) -> list[Action]:
@@ -271,8 +275,8 @@
         grants: dict[str, list[str]] = {}
         lending = True
         while True:
-            ask = self._exchange.best_ask(now_ms) if lending else None
-            if ask is not None and self._exchange.goes_first(ask, self._line, now_ms):
+            ask = self._exchange.best_request(now_ms) if lending else None
+            if ask is not None and self._exchange.precedes_own_queue(ask, self._line, now_ms):
                 lending = self._grant_one(ask, grants, now_ms)
                 continue
             request = self._line.first()
@@ -284,16 +288,16 @@
             self._line.remove(request)
             actions.append(self._start(request, address, now_ms))
         for vm, addresses in grants.items():
-            actions.append(self._exchange.grant(vm, addresses, True, now_ms))
+            actions.append(self._exchange.grant_slots(vm, addresses, True, now_ms))
         if not len(self._line):
-            idle = self._exchange.borrowed.idle_since(now_ms - IDLE_LOAN_MS)
-            actions.extend(self._exchange.give_back(idle, {}, now_ms))
+            idle = self._exchange.borrowed.pop_idle_since(now_ms - IDLE_LOAN_MS)
+            actions.extend(self._exchange.return_slots(idle, {}, now_ms))
         actions.extend(self._ask_or_withdraw(now_ms))
         return actions
 
-    def _grant_one(self, ask: Ask, grants: dict[str, list[str]], now_ms: float) -> bool:
-        stats = self._table.spare()
-        if stats is None or not self._exchange.may_grant(now_ms):
+    def _grant_one(self, ask: PeerSlotRequest, grants: dict[str, list[str]], now_ms: float) -> bool:
+        stats = self._table.find_lendable()
+        if stats is None or not self._exchange.can_send_grant(now_ms):
             return False
         ask.granted += 1
         address = stats.endpoint.address
@@ -304,39 +308,39 @@
 
     def _ask_or_withdraw(self, now_ms: float) -> list[Action]:
         if not len(self._line):
-            return list(self._exchange.withdraw(now_ms))
+            return list(self._exchange.withdraw_requests(now_ms))
         wait_ms = self._own_wait_ms(len(self._line))
-        tells = self._exchange.asks(self._line, wait_ms, now_ms)
+        tells = self._exchange.request_slots(self._line, wait_ms, now_ms)
         return list(tells)
 
-    def _answer_ask(self, vm: str, message: SlotAsk, now_ms: float) -> list[Action]:
-        self._exchange.take_ask(vm, message, now_ms)
+    def _answer_ask(self, vm: str, message: SlotRequest, now_ms: float) -> list[Action]:
+        self._exchange.record_request(vm, message, now_ms)
         actions = self._share_out(now_ms)
-        answered = any(isinstance(item, Tell) and item.vm == vm for item in actions)
+        answered = any(isinstance(item, SendMessage) and item.vm == vm for item in actions)
         if message.waiting and not answered:
-            actions.append(self._exchange.grant(vm, (), self._owns_working(), now_ms))
+            actions.append(self._exchange.grant_slots(vm, (), self._owns_working(), now_ms))
         return actions
 
     def _take_grant(self, vm: str, message: SlotGrant, now_ms: float) -> list[Action]:
         known = tuple(item for item in message.addresses if self._table.get(item) is not None)
         unknown = [(item, vm) for item in message.addresses if item not in known]
-        self._exchange.take_grant(vm, message, known, now_ms)
-        return [*self._exchange.give_back(unknown, {}, now_ms), *self._share_out(now_ms)]
+        self._exchange.record_grant(vm, message, known, now_ms)
+        return [*self._exchange.return_slots(unknown, {}, now_ms), *self._share_out(now_ms)]
 
     def _release_loan(self, event: AttemptEnded, now_ms: float) -> list[Action]:
         loan = self._exchange.borrowed.release(event.request_id)
         if loan is None:
             return []
         owner, ends_ms = loan
-        wanted_back = self._exchange.wants_back(owner, self._line, now_ms)
+        wanted_back = self._exchange.should_return(owner, self._line, now_ms)
         good = event.result is AttemptResult.ANSWERED
         if good and now_ms < ends_ms and not wanted_back:
-            self._exchange.borrowed.put(event.address, owner, ends_ms, now_ms)
+            self._exchange.borrowed.add_idle(event.address, owner, ends_ms, now_ms)
             return []
         stats = self._table.get(event.address)
         evidence = int(max(stats.slowness, stats.failures)) if stats is not None else 0
         slot = ((event.address, owner),)
-        return list(self._exchange.give_back(slot, {event.address: evidence}, now_ms))
+        return list(self._exchange.return_slots(slot, {event.address: evidence}, now_ms))
 
     def _retry(self, event: AttemptEnded, now_ms: float) -> list[Action]:
         request = self._requests.get(event.request_id)
@@ -344,7 +348,7 @@
             return []
         may_run_again = event.result in NOT_RUN_RESULTS or request.arrival.idempotent
         allowed = request.attempts < MAX_ATTEMPTS and request.arrival.attempt == 1
-        if may_run_again and allowed and self._retries.take():
+        if may_run_again and allowed and self._retries.try_take():
             return self._place(request, now_ms, event.address)
         return [self._refuse(request, FINAL_KINDS.get(event.result, ErrorKind.CONNECTION_CUT), 0.0)]
 
@@ -352,24 +356,24 @@
         """Refuse the least important requests at once while the line is too long."""
         actions: list[Action] = []
         while len(self._line) and self._wait_ms(len(self._line)) > self._policy.wait_limit_ms:
-            request = self._line.least()
+            request = self._line.shed_candidate()
             self._line.remove(request)
             actions.append(self._refuse(request, ErrorKind.OVERLOADED, self._policy.wait_limit_ms))
         return actions
 
-    def _refuse_overdue(self, request: Request, now_ms: float) -> Refuse:
+    def _refuse_overdue(self, request: PendingRequest, now_ms: float) -> Reject:
         if now_ms >= request.arrival.deadline_ms:
             return self._refuse(request, ErrorKind.DEADLINE_BEFORE_RUN, 0.0)
         return self._refuse(request, ErrorKind.OVERLOADED, self._policy.wait_limit_ms)
 
-    def _refuse_all_waiting(self, kind: ErrorKind, now_ms: float) -> Iterable[Refuse]:
+    def _refuse_all_waiting(self, kind: ErrorKind, now_ms: float) -> Iterable[Reject]:
         while (request := self._line.first()) is not None:
             self._line.remove(request)
             yield self._refuse(request, kind, 0.0)
 
-    def _refuse(self, request: Request, kind: ErrorKind, wait_ms: float) -> Refuse:
+    def _refuse(self, request: PendingRequest, kind: ErrorKind, wait_ms: float) -> Reject:
         del self._requests[request.arrival.request_id]
-        return Refuse(request.arrival.request_id, kind, self._returns.refused(wait_ms))
+        return Reject(request.arrival.request_id, kind, self._returns.record_rejection(wait_ms))
 
     def _own_wait_ms(self, count: int) -> float:
         slots = self._table.slots + self._exchange.borrowed.count
@@ -389,4 +393,4 @@
     def _nothing_works(self) -> bool:
         if self._owns_working() or self._exchange.borrowed.count:
             return False
-        return not self._exchange.peers_working()
+        return not self._exchange.has_working_peer()
--- a/cloverhook/routing_events.py
+++ b/cloverhook/routing_events.py
@@ -19,16 +19,16 @@
     "Arrival",
     "AttemptEnded",
     "AttemptResult",
-    "CallerGone",
+    "CallerDisconnected",
     "EndpointsChanged",
     "Event",
     "HomesChanged",
-    "PeerSaid",
+    "PeerMessageReceived",
     "Probe",
     "ProbeEnded",
-    "Refuse",
+    "Reject",
+    "SendMessage",
     "Start",
-    "Tell",
     "Tick",
 ]
 
@@ -77,9 +77,10 @@
 class AttemptEnded:
     """An attempt has ended, after `latency_ms`.
 
-    `load` is the number of requests in flight that the answer carried, and `leaving` whether it
-    said that the backend server is leaving.  With `again`, the request has not been answered yet
-    and wants another attempt, which the router starts only where the result allows it.
+    `load` is the number of requests in flight that the answer carried, and `server_draining`
+    whether it said that the backend server is leaving.  With `wants_retry`, the request has not
+    been answered yet and wants another attempt, which the router starts only where the result
+    allows it.
     """
 
     request_id: str
@@ -87,12 +88,12 @@
     result: AttemptResult
     latency_ms: float
     load: int | None = None
-    again: bool = False
-    leaving: bool = False
+    wants_retry: bool = False
+    server_draining: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class CallerGone:
+class CallerDisconnected:
     """The caller of a waiting request has gone."""
 
     request_id: str
@@ -124,7 +125,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerSaid:
+class PeerMessageReceived:
     """Another VM has sent a message about this service."""
 
     vm: str
@@ -147,10 +148,10 @@
 Event = (
     Arrival
     | AttemptEnded
-    | CallerGone
+    | CallerDisconnected
     | EndpointsChanged
     | HomesChanged
-    | PeerSaid
+    | PeerMessageReceived
     | ProbeEnded
     | Tick
 )
@@ -165,7 +166,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Give a request its final answer without running it (again)."""
 
     request_id: str
@@ -182,11 +183,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendMessage:
     """Send a message about this service to another VM."""
 
     vm: str
     message: Message
 
 
-Action = Start | Refuse | Probe | Tell
+Action = Start | Reject | Probe | SendMessage
--- a/cloverhook/slot_pool.py
+++ b/cloverhook/slot_pool.py
@@ -47,13 +47,13 @@
         if address not in self._members:
             return
         self._unplace(address)
-        if stats.room(now_ms) <= 0:
+        if stats.free_slots(now_ms) <= 0:
             return
         place = (stats.endpoint.data_center != self._data_center, stats.used)
         self._buckets.setdefault(place, {})[address] = stats
         self._place[address] = place
 
-    def first(self, avoid: str = "") -> EndpointStats | None:
+    def best(self, avoid: str = "") -> EndpointStats | None:
         """Return the best endpoint with a free slot, or None; `avoid` only if it is the last."""
         for place in sorted(self._buckets):
             for address, stats in self._buckets[place].items():
--- a/cloverhook/snapshots.py
+++ b/cloverhook/snapshots.py
@@ -10,7 +10,7 @@
 
 from cloverhook.state import offset_of, restarts_of
 
-__all__ = ["LogFacts", "SnapshotLimits", "SnapshotPolicy"]
+__all__ = ["LogStatus", "SnapshotLimits", "SnapshotPolicy"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LogFacts:
+class LogStatus:
     """What a replica knows of the log.
 
     `position` is the replica's next position, `first_offset` the oldest offset the log keeps and
@@ -41,8 +41,8 @@
     position: int
     first_offset: int
     snapshot_position: int | None
-    lost: bool
-    bare: bool
+    records_lost: bool
+    replica_is_empty: bool
 
 
 class SnapshotPolicy:
@@ -57,7 +57,7 @@
         self._due_ms: float | None = None
         self._repeat_ms = 0.0
 
-    def decide(self, facts: LogFacts, now_ms: float) -> bool:
+    def decide(self, facts: LogStatus, now_ms: float) -> bool:
         """Return whether to append a snapshot now."""
         self._observe(facts, now_ms)
         if not self._wanted(facts, now_ms):
@@ -72,22 +72,22 @@
         self._repeat_ms = now_ms + self._limits.repeat_ms
         return True
 
-    def _observe(self, facts: LogFacts, now_ms: float) -> None:
+    def _observe(self, facts: LogStatus, now_ms: float) -> None:
         if facts.snapshot_position != self._seen_position:
             self._seen_position = facts.snapshot_position
             self._seen_ms = now_ms
             self._due_ms = None
-        if not facts.lost:
+        if not facts.records_lost:
             self._lost_ms = None
         elif self._lost_ms is None:
             self._lost_ms = now_ms
 
-    def _wanted(self, facts: LogFacts, now_ms: float) -> bool:
+    def _wanted(self, facts: LogStatus, now_ms: float) -> bool:
         limits = self._limits
         if self._lost_ms is not None:
-            patience_ms = limits.bare_patience_ms if facts.bare else limits.patience_ms
+            patience_ms = limits.bare_patience_ms if facts.replica_is_empty else limits.patience_ms
             return now_ms - self._lost_ms >= patience_ms
-        if facts.bare:
+        if facts.replica_is_empty:
             return False
         seen = facts.snapshot_position
         if seen is None or restarts_of(seen) < restarts_of(facts.position):
--- a/cloverhook/steering.py
+++ b/cloverhook/steering.py
@@ -11,13 +11,13 @@
 
 from cloverhook.members import Member
 
-__all__ = ["AnswerOrder", "answer_lifetime_ms", "home_vms", "ranked"]
+__all__ = ["HomeRotation", "answer_lifetime_ms", "home_vms", "rendezvous_order"]
 
 UNSETTLED_MS = 2_000
 UNSETTLED_LIFETIME_MS = 250
 
 
-def ranked(key: str, members: Sequence[Member]) -> list[Member]:
+def rendezvous_order(key: str, members: Sequence[Member]) -> list[Member]:
     """Return the members in the key's rendezvous order, first choice first."""
     return sorted(members, key=lambda member: _weight(key, member.vm), reverse=True)
 
@@ -28,7 +28,7 @@
     Each round takes the best-ranked VM of every data centre that has one left.
     """
     homes: list[Member] = []
-    left = ranked(service_key, members)
+    left = rendezvous_order(service_key, members)
     while left and len(homes) < count:
         seen: set[str] = set()
         for member in tuple(left):
@@ -46,7 +46,7 @@
     return lifetime_ms
 
 
-class AnswerOrder:
+class HomeRotation:
     """The order in which a service's home VMs stand in the answers that callers get.
 
     A caller that uses only the first address of its answer must not make the first home the
@@ -58,7 +58,7 @@
         self._random = source
         self._credit: dict[str, dict[str, float]] = {}
 
-    def next(
+    def next_order(
         self, service_key: str, homes: Sequence[Member], weights: Mapping[str, float]
     ) -> list[Member]:
         """Return the homes in the order of the service's next answer."""
--- a/cloverhook/upstream_connection.py
+++ b/cloverhook/upstream_connection.py
@@ -97,7 +97,7 @@
         return self._exchange.readable
 
     @property
-    def silent(self) -> bool:
+    def is_unanswered(self) -> bool:
         """Whether no byte of an answer has come for the latest request."""
         return self._exchange is not None and not self._exchange.heard
 
@@ -140,25 +140,28 @@
     async def send(
         self,
         head: RequestHead,
-        first: bytes = b"",
-        rest: AsyncIterator[bytes] | None = None,
-        is_own: Callable[[AnswerHead], bool] | None = None,
+        initial_body: bytes = b"",
+        remaining_body: AsyncIterator[bytes] | None = None,
+        matches_request: Callable[[AnswerHead], bool] | None = None,
     ) -> AnswerHead:
         """Send a request and return the head of its answer.
 
-        `first` is the part of the body that is at hand, and `rest` what is still to come.  An
-        answer that `is_own` denies belongs to an earlier request: it is skipped.
+        `initial_body` is the part of the body that is at hand, and `remaining_body` what is
+        still to come.  An answer that `matches_request` denies belongs to an earlier request: it is
+        skipped.
         Raises `UpstreamError`, whose `sent` says whether a byte may have left.
         """
         if not self.usable or self._transport is None or self._transport.is_closing():
             raise UpstreamError("the connection was closed before use", sent=False)
-        exchange = _Exchange(self, head.method == b"HEAD", self._header_limit_bytes, is_own)
+        exchange = _Exchange(
+            self, head.method == b"HEAD", self._header_limit_bytes, matches_request
+        )
         self._exchange = exchange
         self._open = True
-        body = _framed(first, head.chunked, last=rest is None and head.has_body)
+        body = _framed(initial_body, head.chunked, last=remaining_body is None and head.has_body)
         self._transport.write(head.to_bytes() + body)
-        if rest is not None:
-            exchange.sender = self._loop.create_task(self._send_rest(rest, head.chunked))
+        if remaining_body is not None:
+            exchange.sender = self._loop.create_task(self._send_rest(remaining_body, head.chunked))
             exchange.sender.add_done_callback(exchange.on_sender_done)
         return await exchange.head
 
--- a/cloverhook/waiting.py
+++ b/cloverhook/waiting.py
@@ -11,11 +11,11 @@
 from cloverhook.fleet import Priority
 from cloverhook.routing_events import Arrival
 
-__all__ = ["Request", "WaitingLine"]
+__all__ = ["PendingRequest", "RequestQueue"]
 
 
 @dataclass(slots=True)
-class Request:
+class PendingRequest:
     """A request that this router has to bring to an end."""
 
     arrival: Arrival
@@ -25,11 +25,11 @@
     started_ms: float = 0.0
 
 
-class WaitingLine:
+class RequestQueue:
     """The waiting requests of one service."""
 
     def __init__(self) -> None:
-        self._lines: dict[Priority, OrderedDict[str, Request]] = {
+        self._lines: dict[Priority, OrderedDict[str, PendingRequest]] = {
             priority: OrderedDict() for priority in Priority
         }
         self._ends: list[tuple[float, str]] = []
@@ -38,14 +38,14 @@
     def __len__(self) -> int:
         return self._count
 
-    def add(self, request: Request, give_up_ms: float) -> None:
+    def add(self, request: PendingRequest, give_up_ms: float) -> None:
         """Put a request at the end of its line; `give_up_ms` is when it has waited too long."""
         request_id = request.arrival.request_id
         self._lines[request.arrival.priority][request_id] = request
         heapq.heappush(self._ends, (give_up_ms, request_id))
         self._count += 1
 
-    def remove(self, request: Request) -> bool:
+    def remove(self, request: PendingRequest) -> bool:
         """Take a request out; return whether it was waiting."""
         line = self._lines[request.arrival.priority]
         if line.pop(request.arrival.request_id, None) is None:
@@ -55,31 +55,33 @@
             self._ends.clear()
         return True
 
-    def first(self) -> Request | None:
+    def first(self) -> PendingRequest | None:
         """Return the oldest request of the most important priority."""
         for line in self._lines.values():
             if line:
                 return next(iter(line.values()))
         return None
 
-    def least(self) -> Request | None:
+    def shed_candidate(self) -> PendingRequest | None:
         """Return the newest request of the least important priority."""
         for line in reversed(self._lines.values()):
             if line:
                 return next(reversed(line.values()))
         return None
 
-    def ahead_of(self, priority: Priority) -> int:
+    def count_ahead(self, priority: Priority) -> int:
         """Return how many requests a new one of this priority has before it."""
         return sum(len(line) for level, line in self._lines.items() if level <= priority)
 
-    def next_end_ms(self) -> float:
+    def next_expiry_ms(self) -> float:
         """Return the earliest time at which a request may have waited too long."""
         return self._ends[0][0] if self._ends else math.inf
 
-    def overdue(self, now_ms: float, requests: dict[str, Request]) -> list[Request]:
+    def pop_overdue(
+        self, now_ms: float, requests: dict[str, PendingRequest]
+    ) -> list[PendingRequest]:
         """Take out and return the requests that have waited too long."""
-        late: list[Request] = []
+        late: list[PendingRequest] = []
         while self._ends and self._ends[0][0] <= now_ms:
             _, request_id = heapq.heappop(self._ends)
             request = requests.get(request_id)
--- a/cloverhook/wake_times.py
+++ b/cloverhook/wake_times.py
@@ -4,9 +4,9 @@
 set of parts keeps on the event loop.
 
 >>> times = WakeTimes()
->>> times.want("booking", 30.0)
->>> times.want("roster", None)
->>> times.next_ms(), times.due(30.0), times.next_ms()
+>>> times.request("booking", 30.0)
+>>> times.request("roster", None)
+>>> times.earliest_ms(), times.pop_due(30.0), times.earliest_ms()
 (30.0, ['booking'], None)
 """
 
@@ -24,7 +24,7 @@
         self._heap: list[tuple[float, str]] = []
         self._wanted: dict[str, float] = {}
 
-    def want(self, key: str, wake_ms: float | None) -> None:
+    def request(self, key: str, wake_ms: float | None) -> None:
         """Take when a part needs the clock; a time that it asked for before stands if earlier."""
         if wake_ms is None:
             return
@@ -37,7 +37,7 @@
         """Forget a part."""
         self._wanted.pop(key, None)
 
-    def next_ms(self) -> float | None:
+    def earliest_ms(self) -> float | None:
         """Return the earliest time that is wanted."""
         while self._heap:
             wake_ms, key = self._heap[0]
@@ -46,10 +46,10 @@
             heapq.heappop(self._heap)
         return None
 
-    def due(self, now_ms: float) -> list[str]:
+    def pop_due(self, now_ms: float) -> list[str]:
         """Take out and return the parts whose time has come, in its order."""
         found: list[str] = []
-        while (wake_ms := self.next_ms()) is not None and wake_ms <= now_ms:
+        while (wake_ms := self.earliest_ms()) is not None and wake_ms <= now_ms:
             _, key = heapq.heappop(self._heap)
             del self._wanted[key]
             found.append(key)
@@ -65,7 +65,7 @@
         self._handle: asyncio.TimerHandle | None = None
         self._wake_ms = 0.0
 
-    def by(self, wake_ms: float | None) -> None:
+    def call_by(self, wake_ms: float | None) -> None:
         """Call back at a time, unless an earlier call back stands."""
         if wake_ms is None:
             return
--- a/features/decision_driver.py
+++ b/features/decision_driver.py
@@ -10,11 +10,11 @@
     AttemptEnded,
     AttemptResult,
     EndpointsChanged,
-    PeerSaid,
+    PeerMessageReceived,
     Probe,
-    Refuse,
+    Reject,
+    SendMessage,
     Start,
-    Tell,
     Tick,
 )
 from cloverhook.token_bucket import TokenBucket
@@ -57,12 +57,12 @@
                     self.open[request_id] = (address, self.now_ms)
                     self.starts[address] += 1
                     self.attempts[request_id] += 1
-                case Refuse():
+                case Reject():
                     assert action.request_id not in self.refused, "refused twice"
                     self.refused[action.request_id] = action
                     waited_ms = self.now_ms - self.arrived_ms[action.request_id]
                     self.refused_after_ms[action.request_id] = waited_ms
-                case Tell():
+                case SendMessage():
                     self.told.append(action)
                 case Probe(address):
                     self.probes.append((self.now_ms, address))
@@ -90,7 +90,7 @@
 
     def hear(self, vm, message):
         """Hand the router another VM's message."""
-        return self.do(PeerSaid(vm, message))
+        return self.do(PeerMessageReceived(vm, message))
 
     def pass_time(self, ms, step_ms=10.0):
         """Let time pass with ticks."""
--- a/features/machine.py
+++ b/features/machine.py
@@ -87,7 +87,7 @@
         if not self.seeded:
             return
         for brand in (*state.brands, *state.removed):
-            for item in state.recent(brand):
+            for item in state.recent_changes(brand):
                 known = self.change_of.get((brand, item.version))
                 assert known == item.change_id, (brand, item, known)
         hosts = [host for item in state.brands.values() for host in item.brand.hosts()]
@@ -178,9 +178,9 @@
         """Read a page, with the doubt that a pause or an outage leaves."""
         if index in self.unaware:
             self.unaware.discard(index)
-            replica.read_failed()
+            replica.record_read_failure()
         read = self.log.read(replica.next_read().offset)
-        self.guarded(replica, lambda: replica.take_slice(read))
+        self.guarded(replica, lambda: replica.apply_read(read))
 
     @rule(source=REPLICA, receiver=REPLICA, with_state=st.booleans(), skipped=st.integers(0, 2))
     def send(self, source, receiver, with_state, skipped):
@@ -209,16 +209,16 @@
             state = State.from_document(content)
             self.guarded(replica, lambda: replica.adopt(state))
         else:
-            self.guarded(replica, lambda: replica.take(content, records))
+            self.guarded(replica, lambda: replica.fold_records(content, records))
 
     @rule(index=REPLICA)
     def snapshot(self, index):
         """Append a snapshot, which may be old or stand there already."""
         replica = self.step(index)
-        if index not in self.unaware and not replica.lost and replica.at_end:
+        if index not in self.unaware and not replica.records_lost and replica.at_end:
             self.append(encode_record(replica.snapshot()))
 
-    @precondition(lambda self: all(item.lost for item in self.replicas))
+    @precondition(lambda self: all(item.records_lost for item in self.replicas))
     @rule(index=REPLICA)
     def seed(self, index):
         """Start the log again from the replica that knows most when nobody can fold it.
@@ -242,7 +242,7 @@
         state = State.from_document(snapshot.state)
         offset = offset_of(state.next_offset)
         self.reference = replace(state, next_offset=position_of(self.restarts, offset))
-        known = [(brand, item) for brand in BRANDS for item in state.recent(brand)]
+        known = [(brand, item) for brand in BRANDS for item in state.recent_changes(brand)]
         self.change_of = {(brand, item.version): item.change_id for brand, item in known}
         self.version_of = {item.change_id: item.version for _, item in known}
         self.seeded = True
@@ -297,7 +297,7 @@
         self.step()
         for index, replica in enumerate(self.replicas):
             self.read_all(replica, index)
-        following = [replica for replica in self.replicas if not replica.lost]
+        following = [replica for replica in self.replicas if not replica.records_lost]
         for replica in following:
             assert replica.state.same_brands(self.reference), "the log reads otherwise"
         if not following:
@@ -306,7 +306,7 @@
         for index, replica in enumerate(self.replicas):
             self.read_all(replica, index)
             assert replica.at_end, "a replica does not come to the log's end"
-            assert not replica.lost, "a replica does not find the snapshot"
+            assert not replica.records_lost, "a replica does not find the snapshot"
             assert replica.state.same_brands(self.reference)
 
 
--- a/features/member_network.py
+++ b/features/member_network.py
@@ -7,12 +7,12 @@
     Dial,
     LinkLost,
     LinkOpened,
-    ListRead,
-    MessageHeard,
+    MessageReceived,
+    ProcessResumed,
     Replaced,
-    Send,
+    SendMessage,
     Tick,
-    Woke,
+    VmListRead,
 )
 from cloverhook.members import Member
 from cloverhook.membership import Membership
@@ -69,7 +69,7 @@
             for vm in vms
         )
         for vm in self.nodes:
-            self.handle(vm, ListRead(listed))
+            self.handle(vm, VmListRead(listed))
 
     def kill(self, vm):
         """End a daemon; its peers see their links close."""
@@ -81,13 +81,13 @@
     def wake(self, vm):
         """Let a paused daemon go on; it notices its pause before anything else."""
         self.paused.discard(vm)
-        self.handle(vm, Woke())
+        self.handle(vm, ProcessResumed())
 
     def handle(self, vm, event):
         """Give a daemon an event and carry its actions out."""
         for action in self.nodes[vm].handle(event, self.now_ms):
             match action:
-                case Send(to, message):
+                case SendMessage(to, message):
                     self._connect(vm, to)
                     self._send(vm, to, message)
                 case Dial(to):
@@ -154,7 +154,7 @@
     def _deliver(self, vm, to, message):
         if to in self.nodes and to not in self.paused and vm in self.nodes[to].linked:
             self._heard_ms[to, vm] = self.now_ms
-            self.handle(to, MessageHeard(vm, message))
+            self.handle(to, MessageReceived(vm, message))
 
     def _close_silent(self, vm):
         for peer in tuple(self.nodes[vm].linked):
--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -17,33 +17,33 @@
 @then("a brand alone may use all, and another's first requests are taken all the same")
 def step_shares(context):
     admission = Admission(LIMIT)
-    assert [admission.enter("a") for _ in range(LIMIT + 1)] == [True] * LIMIT + [False]
-    assert [admission.enter("b") for _ in range(4)] == [True, True, True, False]
-    assert [admission.enter("c") for _ in range(3)] == [True, True, False]
+    assert [admission.try_enter("a") for _ in range(LIMIT + 1)] == [True] * LIMIT + [False]
+    assert [admission.try_enter("b") for _ in range(4)] == [True, True, True, False]
+    assert [admission.try_enter("c") for _ in range(3)] == [True, True, False]
 
 
 @then("room that a flood gives back goes to the brand below its share first")
 def step_given_back(context):
     admission = Admission(LIMIT)
-    assert admission.enter("b")
-    assert [admission.enter("a") for _ in range(LIMIT)] == [True] * (LIMIT - 1) + [False]
+    assert admission.try_enter("b")
+    assert [admission.try_enter("a") for _ in range(LIMIT)] == [True] * (LIMIT - 1) + [False]
     admission.leave("b")
-    assert admission.enter("a")
-    admission.enter("b")
+    assert admission.try_enter("a")
+    admission.try_enter("b")
     admission.leave("a")
-    assert not admission.enter("a")
-    assert admission.enter("b")
+    assert not admission.try_enter("a")
+    assert admission.try_enter("b")
 
 
 @then("requests that have ended leave nothing behind")
 def step_nothing_left(context):
     admission = Admission(LIMIT)
     for _ in range(100):
-        assert admission.enter("a") and admission.enter("b")
+        assert admission.try_enter("a") and admission.try_enter("b")
         admission.leave("a")
         admission.leave("b")
-    assert [admission.enter("c") for _ in range(LIMIT)] == [True] * LIMIT
-    assert [admission.enter("d") for _ in range(4)] == [True, True, True, False]
+    assert [admission.try_enter("c") for _ in range(LIMIT)] == [True] * LIMIT
+    assert [admission.try_enter("d") for _ in range(4)] == [True, True, True, False]
 
 
 async def _start(context):
--- a/features/steps/claim_steps.py
+++ b/features/steps/claim_steps.py
@@ -9,7 +9,7 @@
 from behave import given, then, when
 
 from cloverhook.claim_log import ClaimLog
-from cloverhook.claims import ClaimBook, ClaimState, Denied, Granted, Unsure
+from cloverhook.claims import ClaimState, ClaimTable, Denied, Granted, Undecidable
 from cloverhook.errors import PlatformError, PlatformSilentError
 from cloverhook.platform_api import MemoryPlatform
 from cloverhook_emulator.fleet_runner import Fleet
@@ -30,7 +30,7 @@
 
 
 def _book(vm="vm-0"):
-    return ClaimBook(vm, WINDOW_MS)
+    return ClaimTable(vm, WINDOW_MS)
 
 
 def _append(log, book, now_ms):
@@ -118,7 +118,7 @@
     one.claim("k", "a", 0)
     _append(log, one, 0)
     _read(log, one, 0)
-    one.ran("k", "a")
+    one.mark_ran("k", "a")
     two.claim("k", "b", 1)
     _append(log, one, 1)
     _append(log, two, 1)
@@ -132,7 +132,7 @@
     _append(log, one, 0)
     two.claim("k", "b", 1)
     _append(log, two, 1)
-    assert _read(log, two, 1, first=1) == (Unsure("b"),)
+    assert _read(log, two, 1, first=1) == (Undecidable("b"),)
     two.release("k", "b")
     two.claim("k", "c", WINDOW_MS + 1)
     _append(log, two, WINDOW_MS + 1)
@@ -194,7 +194,7 @@
         return
     if isinstance(decision, Granted) and source.random() < 0.4:
         ran[key] = ran.get(key, 0) + 1
-        book.ran(key, decision.claim_id)
+        book.mark_ran(key, decision.claim_id)
     else:
         book.release(key, decision.claim_id)
 
@@ -219,7 +219,7 @@
 @given("a way to a log that loses one append and refuses the next")
 def step_claim_log(context):
     context.platform = _FailingPlatform()
-    book = ClaimBook("vm-0", WINDOW_MS)
+    book = ClaimTable("vm-0", WINDOW_MS)
     context.claims = ClaimLog(context.platform, book, _now_ms, WAIT_MS, appends_per_s=10)
 
 
@@ -239,7 +239,7 @@
 
 @then("what is left at a planned stop is appended")
 def step_flush(context):
-    context.claims.ran("k0", "c0")
+    context.claims.mark_ran("k0", "c0")
     run(context, context.claims.flush())
     assert context.platform.streams["claims"][-1]["ran"] == [["k0", "c0"]]
 
--- a/features/steps/control_cost_steps.py
+++ b/features/steps/control_cost_steps.py
@@ -13,14 +13,14 @@
 from cloverhook.clock import monotonic_ms
 from cloverhook.dispatch import Dispatcher
 from cloverhook.errors import ErrorKind, RequestError
-from cloverhook.failure_detector import BUSY_TICK_MS, DetectorTimes
+from cloverhook.failure_detector import BUSY_TICK_MS, DetectorTimeouts
 from cloverhook.fleet import Endpoint, Policy, Priority
 from cloverhook.fold import fold
-from cloverhook.measuring import LOOK_EVERY_MS, PROBES_PER_S, STALE_EVIDENCE_MS, ProbeTurns
-from cloverhook.member_events import LinkOpened, Send
+from cloverhook.measuring import CHECK_EVERY_MS, EVIDENCE_LIFETIME_MS, PROBES_PER_S, ProbeSpacing
+from cloverhook.member_events import LinkOpened, SendMessage
 from cloverhook.member_events import Tick as MemberTick
 from cloverhook.members import Member, Status
-from cloverhook.membership import SEARCH_MS, Membership
+from cloverhook.membership import SEARCH_INTERVAL_MS, Membership
 from cloverhook.messages import Hello, Ping
 from cloverhook.records import Change, Publish, RemoveBrand
 from cloverhook.routing import ServiceRouter
@@ -53,7 +53,7 @@
 
 
 class _Outlet:
-    def tell(self, vm, message):
+    def send_message(self, vm, message):
         raise AssertionError(f"{vm} was told {message}")
 
     def probe(self, target, address):
@@ -201,7 +201,7 @@
     context.router.handle(ProbeEnded("10.0.0.1:80", 0, 5.0), wake_ms + 5.0)
     looked_ms = context.router.next_wake_ms(wake_ms + 5.0)
     assert context.router.handle(Tick(), looked_ms) == ()
-    stale_ms = wake_ms + 5.0 + STALE_EVIDENCE_MS
+    stale_ms = wake_ms + 5.0 + EVIDENCE_LIFETIME_MS
     wake_ms = context.router.next_wake_ms(looked_ms)
     assert wake_ms == stale_ms, (wake_ms, stale_ms)
     assert context.router.handle(Tick(), wake_ms) == (Probe("10.0.0.1:80"),)
@@ -216,7 +216,7 @@
     refused = AttemptEnded("r1", address, AttemptResult.REFUSED, 1.0)
     context.router.handle(refused, now_ms + 1_001)
     wake_ms = context.router.next_wake_ms(now_ms + 1_001)
-    assert wake_ms <= now_ms + 1_001 + LOOK_EVERY_MS, wake_ms
+    assert wake_ms <= now_ms + 1_001 + CHECK_EVERY_MS, wake_ms
     assert Probe(address, health=True) in context.router.handle(Tick(), wake_ms)
 
 
@@ -229,7 +229,7 @@
 
 @given("400 routers that each own one endpoint and share their turns")
 def step_share(context):
-    turns = ProbeTurns()
+    turns = ProbeSpacing()
     context.routers = [_owner(60, turns) for _ in range(400)]
 
 
@@ -237,14 +237,14 @@
 def step_probe_rate(context):
     probed, times = [], WakeTimes()
     for index, router in enumerate(context.routers):
-        times.want(str(index), router.next_wake_ms(0.0))
-    while (now_ms := times.next_ms()) < PROBED_FOR_MS:
-        for key in times.due(now_ms):
+        times.request(str(index), router.next_wake_ms(0.0))
+    while (now_ms := times.earliest_ms()) < PROBED_FOR_MS:
+        for key in times.pop_due(now_ms):
             router = context.routers[int(key)]
             for probe in router.handle(Tick(), now_ms):
                 probed.append(key)
                 router.handle(ProbeEnded(probe.address, 0, 5.0), now_ms)
-            times.want(key, router.next_wake_ms(now_ms))
+            times.request(key, router.next_wake_ms(now_ms))
     assert len(probed) <= PROBES_PER_S * (1 + PROBED_FOR_MS / 1000), len(probed)
     assert len(set(probed)) == len(context.routers), len(set(probed))
 
@@ -302,7 +302,7 @@
     before = context.network.ticks
     context.network.run(AT_REST_MS)
     ticks = (context.network.ticks - before) / len(context.network.nodes)
-    heartbeats, searches = AT_REST_MS / HEARTBEAT_MS, AT_REST_MS / SEARCH_MS
+    heartbeats, searches = AT_REST_MS / HEARTBEAT_MS, AT_REST_MS / SEARCH_INTERVAL_MS
     assert heartbeats * 0.8 <= ticks <= heartbeats + searches + 1, ticks
 
 
@@ -315,14 +315,16 @@
 
 @then("it pings the neighbour at the end of the silence that it allows, and suspects it in time")
 def step_pinged(context):
-    times, pinged_ms, now_ms = DetectorTimes(), None, 0.0
+    times, pinged_ms, now_ms = DetectorTimeouts(), None, 0.0
     while context.membership.table.get("vm-1").status is Status.ALIVE:
         now_ms = max(now_ms + 1, context.membership.next_wake_ms(now_ms))
         sent = context.membership.handle(MemberTick(), now_ms)
-        if Send("vm-1", Ping()) in sent:
+        if SendMessage("vm-1", Ping()) in sent:
             pinged_ms = now_ms
-    assert times.silent_ms < pinged_ms <= times.silent_ms + BUSY_TICK_MS, pinged_ms
-    assert now_ms <= pinged_ms + times.check_ms + BUSY_TICK_MS, now_ms
+    assert (
+        times.silence_timeout_ms < pinged_ms <= times.silence_timeout_ms + BUSY_TICK_MS
+    ), pinged_ms
+    assert now_ms <= pinged_ms + times.check_timeout_ms + BUSY_TICK_MS, now_ms
 
 
 async def _answer(scope, receive, send):
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from cloverhook.fleet import Endpoint, Policy, Priority
-from cloverhook.routing_events import AttemptResult, CallerGone, EndpointsChanged
+from cloverhook.routing_events import AttemptResult, CallerDisconnected, EndpointsChanged
 from features.decision_driver import Driver, endpoints, usual_work
 
 SLOW = "10.0.0.0:80"
@@ -28,7 +28,7 @@
     while not context.holders or not driver.waiting(context.holders[-1]):
         context.holders.append(driver.arrive(Priority.HIGH))
 
-    driver.do(CallerGone(context.holders.pop()))
+    driver.do(CallerDisconnected(context.holders.pop()))
 
 
 @when("{count:d} requests arrive at once")
--- a/features/steps/dispatch_steps.py
+++ b/features/steps/dispatch_steps.py
@@ -11,8 +11,8 @@
 from cloverhook.errors import ErrorKind, RequestError
 from cloverhook.fleet import Priority
 from cloverhook.fold import fold
-from cloverhook.load_watch import LoadWatch
-from cloverhook.own_limit import OwnLimit
+from cloverhook.load_watch import LoadMonitor
+from cloverhook.own_limit import LoadShedder
 from cloverhook.records import Change, Publish
 from cloverhook.routing_events import Arrival, AttemptEnded, AttemptResult
 from cloverhook.state import State
@@ -35,7 +35,7 @@
 class NoOutlet:
     """An outlet that loses every message and probe."""
 
-    def tell(self, vm, message):
+    def send_message(self, vm, message):
         """Lose a message."""
 
     def probe(self, target, address, health):
@@ -72,7 +72,7 @@
         task = admit(context, "left")
         await asyncio.sleep(0)
         ended = AttemptEnded("first", ADDRESS, AttemptResult.ANSWERED, 5.0)
-        context.dispatcher.ended(context.target, ended, monotonic_ms())
+        context.dispatcher.record_attempt_end(context.target, ended, monotonic_ms())
         await leave(task)
 
     run(context, started_then_left())
@@ -87,7 +87,7 @@
         await asyncio.sleep(0)
         await leave(gone)
         ended = AttemptEnded("first", ADDRESS, AttemptResult.ANSWERED, 5.0)
-        context.dispatcher.ended(context.target, ended, monotonic_ms())
+        context.dispatcher.record_attempt_end(context.target, ended, monotonic_ms())
 
     run(context, waiting_then_left())
 
@@ -114,7 +114,7 @@
 @when("the event loop of the process runs late")
 def step_late(context):
     for _ in range(20):
-        context.dispatcher.own_limit.observe(late_ms=60.0, busy=1.0)
+        context.dispatcher.load_shedder.observe(lag_ms=60.0, busy=1.0)
 
 
 @then("a request of low priority is refused with a time to come back")
@@ -140,15 +140,15 @@
 
 @given("a watch of the load of this process")
 def step_watch(context):
-    context.limit = OwnLimit()
+    context.limit = LoadShedder()
     context.told = []
-    context.watch = LoadWatch(context.limit, context.told.append)
+    context.watch = LoadMonitor(context.limit, context.told.append)
 
 
 @then("a load that grows to 80 percent is told in few steps, each a second apart")
 def step_told(context):
     for look in range(200):
         context.limit.observe(0.0, busy=0.8)
-        context.watch.look(1_000.0 + 50.0 * look)
+        context.watch.report_if_changed(1_000.0 + 50.0 * look)
     assert context.told[-1] == 8, context.told
     assert len(context.told) <= 3, context.told
--- a/features/steps/following_steps.py
+++ b/features/steps/following_steps.py
@@ -75,7 +75,7 @@
             context.now_ms += STEP_MS
             for follower in context.followers:
                 await follower.poll()
-                await follower.maintain()
+                await follower.append_snapshot_if_due()
 
     run(context, passing())
 
@@ -311,7 +311,7 @@
     follower = context.followers[0]
     position = follower.state.next_offset
     late = (records(context)[-1],)
-    assert follower.take(position + 1, late) == 0
+    assert follower.fold_records(position + 1, late) == 0
     assert follower.state.version_of(BRAND) == 3
-    assert follower.take(position, late) == 1
+    assert follower.fold_records(position, late) == 1
     assert follower.state.version_of(BRAND) == 4
--- a/features/steps/home_steps.py
+++ b/features/steps/home_steps.py
@@ -5,11 +5,11 @@
 from cloverhook.fleet import Endpoint, Policy, Priority
 from cloverhook.home_count import HomeCount, HomeDemand
 from cloverhook.members import Member
-from cloverhook.messages import SlotAsk, SlotGrant, SlotReturn, encode
-from cloverhook.own_limit import OwnLimit
-from cloverhook.ownership import owners
-from cloverhook.routing_events import CallerGone, HomesChanged, ProbeEnded, Tell
-from cloverhook.steering import AnswerOrder, answer_lifetime_ms
+from cloverhook.messages import SlotGrant, SlotRequest, SlotReturn, encode
+from cloverhook.own_limit import LoadShedder
+from cloverhook.ownership import assign_owners
+from cloverhook.routing_events import CallerDisconnected, HomesChanged, ProbeEnded, SendMessage
+from cloverhook.steering import HomeRotation, answer_lifetime_ms
 from features.decision_driver import Driver, endpoints, usual_work
 
 CENTERS = ("halfway-tree", "new-kingston", "papine")
@@ -30,7 +30,7 @@
 @then("every VM gives each endpoint the same owner, in its own data centre")
 def step_same_owner(context):
     orders = (HOMES, HOMES[::-1], (HOMES[1], HOMES[2], HOMES[0]))
-    results = [owners(context.fleet, order, HOME_CENTERS) for order in orders]
+    results = [assign_owners(context.fleet, order, HOME_CENTERS) for order in orders]
     assert results[0] == results[1] == results[2]
     assert set(results[0]) == {endpoint.address for endpoint in context.fleet}
     for endpoint in context.fleet:
@@ -40,14 +40,14 @@
 @then("the owners' slots differ by at most a quarter")
 def step_balanced(context):
     for homes in (HOMES, HOMES[:2], (*HOMES, "vm-3", "vm-4")):
-        result = list(owners(context.fleet, homes, HOME_CENTERS).values())
+        result = list(assign_owners(context.fleet, homes, HOME_CENTERS).values())
         counts = [result.count(vm) for vm in homes]
         assert max(counts) <= 1.25 * len(context.fleet) / len(homes) + 1, counts
 
 
 @then("without one home its endpoints have other owners and the rest stay spread")
 def step_without_one(context):
-    left = owners(context.fleet, HOMES[:2], HOME_CENTERS)
+    left = assign_owners(context.fleet, HOMES[:2], HOME_CENTERS)
     assert set(left.values()) == set(HOMES[:2])
     assert len(left) == len(context.fleet)
 
@@ -81,7 +81,7 @@
     started = [request_id for request_id in ids if request_id in driver.open]
 
     for request_id in set(ids) - set(started):
-        driver.do(CallerGone(request_id))
+        driver.do(CallerDisconnected(request_id))
     for request_id in started:
         driver.end(request_id, latency_ms=20.0)
     driver.told.clear()
@@ -112,7 +112,7 @@
 @when("the owner lends 2 slots to each of two VMs and one slot is returned twice")
 def step_returned_twice(context):
     for vm in ("vm-8", "vm-9"):
-        context.owner.hear(vm, SlotAsk("brathwaite/booking", 1, 2, 5))
+        context.owner.hear(vm, SlotRequest("brathwaite/booking", 1, 2, 5))
     grants = [tell.message for tell in context.owner.told]
     assert [len(grant.addresses) for grant in grants] == [2, 2]
     assert set(grants[0].addresses) == set(grants[1].addresses)
@@ -146,7 +146,7 @@
 def step_silent(context):
     context.fleet = spread_fleet(6)
     context.driver = homed("vm-0", context.fleet, HOMES[:2])
-    owner_of = owners(context.fleet, HOMES[:2], HOME_CENTERS)
+    owner_of = assign_owners(context.fleet, HOMES[:2], HOME_CENTERS)
     context.theirs = {address for address, vm in owner_of.items() if vm == "vm-1"}
     for _ in range(40):
         context.driver.arrive()
@@ -194,7 +194,7 @@
         driver.pass_time(10)
         told, driver.told = driver.told, []
         for tell in told:
-            assert isinstance(tell, Tell)
+            assert isinstance(tell, SendMessage)
             context.sent_bytes += len(encode(tell.message))
             driver.hear(tell.vm, SlotGrant("brathwaite/booking", ()))
         for request_id in tuple(driver.open):
@@ -221,7 +221,7 @@
 
 @then("every endpoint was probed by its owner only")
 def step_one_prober(context):
-    owner_of = owners(context.fleet, HOMES, HOME_CENTERS)
+    owner_of = assign_owners(context.fleet, HOMES, HOME_CENTERS)
     probed = {(vm, a) for vm, driver in context.homes.items() for _, a in driver.probes}
     assert probed == {(vm, address) for address, vm in owner_of.items()}
 
@@ -289,8 +289,8 @@
 
 @when("{count:d} callers ask one daemon")
 def step_ask(context, count):
-    order = AnswerOrder()
-    answers = [order.next("s", context.members, context.weights) for _ in range(count)]
+    order = HomeRotation()
+    answers = [order.next_order("s", context.members, context.weights) for _ in range(count)]
     assert all({member.vm for member in answer} == set(HOMES) for answer in answers)
     context.firsts = [answer[0].vm for answer in answers]
 
@@ -309,14 +309,14 @@
 
 @given("a daemon whose event loop comes {late:d} ms late")
 def step_late(context, late):
-    context.limit = OwnLimit()
+    context.limit = LoadShedder()
     for _ in range(30):
         context.limit.observe(float(late), 1.0)
 
 
 @then("it refuses priority LOW and NORMAL, not HIGH")
 def step_limit(context):
-    refused = [priority for priority in Priority if context.limit.refuses(priority)]
+    refused = [priority for priority in Priority if context.limit.should_shed(priority)]
     assert refused == [Priority.NORMAL, Priority.LOW]
 
 
@@ -324,4 +324,4 @@
 def step_on_time(context):
     for _ in range(30):
         context.limit.observe(0.0, 0.2)
-    assert not any(context.limit.refuses(priority) for priority in Priority)
+    assert not any(context.limit.should_shed(priority) for priority in Priority)
--- a/features/steps/membership_fleet_steps.py
+++ b/features/steps/membership_fleet_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 from websockets.asyncio.client import connect
 
-from cloverhook.greeting import Greeting, Role
+from cloverhook.greeting import Handshake, Role
 from cloverhook.messages import Hello, encode
 from cloverhook_emulator.cut_proxy import CutProxy, Mode
 from cloverhook_emulator.fleet_runner import OPERATOR_TOKEN, Fleet
@@ -172,9 +172,9 @@
         hello = Hello("vm-9", "papine", "127.0.0.1:1", "127.0.0.1:2", 1)
         address = context.fleet.daemons["vm-0"].peer_address
         async with connect(f"ws://{address}/", proxy=None) as link:
-            nonce = Greeting.new_nonce()
+            nonce = Handshake.new_nonce()
             await link.send(nonce)
-            greeting = Greeting.from_nonces(b"wrong", Role.CLIENT, nonce, await link.recv())
+            greeting = Handshake.from_nonces(b"wrong", Role.CLIENT, nonce, await link.recv())
             await link.send(encode(greeting.prove(hello)))
             await link.wait_closed()
 
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -6,12 +6,12 @@
 from behave import given, then, when
 
 from cloverhook.address_answers import DOUBTFUL_LIFETIME_MS, AddressAnswers
-from cloverhook.catch_up import ANSWER_MS, PATIENCE_MS, CatchUp
+from cloverhook.catch_up import ANSWER_TIMEOUT_MS, REQUEST_DELAY_MS, CatchUp
 from cloverhook.fleet import Endpoint, Service
 from cloverhook.homes import HomeTable
-from cloverhook.member_events import CallerReport, Leave, MessageHeard
+from cloverhook.member_events import CallerConnectFailed, MessageReceived, ShutdownStarted
 from cloverhook.members import Member, Status
-from cloverhook.messages import Heartbeat, MemberUpdates, RecordsWanted
+from cloverhook.messages import Heartbeat, MemberUpdates, RecordsRequest
 from cloverhook.outbox import Outbox
 from cloverhook.overlay import neighbours
 from cloverhook.steering import UNSETTLED_LIFETIME_MS, home_vms
@@ -59,7 +59,7 @@
 
 @when('"{vm}" says that it leaves and the list still calls all live')
 def step_leaves_listed(context, vm):
-    context.network.handle(vm, Leave())
+    context.network.handle(vm, ShutdownStarted())
     context.network.run(1_000)
     context.network.list_vms(context.network.nodes)
     context.network.run(1_000)
@@ -67,7 +67,7 @@
 
 @when('"{vm}" says that it leaves and {seconds:d} seconds pass')
 def step_leaves(context, vm, seconds):
-    context.network.handle(vm, Leave())
+    context.network.handle(vm, ShutdownStarted())
     context.network.run(seconds * 1_000)
 
 
@@ -85,7 +85,7 @@
     network.list_vms(network.nodes)
     network.run(3_000)
     for node in tuple(network.nodes):
-        network.handle(node, MessageHeard("vm-0" if node != "vm-0" else "vm-1", late))
+        network.handle(node, MessageReceived("vm-0" if node != "vm-0" else "vm-1", late))
     network.run(1_000)
 
 
@@ -102,7 +102,7 @@
 def step_newer(context, vm):
     context.network.run(10_000)
     newer = update_of(context.network, vm, incarnation=5)
-    context.network.handle(vm, MessageHeard("vm-0", newer))
+    context.network.handle(vm, MessageReceived("vm-0", newer))
 
 
 @when('"{vm}" is lost and {seconds:d} seconds pass')
@@ -127,7 +127,7 @@
 @when('a wrong suspicion of "{vm}" is spread and {seconds:d} seconds pass')
 def step_suspicion(context, vm, seconds):
     wrong = update_of(context.network, vm, status=Status.SUSPECT)
-    context.network.handle("vm-0", MessageHeard("vm-1", wrong))
+    context.network.handle("vm-0", MessageReceived("vm-1", wrong))
     context.network.run(seconds * 1_000)
 
 
@@ -177,7 +177,7 @@
     context.reported = next(vm for vm in sorted(context.network.nodes) if vm not in (asked, *near))
     context.network.paused.add(context.reported)
     context.network.run(late_ms)
-    context.network.handle(asked, CallerReport(f"{context.reported}:80"))
+    context.network.handle(asked, CallerConnectFailed(f"{context.reported}:80"))
 
 
 @then('it is not handed out by "{asked}" {within_ms:d} ms after that')
@@ -231,12 +231,12 @@
 
 @then('"{vm}" holds what it knows for doubtful')
 def step_doubtful(context, vm):
-    assert context.network.nodes[vm].doubtful
+    assert context.network.nodes[vm].has_unconfirmed_members
 
 
 @then('"{vm}" holds nothing for doubtful')
 def step_not_doubtful(context, vm):
-    assert not context.network.nodes[vm].doubtful
+    assert not context.network.nodes[vm].has_unconfirmed_members
 
 
 @then("with 20, 100, 300 and 600 VMs each has at most 6 neighbours and all are within 6 steps")
@@ -271,22 +271,22 @@
 def step_catch_up(context):
     catch_up = CatchUp()
     for vm, offset in (("vm-1", 7), ("vm-2", 7), ("vm-3", 4)):
-        catch_up.offered(vm, offset, 0.0)
-    assert catch_up.due(4, PATIENCE_MS - 1) is None
-    first = catch_up.due(4, PATIENCE_MS)
-    assert catch_up.due(4, PATIENCE_MS + ANSWER_MS - 1) is None
-    second = catch_up.due(4, PATIENCE_MS + ANSWER_MS)
+        catch_up.record_offset(vm, offset, 0.0)
+    assert catch_up.next_peer(4, REQUEST_DELAY_MS - 1) is None
+    first = catch_up.next_peer(4, REQUEST_DELAY_MS)
+    assert catch_up.next_peer(4, REQUEST_DELAY_MS + ANSWER_TIMEOUT_MS - 1) is None
+    second = catch_up.next_peer(4, REQUEST_DELAY_MS + ANSWER_TIMEOUT_MS)
     assert {first, second} == {"vm-1", "vm-2"}
-    assert catch_up.due(7, PATIENCE_MS + 2 * ANSWER_MS) is None
+    assert catch_up.next_peer(7, REQUEST_DELAY_MS + 2 * ANSWER_TIMEOUT_MS) is None
 
 
 @then("a full queue drops its heartbeat before anything else and counts it")
 def step_outbox(context):
     outbox = Outbox(limit=3)
     assert outbox.put(Heartbeat("vm-1", 1, 0))
-    assert all(outbox.put(RecordsWanted(offset)) for offset in range(3))
+    assert all(outbox.put(RecordsRequest(offset)) for offset in range(3))
     assert (len(outbox), outbox.dropped) == (3, 1)
-    assert not outbox.put(RecordsWanted(3))
+    assert not outbox.put(RecordsRequest(3))
     assert (len(outbox), outbox.dropped) == (3, 2)
 
 
@@ -304,7 +304,7 @@
     assert sorted(Counter(found[0] for found in orders).values()) == [20, 20, 20]
     assert {found["lifetime_ms"] for found in given_answers} == {5_000}
     assert answers.answer("b/s", service, 5_000, 100.0)["lifetime_ms"] == UNSETTLED_LIFETIME_MS
-    near = answers.answer("b/s", service, 5_000, 9_000.0, "papine", doubtful=True)
+    near = answers.answer("b/s", service, 5_000, 9_000.0, "papine", unconfirmed=True)
     assert near["lifetime_ms"] == DOUBTFUL_LIFETIME_MS
     own_center = [int(vm[3:]) % 3 == 2 for vm in near["addresses"][3:]]
     assert int(near["addresses"][0][3:]) % 3 == 2
--- a/features/steps/peer_links_steps.py
+++ b/features/steps/peer_links_steps.py
@@ -9,9 +9,9 @@
 from websockets.asyncio.server import serve
 
 from cloverhook.errors import AuthenticationError
-from cloverhook.greeting import Greeting, Role
-from cloverhook.messages import Hello, Ping, RecordsWanted
-from cloverhook.peering import IDLE_LINK_MS, SILENT_LINK_MS, PeerLinks
+from cloverhook.greeting import Handshake, Role
+from cloverhook.messages import Hello, Ping, RecordsRequest
+from cloverhook.peering import LINK_IDLE_TIMEOUT_MS, LINK_SILENCE_TIMEOUT_MS, PeerLinks
 from cloverhook_emulator.cut_proxy import CutProxy, Mode
 from features.shared import eventually, run
 
@@ -36,11 +36,11 @@
         """Keep the name."""
         self.lost.append(vm)
 
-    def message_heard(self, vm, message):
+    def message_received(self, vm, message):
         """Keep the message."""
         self.heard.append((vm, message))
 
-    def stranger_refused(self):
+    def authentication_failed(self):
         """Count."""
         self.strangers += 1
 
@@ -147,7 +147,7 @@
         return context.a.heard and context.b.heard
 
     for side, peer in ((context.a, "vm-b"), (context.b, "vm-a")):
-        side.now_ms += IDLE_LINK_MS + 1
+        side.now_ms += LINK_IDLE_TIMEOUT_MS + 1
         side.links.send(peer, Ping())
     run(context, eventually(arrived))
 
@@ -156,14 +156,14 @@
 def step_linked(context):
     async def exchange():
         await _linked(context)
-        context.a.links.send("vm-b", RecordsWanted(3))
-        context.b.links.send("vm-a", RecordsWanted(4))
+        context.a.links.send("vm-b", RecordsRequest(3))
+        context.b.links.send("vm-a", RecordsRequest(4))
         await eventually(arrived)
 
     async def arrived():
-        return ("vm-a", RecordsWanted(3)) in context.b.heard and (
+        return ("vm-a", RecordsRequest(3)) in context.b.heard and (
             "vm-b",
-            RecordsWanted(4),
+            RecordsRequest(4),
         ) in context.a.heard
 
     run(context, exchange())
@@ -172,13 +172,13 @@
 @then("neither is linked and a stranger was counted")
 def step_refused(context):
     assert context.a.links.linked() == context.b.links.linked() == ()
-    assert context.a.links.refused_strangers + context.b.links.refused_strangers == 1
+    assert context.a.links.authentication_failures + context.b.links.authentication_failures == 1
 
 
 @then("the silent link is given up on both sides")
 def step_given_up(context):
     for side, peer in ((context.a, "vm-b"), (context.b, "vm-a")):
-        side.now_ms += SILENT_LINK_MS + 1
+        side.now_ms += LINK_SILENCE_TIMEOUT_MS + 1
         side.links.tick((peer,), side.now_ms)
         assert side.links.linked() == ()
         assert side.lost == [peer]
@@ -201,13 +201,13 @@
 
 @then("a greeting holds only with its nonces, its role, its target and its contents")
 def step_greeting(context):
-    one, other = Greeting.new_nonce(), Greeting.new_nonce()
-    client = Greeting.from_nonces(KEY, Role.CLIENT, one, other)
-    server = Greeting.from_nonces(KEY, Role.SERVER, other, one)
+    one, other = Handshake.new_nonce(), Handshake.new_nonce()
+    client = Handshake.from_nonces(KEY, Role.CLIENT, one, other)
+    server = Handshake.from_nonces(KEY, Role.SERVER, other, one)
     hello = Hello("vm-a", "papine", "127.0.0.1:80", "127.0.0.1:90", 1, target="vm-b")
     proved = client.prove(hello)
     assert server.check(proved, "vm-b") == proved
-    replayed = Greeting.from_nonces(KEY, Role.SERVER, Greeting.new_nonce(), one)
+    replayed = Handshake.from_nonces(KEY, Role.SERVER, Handshake.new_nonce(), one)
     changed = replace(proved, caller_address="127.0.0.1:81")
     for greeting, vm, found in (
         (client, "vm-b", proved),
--- a/features/steps/probe_steps.py
+++ b/features/steps/probe_steps.py
@@ -118,7 +118,7 @@
     context.dispatchers = []
     for name in names:
         dispatcher = _dispatcher()
-        dispatcher.homes_changed(KEY, name, names, monotonic_ms())
+        dispatcher.set_homes(KEY, name, names, monotonic_ms())
         context.dispatchers.append(dispatcher)
 
 
--- a/features/steps/timeline_steps.py
+++ b/features/steps/timeline_steps.py
@@ -290,7 +290,7 @@
             bad = address == "10.0.0.1:80"
             result = AttemptResult.NOT_SENT if bad else AttemptResult.ANSWERED
             ended = AttemptEnded(f"r{index}", address, result, 5.0)
-            context.dispatcher.ended(target, ended, now_ms)
+            context.dispatcher.record_attempt_end(target, ended, now_ms)
 
     run(context, calls())
 
--- a/features/steps/uniform_slowness_steps.py
+++ b/features/steps/uniform_slowness_steps.py
@@ -11,7 +11,7 @@
     AttemptEnded,
     AttemptResult,
     EndpointsChanged,
-    Refuse,
+    Reject,
     Start,
     Tick,
 )
@@ -25,7 +25,7 @@
         if isinstance(action, Start):
             context.in_flight.append((context.now_ms + work_ms, action))
             context.waiting.discard(action.request_id)
-        elif isinstance(action, Refuse):
+        elif isinstance(action, Reject):
             context.waiting.discard(action.request_id)
 
 
