--- a/cloverhook/gateway/attempt.py
+++ b/cloverhook/gateway/attempt.py
@@ -157,7 +157,7 @@
             self.sent = self.sent and error.sent
             result = self._failure_result(error, monotonic_ms() - started_ms)
             stale = False
-            if connection is not None and connection.silent:
+            if connection is not None and connection.is_unanswered:
                 pool.close_idle_since(server, started_ms)
                 quick = result.latency_ms < STALE_RESET_MS
                 if quick and self.choice.load < server.slots:
@@ -222,7 +222,7 @@
             headers.append((b"content-length", b"%d" % len(request.body)))
         head = RequestHead(request.method, request.target, headers, request.has_body)
         self.sent = True
-        return await connection.send(head, request.body, is_own=self._is_response_to_this)
+        return await connection.send(head, request.body, matches_request=self._is_response_to_this)
 
     def _is_response_to_this(self, head: AnswerHead) -> bool:
         """Return whether a response belongs to this request.
--- a/cloverhook/gateway/daemon.py
+++ b/cloverhook/gateway/daemon.py
@@ -11,7 +11,7 @@
 import traceback
 from collections.abc import Callable
 
-from cloverhook.clock import PauseWatch, monotonic_ms
+from cloverhook.clock import PauseDetector, monotonic_ms
 from cloverhook.errors import SettingsError
 from cloverhook.gateway.announcing import Announcer
 from cloverhook.gateway.backend_pool import BackendPool
@@ -326,11 +326,11 @@
     # Background work.
 
     async def _tick(self) -> None:
-        pause_watch = PauseWatch(monotonic_ms())
+        pause_detector = PauseDetector(monotonic_ms())
         while True:
             await asyncio.sleep(self._tick_ms() / 1000)
             now_ms = monotonic_ms()
-            if pause_watch.observe(now_ms):
+            if pause_detector.observe(now_ms):
                 self._log.note(EventKind.PAUSED)
                 self._peering.broadcast.record_process_pause(now_ms)
             try:
