--- a/cloverhook/dispatch.py
+++ b/cloverhook/dispatch.py
@@ -1,7 +1,8 @@
-"""Carries the decisions of the routers out: requests wait here until their router starts them.
+"""Carries out the decisions of the service routers.
 
-Layer: coordination.  There is one `ServiceRouter` for each service in force.  `Dispatcher.admit`
-returns the address of the endpoint to use, or raises the request's final answer.
+Layer: coordination.  There is one `ServiceRouter` for each service in the active configuration.  A
+request waits in `Dispatcher.admit` until its router starts it.  `Dispatcher.admit` then returns
+the address of the endpoint to use; for a rejected request it raises the final answer.
 """
 
 import asyncio
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """The service that a host name belongs to, and the policy in force for it."""
+    """The service that a host name belongs to, and the active policy of that service."""
 
     brand: str
     service: Service
@@ -52,90 +53,94 @@
 
     @property
     def key(self) -> str:
-        """The service's name across brands."""
+        """The name of the service, unique across all brands."""
         return f"{self.brand}/{self.service.name}"
 
 
 class Outlet(Protocol):
-    """What the daemon does for the routers beside starting requests."""
+    """Sends messages to other VMs and probes to endpoints on behalf of the routers."""
 
     def tell(self, vm: str, message: Message) -> None:
-        """Send a message to another VM; it may be lost."""
+        """Send a message to another VM.  Delivery is not guaranteed."""
 
     def probe(self, target: Target, address: str, health: bool) -> None:
-        """Ask an endpoint for its load or health and report it by `Dispatcher.probe_ended`."""
+        """Probe an endpoint for its load or, if `health` is set, its health.
+
+        The result is reported by a call of `Dispatcher.probe_ended`.
+        """
 
 
 class DispatchWatch(Protocol):
-    """Who is told of endpoints and probes; the events and metrics come from it."""
+    """Observes endpoint states and probes, to produce events and metrics."""
 
     def endpoint_is(self, address: str, trouble: int) -> None:
-        """Take what is wrong with an endpoint after an attempt or probe there."""
+        """Record why an endpoint is on probation, or 0, after an attempt or probe there."""
 
     def probed(self, target: Target, latency_ms: float) -> None:
-        """Take a probe that has ended."""
+        """Record a completed probe and its latency in milliseconds."""
 
 
 class Dispatcher:
-    """The routers of this daemon and the requests that wait for them."""
+    """The service routers of this daemon and the requests that wait for their decisions."""
 
     def __init__(
-        self, source: random.Random, outlet: Outlet, watch: DispatchWatch | None = None
+        self, source: random.Random, transport: Outlet, observer: DispatchWatch | None = None
     ) -> None:
         self._random = source
-        self._watch = watch
-        self._outlet = outlet
+        self._observer = observer
+        self._transport = transport
         self.own_limit = OwnLimit()
-        self._returns = ReturnTimes(source)
+        self._retry_after = ReturnTimes(source)
         self._peer_bytes = TokenBucket(PEER_BYTES_PER_S, PEER_BYTES_PER_S)
-        self._turns = ProbeTurns()
+        self._probe_turns = ProbeTurns()
         self._brands: Mapping[str, BrandState] = {}
-        self._in_force: tuple[Target, ...] = ()
-        self._targets: dict[bytes, Target] = {}
-        self._target_of: dict[str, Target] = {}
+        self._active_targets: tuple[Target, ...] = ()
+        self._targets_by_host: dict[bytes, Target] = {}
+        self._targets_by_key: dict[str, Target] = {}
         self._routers: dict[str, ServiceRouter] = {}
-        self._handle_of: dict[str, Callable[[Event, float], tuple[Action, ...]]] = {}
+        self._handlers: dict[str, Callable[[Event, float], tuple[Action, ...]]] = {}
         self._endpoints: dict[str, dict[str, Endpoint]] = {}
-        self._waiting: dict[str, asyncio.Future[str]] = {}
+        self._start_futures: dict[str, asyncio.Future[str]] = {}
         self._wake_times = WakeTimes()
         self._timer: LoopTimer | None = None
 
     def start_timer(self, clock_ms: Callable[[], float]) -> None:
-        """Let the running event loop call `wake` from now on whenever a router needs it."""
+        """Schedule calls of `wake` on the running event loop whenever a router needs one."""
         self._timer = LoopTimer(clock_ms, lambda: self.wake(clock_ms()))
         self._timer.by(self._wake_times.next_ms())
 
     def stop_timer(self) -> None:
-        """Let the event loop call `wake` no more."""
+        """Cancel the scheduled call of `wake`."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def configure(self, state: State, now_ms: float) -> None:
-        """Put a folded state in force; only services of brands that have changed are looked at."""
+        """Activate a folded state.  Only the services of changed brands are processed."""
         before, self._brands = self._brands, state.brands
-        names = [name for name in {**before, **state.brands} if self._changed(name, before)]
+        names = [name for name in {**before, **state.brands} if self._has_changed(name, before)]
         old = {target.key: target for name in names for target in _targets_of(before.get(name))}
         for target in old.values():
-            self._forget(target)
+            self._deactivate(target)
         for name in names:
             for target in _targets_of(state.brands.get(name)):
-                self._begin(target, old.pop(target.key, None), now_ms)
+                self._activate(target, old.pop(target.key, None), now_ms)
         for key in old:
-            self._end(key, now_ms)
-        self._in_force = tuple(self._target_of.values())
+            self._remove_service(key, now_ms)
+        self._active_targets = tuple(self._targets_by_key.values())
 
-    def _changed(self, name: str, before: Mapping[str, BrandState]) -> bool:
+    def _has_changed(self, name: str, before: Mapping[str, BrandState]) -> bool:
         return self._brands.get(name) is not before.get(name)
 
     def targets(self) -> tuple[Target, ...]:
-        """Return the services in force."""
-        return self._in_force
+        """Return the services of the active configuration."""
+        return self._active_targets
 
     def connection_limit(self, address: str, vms: int) -> int:
-        """Return how many connections to an endpoint this VM may have, of `vms` that serve.
+        """Return how many connections to an endpoint this VM may open.
 
-        Half of the endpoint's connections are for its owner, the other half is shared evenly.
+        `vms` is the number of VMs that serve callers.  Half of the endpoint's connections are
+        reserved for its owner; the other half is divided evenly among the VMs.
         """
         if address not in self._endpoints:
             return 1
@@ -144,38 +149,43 @@
         return max(1, endpoint.connections // (2 if owner else 2 * max(1, vms)))
 
     def waiting(self) -> int:
-        """Return the number of requests that wait for an endpoint."""
-        return len(self._waiting)
+        """Return the number of requests that are waiting for an endpoint."""
+        return len(self._start_futures)
 
     def target_for(self, host: bytes) -> Target:
-        """Return the service for a host name.  Raises `RequestError` when there is none."""
-        target = self._targets.get(host.partition(b":")[0].lower())
+        """Return the service for a host name.  Raises `RequestError` if there is none."""
+        target = self._targets_by_host.get(host.partition(b":")[0].lower())
         if target is None:
-            raise RequestError(ErrorKind.UNKNOWN_HOST, "no service has this host name")
+            raise RequestError(
+                ErrorKind.UNKNOWN_HOST, "no service is configured for this host name"
+            )
         return target
 
     async def admit(self, target: Target, arrival: Arrival, now_ms: float) -> str:
         """Wait until the request may start and return the endpoint's address.
 
-        Raises `RequestError` with its final answer when it may not.
+        Raises `RequestError` with the final answer if the request is rejected.
         """
         if self.own_limit.refuses(arrival.priority):
-            after_ms = self._returns.refused(0.0)
-            raise RequestError(ErrorKind.OVERLOADED, "this VM is at its limit", after_ms)
-        self._returns.admitted()
-        return await self._wait(target, arrival.request_id, arrival, now_ms)
+            after_ms = self._retry_after.refused(0.0)
+            raise RequestError(ErrorKind.OVERLOADED, "this VM is overloaded", after_ms)
+        self._retry_after.admitted()
+        return await self._wait_for_start(target, arrival.request_id, arrival, now_ms)
 
     async def retry(self, target: Target, ended: AttemptEnded, now_ms: float) -> str:
-        """Wait until another attempt may start.  Raises `RequestError` when none may."""
+        """Wait until another attempt may start and return the endpoint's address.
+
+        Raises `RequestError` if no further attempt is allowed.
+        """
         try:
-            return await self._wait(target, ended.request_id, ended, now_ms)
+            return await self._wait_for_start(target, ended.request_id, ended, now_ms)
         finally:
-            self._look_at(target.key, ended.address)
+            self._report_endpoint_state(target.key, ended.address)
 
     def ended(self, target: Target, ended: AttemptEnded, now_ms: float) -> None:
         """Report the end of a request's last attempt."""
-        self._drive(target.key, ended, now_ms)
-        self._look_at(target.key, ended.address)
+        self._handle_event(target.key, ended, now_ms)
+        self._report_endpoint_state(target.key, ended.address)
 
     def homes_changed(
         self,
@@ -185,68 +195,74 @@
         now_ms: float,
         data_centers: Mapping[str, str] | None = None,
     ) -> None:
-        """Take the VMs that a service's callers gather on now.
+        """Set the home VMs of a service, the VMs that its callers are directed to.
 
         `data_centers` gives the data centre of each of them and of this daemon's own VM.
         """
-        self._drive(key, HomesChanged(own_vm, homes, data_centers or {}), now_ms)
+        self._handle_event(key, HomesChanged(own_vm, homes, data_centers or {}), now_ms)
 
     def peer_said(self, key: str, vm: str, message: Message, now_ms: float) -> None:
-        """Take another VM's message about a service."""
-        self._drive(key, PeerSaid(vm, message), now_ms)
+        """Process a message from another VM about a service."""
+        self._handle_event(key, PeerSaid(vm, message), now_ms)
 
     def probe_ended(self, key: str, ended: ProbeEnded, now_ms: float) -> None:
-        """Take the end of a probe."""
-        self._drive(key, ended, now_ms)
-        target = self._target_of.get(key)
-        if self._watch is not None and target is not None:
-            self._watch.probed(target, ended.latency_ms)
-        self._look_at(key, ended.address)
+        """Process the end of a probe."""
+        self._handle_event(key, ended, now_ms)
+        target = self._targets_by_key.get(key)
+        if self._observer is not None and target is not None:
+            self._observer.probed(target, ended.latency_ms)
+        self._report_endpoint_state(key, ended.address)
 
     def next_wake_ms(self) -> float | None:
-        """Return when `wake` has something to do next, if time alone brings that about."""
+        """Return when `wake` is next due, or None while only events require work."""
         return self._wake_times.next_ms()
 
     def wake(self, now_ms: float) -> None:
-        """Let time pass for the routers that have asked for it."""
+        """Send a `Tick` to the routers whose requested wake time has come."""
         for key in self._wake_times.due(now_ms):
-            self._drive(key, Tick(), now_ms)
+            self._handle_event(key, Tick(), now_ms)
         if self._timer is not None:
             self._timer.by(self._wake_times.next_ms())
 
     def tick(self, now_ms: float) -> None:
-        """Let time pass for all routers."""
+        """Send a `Tick` to all routers."""
         for key in tuple(self._routers):
-            self._drive(key, Tick(), now_ms)
+            self._handle_event(key, Tick(), now_ms)
 
-    async def _wait(self, target: Target, request_id: str, event: Event, now_ms: float) -> str:
+    async def _wait_for_start(
+        self, target: Target, request_id: str, event: Event, now_ms: float
+    ) -> str:
         future: asyncio.Future[str] = asyncio.get_running_loop().create_future()
-        self._waiting[request_id] = future
-        self._drive(target.key, event, now_ms)
+        self._start_futures[request_id] = future
+        self._handle_event(target.key, event, now_ms)
         try:
             return await future
         except asyncio.CancelledError:
-            self._caller_gone(target.key, request_id, future)
+            self._withdraw(target.key, request_id, future)
             raise
         finally:
-            self._waiting.pop(request_id, None)
+            self._start_futures.pop(request_id, None)
 
-    def _caller_gone(self, key: str, request_id: str, future: asyncio.Future[str]) -> None:
-        """Take back a request whose caller left, also in the moment after it was started."""
+    def _withdraw(self, key: str, request_id: str, future: asyncio.Future[str]) -> None:
+        """Withdraw a request whose caller disconnected.
+
+        The request may already have been started, if the caller disconnected before this task
+        received the endpoint's address.  The attempt then counts as cancelled.
+        """
         now_ms = monotonic_ms()
         if future.done() and not future.cancelled() and future.exception() is None:
             ended = AttemptEnded(request_id, future.result(), AttemptResult.CANCELLED, 0.0)
-            self._drive(key, ended, now_ms)
+            self._handle_event(key, ended, now_ms)
         else:
-            self._drive(key, CallerGone(request_id), now_ms)
+            self._handle_event(key, CallerGone(request_id), now_ms)
 
-    def _look_at(self, key: str, address: str) -> None:
+    def _report_endpoint_state(self, key: str, address: str) -> None:
         router = self._routers.get(key)
-        if self._watch is not None and router is not None:
-            self._watch.endpoint_is(address, router.trouble_of(address))
+        if self._observer is not None and router is not None:
+            self._observer.endpoint_is(address, router.trouble_of(address))
 
-    def _drive(self, key: str, event: Event, now_ms: float) -> None:
-        handle = self._handle_of.get(key)
+    def _handle_event(self, key: str, event: Event, now_ms: float) -> None:
+        handle = self._handlers.get(key)
         if handle is None:
             return
         for action in handle(event, now_ms):
@@ -260,53 +276,57 @@
     def _perform(self, key: str, action: Action) -> None:
         match action:
             case Tell(vm, message):
-                self._outlet.tell(vm, message)
+                self._transport.tell(vm, message)
             case Probe(address, health):
-                self._outlet.probe(self._target_of[key], address, health)
+                self._transport.probe(self._targets_by_key[key], address, health)
             case Start(request_id, address):
-                future = self._pending(request_id)
+                future = self._pending_future(request_id)
                 if future is not None:
                     future.set_result(address)
             case Refuse(request_id, kind, retry_after_ms):
-                future = self._pending(request_id)
+                future = self._pending_future(request_id)
                 if future is not None:
                     future.set_exception(RequestError(kind, retry_after_ms=retry_after_ms))
 
-    def _pending(self, request_id: str) -> asyncio.Future[str] | None:
-        future = self._waiting.get(request_id)
+    def _pending_future(self, request_id: str) -> asyncio.Future[str] | None:
+        future = self._start_futures.get(request_id)
         return None if future is None or future.done() else future
 
-    def _begin(self, target: Target, before: Target | None, now_ms: float) -> None:
-        """Put a service in force, and tell its router if anything has changed for it."""
-        self._targets |= {host.encode(): target for host in target.service.hosts}
-        self._target_of[target.key] = target
+    def _activate(self, target: Target, before: Target | None, now_ms: float) -> None:
+        """Activate a service, and notify its router if its endpoints or policy have changed."""
+        self._targets_by_host |= {host.encode(): target for host in target.service.hosts}
+        self._targets_by_key[target.key] = target
         for endpoint in target.service.endpoints:
             self._endpoints.setdefault(endpoint.address, {})[target.key] = endpoint
         if target.key not in self._routers:
             source = random.Random(self._random.random())
-            router = ServiceRouter(source, target.key, self._peer_bytes, self._turns)
+            router = ServiceRouter(source, target.key, self._peer_bytes, self._probe_turns)
             self._routers[target.key] = router
-            # Each look-up of a single-dispatch method makes a new function; one is enough.
-            self._handle_of[target.key] = router.handle
+            # Each attribute access on a single-dispatch method creates a new function, so the
+            # bound function is kept.
+            self._handlers[target.key] = router.handle
         changed = EndpointsChanged(target.service.endpoints, target.policy)
         if before is None or changed != EndpointsChanged(before.service.endpoints, before.policy):
-            self._drive(target.key, changed, now_ms)
+            self._handle_event(target.key, changed, now_ms)
 
-    def _forget(self, target: Target) -> None:
-        """Take a service out of force; its router stays, as it may come back in the same change."""
+    def _deactivate(self, target: Target) -> None:
+        """Deactivate a service.
+
+        Its router is kept, because the same change may activate the service again.
+        """
         for host in target.service.hosts:
-            del self._targets[host.encode()]
-        del self._target_of[target.key]
+            del self._targets_by_host[host.encode()]
+        del self._targets_by_key[target.key]
         for endpoint in target.service.endpoints:
             services = self._endpoints[endpoint.address]
             del services[target.key]
             if not services:
                 del self._endpoints[endpoint.address]
 
-    def _end(self, key: str, now_ms: float) -> None:
-        """Refuse what waits for a service that is gone, and drop its router."""
-        self._drive(key, EndpointsChanged((), Policy()), now_ms)
-        del self._routers[key], self._handle_of[key]
+    def _remove_service(self, key: str, now_ms: float) -> None:
+        """Reject the queued requests of a removed service and delete its router."""
+        self._handle_event(key, EndpointsChanged((), Policy()), now_ms)
+        del self._routers[key], self._handlers[key]
         self._wake_times.drop(key)
 
 
--- a/cloverhook/waiting.py
+++ b/cloverhook/waiting.py
@@ -1,6 +1,6 @@
-"""Requests that wait in a VM for a slot: one line per priority, the most important first.
+"""The queue of requests that wait in a VM for a slot, ordered by priority, then by arrival.
 
-Layer: coordination.  Every operation is O(log n) at most.
+Layer: coordination.  Every operation takes at most O(log n).
 """
 
 import heapq
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request that this router has to bring to an end."""
+    """A request that the router has accepted and that has not ended yet."""
 
     arrival: Arrival
     arrived_ms: float
@@ -26,63 +26,67 @@
 
 
 class WaitingLine:
-    """The waiting requests of one service."""
+    """The queued requests of one service."""
 
     def __init__(self) -> None:
-        self._lines: dict[Priority, OrderedDict[str, Request]] = {
+        self._queues: dict[Priority, OrderedDict[str, Request]] = {
             priority: OrderedDict() for priority in Priority
         }
-        self._ends: list[tuple[float, str]] = []
+        self._expiries: list[tuple[float, str]] = []
         self._count = 0
 
     def __len__(self) -> int:
         return self._count
 
     def add(self, request: Request, give_up_ms: float) -> None:
-        """Put a request at the end of its line; `give_up_ms` is when it has waited too long."""
+        """Append a request to the queue of its priority.  It expires at `give_up_ms`."""
         request_id = request.arrival.request_id
-        self._lines[request.arrival.priority][request_id] = request
-        heapq.heappush(self._ends, (give_up_ms, request_id))
+        self._queues[request.arrival.priority][request_id] = request
+        heapq.heappush(self._expiries, (give_up_ms, request_id))
         self._count += 1
 
     def remove(self, request: Request) -> bool:
-        """Take a request out; return whether it was waiting."""
-        line = self._lines[request.arrival.priority]
-        if line.pop(request.arrival.request_id, None) is None:
+        """Remove a request and return whether it was queued."""
+        queue = self._queues[request.arrival.priority]
+        if queue.pop(request.arrival.request_id, None) is None:
             return False
         self._count -= 1
         if not self._count:
-            self._ends.clear()
+            self._expiries.clear()
         return True
 
     def first(self) -> Request | None:
-        """Return the oldest request of the most important priority."""
-        for line in self._lines.values():
-            if line:
-                return next(iter(line.values()))
+        """Return the oldest request of the highest priority, or None if the queue is empty."""
+        for queue in self._queues.values():
+            if queue:
+                return next(iter(queue.values()))
         return None
 
     def least(self) -> Request | None:
-        """Return the newest request of the least important priority."""
-        for line in reversed(self._lines.values()):
-            if line:
-                return next(reversed(line.values()))
+        """Return the newest request of the lowest priority, or None if the queue is empty."""
+        for queue in reversed(self._queues.values()):
+            if queue:
+                return next(reversed(queue.values()))
         return None
 
     def ahead_of(self, priority: Priority) -> int:
-        """Return how many requests a new one of this priority has before it."""
-        return sum(len(line) for level, line in self._lines.items() if level <= priority)
+        """Return how many queued requests a new request of this priority would have to wait for."""
+        return sum(len(queue) for level, queue in self._queues.items() if level <= priority)
 
     def next_end_ms(self) -> float:
-        """Return the earliest time at which a request may have waited too long."""
-        return self._ends[0][0] if self._ends else math.inf
+        """Return the earliest time at which a request may expire, or infinity if there is none."""
+        return self._expiries[0][0] if self._expiries else math.inf
 
     def overdue(self, now_ms: float, requests: dict[str, Request]) -> list[Request]:
-        """Take out and return the requests that have waited too long."""
-        late: list[Request] = []
-        while self._ends and self._ends[0][0] <= now_ms:
-            _, request_id = heapq.heappop(self._ends)
+        """Remove and return the queued requests that have expired.
+
+        `requests` holds all accepted requests by identifier.  Expiry times whose request is no
+        longer there or no longer queued are skipped.
+        """
+        expired: list[Request] = []
+        while self._expiries and self._expiries[0][0] <= now_ms:
+            _, request_id = heapq.heappop(self._expiries)
             request = requests.get(request_id)
             if request is not None and self.remove(request):
-                late.append(request)
-        return late
+                expired.append(request)
+        return expired
