--- a/cloverhook/admission.py
+++ b/cloverhook/admission.py
@@ -1,9 +1,10 @@
-"""How many requests of each brand a daemon takes at once.
+"""Limits how many requests of each brand a daemon handles concurrently.
 
-Layer: coordination, and free of input and output.  A brand below its share is always taken, so a
-flood of one brand costs no other its share.  A brand above its share is taken only while the daemon
-as a whole is below its limit.  The shares are equal parts of the limit among the brands that have
-requests in progress; all brands together never have more than twice the limit.
+Layer: coordination, and free of input and output.  A request of a brand below its share is always
+admitted, so a flood of requests of one brand can't take the share of another.  A request of a brand
+at or above its share is admitted only while the daemon as a whole is below its limit.  The limit is
+divided equally among the brands that have requests in progress.  All brands together never have
+more than twice the limit in progress.
 
 >>> admission = Admission(limit=2)
 >>> [admission.enter("saltbush") for _ in range(3)]
@@ -16,7 +17,7 @@
 
 
 class Admission:
-    """The requests in progress of each brand in one daemon."""
+    """Counts the requests in progress of each brand in one daemon."""
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
@@ -24,7 +25,7 @@
         self._in_progress: dict[str, int] = {}
 
     def enter(self, brand: str) -> bool:
-        """Count a request in and return True, or return False when it has to be refused."""
+        """Count a new request and return True, or return False if it must be rejected."""
         own = self._in_progress.get(brand, 0)
         brands = len(self._in_progress) + (own == 0)
         if self._total >= self._limit and own >= max(1, self._limit // brands):
@@ -34,10 +35,10 @@
         return True
 
     def leave(self, brand: str) -> None:
-        """Count a request out."""
+        """Count the end of an admitted request."""
         self._total -= 1
-        left = self._in_progress[brand] - 1
-        if left:
-            self._in_progress[brand] = left
+        remaining = self._in_progress[brand] - 1
+        if remaining:
+            self._in_progress[brand] = remaining
         else:
             del self._in_progress[brand]
--- a/cloverhook/home_count.py
+++ b/cloverhook/home_count.py
@@ -1,9 +1,12 @@
-"""How many home VMs a service has: more before one process saturates, fewer after a long calm.
+"""Determines how many home VMs a service has.
 
-Layer: coordination, free of input and output.  Each VM tells its peers how busy it is; from that
-all work out the same number of homes by the same rule, so nobody has to decide for the rest.
-VMs that differ for a moment send some callers elsewhere, no more.  Rendezvous order makes a home
-more or less move few callers.
+Layer: coordination, free of input and output.  A service gets another home before one process
+saturates, and loses one after a long period of low load.
+
+Each VM reports its load to its peers, and every VM computes the number of homes from these reports
+by the same rule, so no coordinator is needed.  While VMs disagree, they direct some callers to
+different VMs; nothing else goes wrong.  Because homes are chosen in rendezvous order, adding or
+removing one moves few callers.
 """
 
 from collections.abc import Mapping
@@ -19,18 +22,21 @@
 
 @dataclass(slots=True)
 class HomeCount:
-    """What one home wants, by how busy its process is."""
+    """The number of homes of one service, adjusted with hysteresis to the load of a home."""
 
     count: int
     high_since_ms: float | None = None
     low_since_ms: float | None = None
 
-    def observe(self, busy: float, least: int, now_ms: float) -> int:
-        """Take this process's load, 0 to 1, and return the number of homes it wants."""
-        self.count = max(self.count, least)
+    def observe(self, busy: float, minimum: int, now_ms: float) -> int:
+        """Record the load, 0 to 1, of a home's process and return the number of homes required.
+
+        `minimum` is the least number of homes.
+        """
+        self.count = max(self.count, minimum)
         after_shrinking = busy * self.count / max(1, self.count - 1)
         high = busy > GROW_AT
-        low = self.count > least and after_shrinking < SHRINK_AT
+        low = self.count > minimum and after_shrinking < SHRINK_AT
         self.high_since_ms = (self.high_since_ms or now_ms) if high else None
         self.low_since_ms = (self.low_since_ms or now_ms) if low else None
         if high and now_ms - self.high_since_ms >= GROW_AFTER_MS:
@@ -43,36 +49,37 @@
 
 
 class HomeDemand:
-    """How many homes every service has, by the load that its homes tell their peers."""
+    """The number of homes of every service, from the load that its homes report to their peers."""
 
     def __init__(self) -> None:
         self._counts: dict[str, HomeCount] = {}
 
     @property
     def active(self) -> bool:
-        """Whether any service has, or is about to have, more homes than its least number."""
+        """Whether any service has, or is about to get, more homes than its minimum."""
         return bool(self._counts)
 
     def update(
-        self, least: Mapping[str, int], busy: Mapping[str, float], most: int, now_ms: float
+        self, minimums: Mapping[str, int], busy: Mapping[str, float], maximum: int, now_ms: float
     ) -> dict[str, int]:
-        """Return the number of homes of each service, at most `most`.
+        """Return the number of homes of each service, at most `maximum`.
 
-        `least` gives each service's least number, and `busy` the load, 0 to 1, of the busiest of
-        its homes.
+        `minimums` gives the least number of homes of each service, and `busy` the load, 0 to 1, of
+        the busiest of its homes.
         """
-        for key in set(self._counts) - set(least):
+        for key in set(self._counts) - set(minimums):
             del self._counts[key]
         return {
-            key: min(most, self._count(key, least[key], busy.get(key, 0.0), now_ms)) or least[key]
-            for key in least
+            key: min(maximum, self._count(key, minimums[key], busy.get(key, 0.0), now_ms))
+            or minimums[key]
+            for key in minimums
         }
 
-    def _count(self, key: str, least: int, busy: float, now_ms: float) -> int:
+    def _count(self, key: str, minimum: int, busy: float, now_ms: float) -> int:
         if key not in self._counts and busy <= GROW_AT:
-            return least
-        count = self._counts.setdefault(key, HomeCount(least))
-        wanted = count.observe(busy, least, now_ms)
-        if wanted == least and count.high_since_ms is None:
+            return minimum
+        count = self._counts.setdefault(key, HomeCount(minimum))
+        required = count.observe(busy, minimum, now_ms)
+        if required == minimum and count.high_since_ms is None:
             del self._counts[key]
-        return wanted
+        return required
--- a/cloverhook/homes.py
+++ b/cloverhook/homes.py
@@ -1,9 +1,9 @@
-"""The home VMs of every service, kept up to date as members come and go.
+"""The home VMs of every service, kept up to date as members join and leave.
 
 Layer: coordination, free of input and output.  With hundreds of services and VMs, hashing every
-pair at each change would stop a daemon for a good part of a second.  A member that goes changes
-only the services that it was a home of, and one that comes can only join a service's homes, so it
-is ranked against these alone.
+pair at each change would block a daemon for a good part of a second.  A member that leaves affects
+only the services that it was a home of.  A member that joins can change a service's homes only by
+becoming one of them, so it is ranked against the current homes alone.
 """
 
 from collections.abc import Mapping, Sequence
@@ -15,7 +15,7 @@
 
 
 class HomeTable:
-    """The home VMs by service key."""
+    """Maps each service key to its home VMs."""
 
     def __init__(self) -> None:
         self._counts: dict[str, int] = {}
@@ -23,7 +23,7 @@
         self._homes: dict[str, tuple[str, ...]] = {}
 
     def homes(self, key: str) -> tuple[Member, ...]:
-        """Return the home VMs of a service, spread over the data centres."""
+        """Return the home VMs of a service, distributed over the data centres."""
         return tuple(self._members[vm] for vm in self._homes.get(key, ()))
 
     def names(self, key: str) -> tuple[str, ...]:
@@ -31,26 +31,30 @@
         return self._homes.get(key, ())
 
     def update(self, counts: Mapping[str, int], serving: Sequence[Member]) -> tuple[str, ...]:
-        """Take how many homes each service has and who serves; return the services that changed."""
-        before, known = self._homes, self._members
+        """Recompute the home VMs and return the keys of the services whose homes changed.
+
+        `counts` gives the number of homes of each service, and `serving` the members that serve
+        callers.
+        """
+        previous, known_members = self._homes, self._members
         self._members = {member.vm: member for member in serving}
-        gone = {vm for vm, member in known.items() if not self._same(member)}
-        came = [vm for vm in self._members if vm not in known or vm in gone]
+        removed = {vm for vm, member in known_members.items() if not self._still_serves(member)}
+        added = [vm for vm in self._members if vm not in known_members or vm in removed]
         homes = {}
         for key, count in counts.items():
-            old = before.get(key)
-            if old is None or self._counts[key] != count or not gone.isdisjoint(old):
+            old = previous.get(key)
+            if old is None or self._counts[key] != count or not removed.isdisjoint(old):
                 homes[key] = _homes(key, serving, count)
-            elif came:
-                candidates = [self._members[vm] for vm in (*old, *came)]
+            elif added:
+                candidates = [self._members[vm] for vm in (*old, *added)]
                 homes[key] = _homes(key, candidates, count)
             else:
                 homes[key] = old
         self._counts, self._homes = dict(counts), homes
-        return tuple(key for key in homes if before.get(key) != homes[key])
+        return tuple(key for key in homes if previous.get(key) != homes[key])
 
-    def _same(self, member: Member) -> bool:
-        """Return whether a member serves on from the same data centre."""
+    def _still_serves(self, member: Member) -> bool:
+        """Return whether a member still serves, and from the same data centre."""
         present = self._members.get(member.vm)
         return present is not None and present.data_center == member.data_center
 
--- a/cloverhook/lending.py
+++ b/cloverhook/lending.py
@@ -1,9 +1,10 @@
-"""Slots that VMs lend each other: what is asked for, granted, borrowed and returned.
+"""State of the slots that VMs lend each other: requested, granted, borrowed and returned ones.
 
-Layer: coordination.  A VM whose requests wait tells the owners how many and how long; each owner
-ranks that among its own waiting requests.  Everything here is about capacity only: an ask, a grant
-or a return that is lost, late or doubled can leave a slot unused or used twice for a moment, and
-each of them lapses by itself.
+Layer: coordination.  A VM with queued requests sends the owners of endpoints a slot request, with
+the number of the requests and how long they have waited.  Each owner ranks slot requests together
+with its own queued requests.  All of this concerns capacity only: a slot request, grant or return
+that is lost, late or duplicated can leave a slot unused or used twice for a moment, and each of
+them expires by itself.
 """
 
 import math
@@ -16,14 +17,20 @@
 
 ASK_LIFETIME_MS = 100.0
 LOAN_MS = 500.0
+"""A borrower reuses a slot for this long before it returns it."""
 LENT_LIFETIME_MS = 2_000.0
-FIRST_ROUND_TRIP_MS = 3.0
-ROUND_TRIP_RATE = 0.1
+"""An owner reclaims a slot that has not been returned within this time."""
+INITIAL_ROUND_TRIP_MS = 3.0
+ROUND_TRIP_SMOOTHING = 0.1
+"""Weight of a new sample in the moving average of the round trip."""
 
 
 @dataclass(slots=True)
 class Ask:
-    """What another VM waits for: `waiting` requests, the first of which has waited `oldest_ms`."""
+    """A slot request of another VM.
+
+    When it was sent, `waiting` requests were queued there and the oldest had waited `oldest_ms`.
+    """
 
     vm: str
     priority: int
@@ -34,25 +41,28 @@
 
     @classmethod
     def from_message(cls, vm: str, message: SlotAsk, now_ms: float) -> "Ask":
-        """Return the ask that a message stands for."""
+        """Return the slot request that a message describes."""
         return cls(vm, message.priority, message.waiting, message.oldest_ms, now_ms)
 
     def stands(self, now_ms: float) -> bool:
-        """Return whether there is something left to grant."""
+        """Return whether it has not expired and has slots left to grant."""
         return self.granted < self.waiting and now_ms - self.received_ms < ASK_LIFETIME_MS
 
     def told_ms(self) -> float:
-        """Return how long its next request had waited when it asked, if they came evenly."""
+        """Return how long its next request had waited when the slot request was sent.
+
+        This assumes that the queued requests arrived at even intervals.
+        """
         return self.oldest_ms * (1.0 - self.granted / self.waiting)
 
     def waited_ms(self, now_ms: float) -> float:
-        """Return how long its next request has waited by now, if nobody else has served it."""
+        """Return how long its next request has waited by now, if no other VM has served it."""
         return self.told_ms() + now_ms - self.received_ms
 
 
 @dataclass(slots=True)
 class Peer:
-    """Another VM of the service: what it has asked for, and whether it answers."""
+    """Another VM of the service: its slot request, if any, and whether it answers."""
 
     vm: str
     ask: Ask | None = None
@@ -60,36 +70,36 @@
     sent_ms: float = -1e12
     sent_waiting: int = 0
     got: int = 0
-    round_trip_ms: float = FIRST_ROUND_TRIP_MS
+    round_trip_ms: float = INITIAL_ROUND_TRIP_MS
     silent: bool = False
     working: bool = True
 
     def heard(self, now_ms: float) -> None:
-        """Take an answer to an ask."""
+        """Record an answer to a slot request, and update the estimate of the round trip."""
         if self.asked_ms is not None:
             took_ms = now_ms - self.asked_ms
-            self.round_trip_ms += ROUND_TRIP_RATE * (took_ms - self.round_trip_ms)
+            self.round_trip_ms += ROUND_TRIP_SMOOTHING * (took_ms - self.round_trip_ms)
             self.asked_ms = None
 
 
 @dataclass(slots=True)
 class Borrowed:
-    """Slots of other owners that this VM may use; idle ones can be taken at once."""
+    """Slots of other owners that this VM may use; idle ones are available immediately."""
 
     idle: deque[tuple[str, str, float, float]] = field(default_factory=deque)
     in_use: dict[str, tuple[str, float]] = field(default_factory=dict)
 
     @property
     def count(self) -> int:
-        """The number of slots borrowed."""
+        """The number of borrowed slots, idle or in use."""
         return len(self.idle) + len(self.in_use)
 
     def put(self, address: str, owner: str, ends_ms: float, now_ms: float) -> None:
-        """Add an idle slot."""
+        """Add an idle slot whose loan ends at `ends_ms`."""
         self.idle.append((address, owner, ends_ms, now_ms))
 
     def take(self, request_id: str) -> str | None:
-        """Use an idle slot for a request and return its address, or None."""
+        """Assign an idle slot to a request and return its address, or None if there is none."""
         if not self.idle:
             return None
         address, owner, ends_ms, _ = self.idle.popleft()
@@ -97,66 +107,72 @@
         return address
 
     def release(self, request_id: str) -> tuple[str, float] | None:
-        """Return the owner and the end of the loan that a request has used, or None."""
+        """End a request's use of a slot.
+
+        Returns the owner and the end of the loan, or None if the request used no borrowed slot.
+        """
         return self.in_use.pop(request_id, None)
 
     def idle_since(self, limit_ms: float) -> list[tuple[str, str]]:
-        """Take out and return address and owner of the slots that are idle since then."""
-        given_up: list[tuple[str, str]] = []
+        """Remove the slots that have been idle since `limit_ms`.
+
+        Returns the address and the owner of each.
+        """
+        removed: list[tuple[str, str]] = []
         while self.idle and self.idle[0][3] <= limit_ms:
             address, owner, _, _ = self.idle.popleft()
-            given_up.append((address, owner))
-        return given_up
+            removed.append((address, owner))
+        return removed
 
 
 class Lent:
-    """Slots that this VM has granted to others and that are not back yet."""
+    """Slots that this VM has granted to other VMs and that have not been returned yet."""
 
     def __init__(self) -> None:
-        self._out: dict[tuple[str, str], deque[float]] = {}
-        self._first_end_ms = math.inf
+        self._expiries: dict[tuple[str, str], deque[float]] = {}
+        self._next_expiry_ms = math.inf
 
     def add(self, vm: str, address: str, now_ms: float) -> None:
-        """Count a slot that is granted."""
+        """Record a slot that has been granted."""
         end_ms = now_ms + LENT_LIFETIME_MS
-        self._first_end_ms = min(self._first_end_ms, end_ms)
-        self._out.setdefault((vm, address), deque()).append(end_ms)
+        self._next_expiry_ms = min(self._next_expiry_ms, end_ms)
+        self._expiries.setdefault((vm, address), deque()).append(end_ms)
 
     def next_end_ms(self) -> float:
-        """Return the earliest time at which a slot may have been out for too long."""
-        return self._first_end_ms if self._out else math.inf
+        """Return the earliest time at which a loan may expire, or infinity if there is none."""
+        return self._next_expiry_ms if self._expiries else math.inf
 
     def count(self) -> int:
-        """Return how many slots are out."""
-        return sum(map(len, self._out.values()))
+        """Return how many slots are lent."""
+        return sum(map(len, self._expiries.values()))
 
     def to_vm(self, vm: str) -> bool:
-        """Return whether the VM has any slot of this one."""
-        return any(name == vm for name, _ in self._out)
+        """Return whether any slot is lent to this VM."""
+        return any(name == vm for name, _ in self._expiries)
 
     def back(self, vm: str, address: str) -> bool:
-        """Count a slot that is returned; return False for one that was not out."""
-        ends = self._out.get((vm, address))
+        """Record a returned slot.  Returns False if no such slot was lent to the VM."""
+        ends = self._expiries.get((vm, address))
         if not ends:
             return False
         ends.popleft()
         if not ends:
-            del self._out[(vm, address)]
+            del self._expiries[(vm, address)]
         return True
 
     def take_all_back(self, vm: str) -> list[str]:
-        """Take back and return the addresses of all slots that a VM has."""
-        gone = [key for key in self._out if key[0] == vm]
-        return [key[1] for key in gone for _ in self._out.pop(key)]
+        """Reclaim all slots lent to a VM and return their addresses, one for each slot."""
+        keys = [key for key in self._expiries if key[0] == vm]
+        return [key[1] for key in keys for _ in self._expiries.pop(key)]
 
     def lapsed(self, now_ms: float) -> list[str]:
-        """Take back and return the addresses of slots that have been out for too long."""
-        late: list[str] = []
-        for (vm, address), ends in tuple(self._out.items()):
+        """Reclaim the slots whose loans have expired and return their addresses."""
+        expired: list[str] = []
+        for (vm, address), ends in tuple(self._expiries.items()):
             while ends and ends[0] <= now_ms:
                 ends.popleft()
-                late.append(address)
+                expired.append(address)
             if not ends:
-                self._out.pop((vm, address), None)
-        self._first_end_ms = min((ends[0] for ends in self._out.values()), default=math.inf)
-        return late
+                self._expiries.pop((vm, address), None)
+        self._next_expiry_ms = min((ends[0] for ends in self._expiries.values()), default=math.inf)
+        return expired
--- a/cloverhook/own_limit.py
+++ b/cloverhook/own_limit.py
@@ -1,8 +1,9 @@
-"""A daemon's own limit: how late its event loop runs, and what it refuses because of that.
+"""Load shedding by the lag of the daemon's own event loop.
 
-Layer: coordination, free of input and output.  The daemon plans a call every few milliseconds and
-tells how late it came and how much of the time the process was busy.  A daemon near its limit
-refuses the least important requests at once, rather than being slow for all.
+Layer: coordination, free of input and output.  The daemon schedules a call at short regular
+intervals and reports how late it ran and what share of the time the process was busy.  A daemon
+close to its limit rejects the requests of the lowest priorities at once, rather than being slow
+for all of them.
 
 >>> limit = OwnLimit()
 >>> limit.observe(late_ms=400.0, busy=1.0)
@@ -14,22 +15,22 @@
 
 __all__ = ["OwnLimit"]
 
-RATE = 0.2
-LATE_LIMIT_MS = {Priority.LOW: 20.0, Priority.NORMAL: 50.0, Priority.HIGH: 150.0}
+SMOOTHING = 0.2
+LAG_LIMIT_MS = {Priority.LOW: 20.0, Priority.NORMAL: 50.0, Priority.HIGH: 150.0}
 
 
 class OwnLimit:
-    """Judges the load of this process; `busy` is the share of a core it uses, 0 to 1."""
+    """Tracks the load of this process; `busy` is the share of a core that it uses, 0 to 1."""
 
     def __init__(self) -> None:
         self.late_ms = 0.0
         self.busy = 0.0
 
     def observe(self, late_ms: float, busy: float) -> None:
-        """Take how late a planned call came, and the share of time the process was busy."""
-        self.late_ms += RATE * (max(0.0, late_ms) - self.late_ms)
-        self.busy += RATE * (busy - self.busy)
+        """Record how late a scheduled call ran and the share of time the process was busy."""
+        self.late_ms += SMOOTHING * (max(0.0, late_ms) - self.late_ms)
+        self.busy += SMOOTHING * (busy - self.busy)
 
     def refuses(self, priority: Priority) -> bool:
-        """Return whether a new request of this priority is refused at once."""
-        return self.late_ms > LATE_LIMIT_MS[priority]
+        """Return whether new requests of this priority are to be rejected at once."""
+        return self.late_ms > LAG_LIMIT_MS[priority]
--- a/cloverhook/ownership.py
+++ b/cloverhook/ownership.py
@@ -1,9 +1,11 @@
-"""Which home VM owns which endpoint: the same answer on every VM that sees the same homes.
+"""Assigns each endpoint to the home VM that owns it.
 
-Layer: coordination.  Only its owner starts requests at an endpoint or grants a slot of it, so the
-owner knows exactly how many are in flight.  An endpoint goes to a home in its own data centre
-where one has room, else to any; the number of slots is balanced.  Views that differ for a moment
-can only use an endpoint beside its owner, never run a request twice.
+Layer: coordination.  All VMs that have the same list of homes compute the same assignment.  Only
+the owner of an endpoint starts requests there or lends its slots, so the owner knows exactly how
+many requests are in flight.  An endpoint is assigned to a home in its own data centre if one has
+enough capacity left, and otherwise to any home, so that the numbers of slots are balanced.  While
+VMs disagree, an endpoint may get requests from a VM other than its owner, but no request runs
+twice.
 """
 
 import math
@@ -21,28 +23,28 @@
 def owners(
     endpoints: Sequence[Endpoint], homes: Sequence[str], data_centers: Mapping[str, str]
 ) -> dict[str, str]:
-    """Return the owner of each endpoint's address.
+    """Return a mapping from each endpoint's address to its owner.
 
-    A home takes up to an equal share of the slots, and up to a quarter more of endpoints in its
-    own data centre.
+    A home owns up to an equal share of the slots.  With endpoints in its own data centre it may
+    exceed that share by up to a quarter.
     """
     if not homes:
         return {}
-    fair = sum(endpoint.slots for endpoint in endpoints) / len(homes)
-    taken = dict.fromkeys(homes, 0)
+    fair_share = sum(endpoint.slots for endpoint in endpoints) / len(homes)
+    owned = dict.fromkeys(homes, 0)
     result: dict[str, str] = {}
     for endpoint in sorted(endpoints, key=lambda item: _weight(item.address, "")):
         order = sorted(homes, key=lambda vm: _weight(endpoint.address, vm))
-        owner = _first_with_room(endpoint, order, taken, fair, data_centers)
+        owner = _choose_owner(endpoint, order, owned, fair_share, data_centers)
         result[endpoint.address] = owner
-        taken[owner] += endpoint.slots
+        owned[owner] += endpoint.slots
     return result
 
 
 def owned_slots(
     endpoints: Sequence[Endpoint], homes: Sequence[str], data_centers: Mapping[str, str]
 ) -> dict[str, float]:
-    """Return how many slots each home owns: its share of the callers."""
+    """Return how many slots each home owns, which determines its share of the callers."""
     owner_of = owners(endpoints, homes, data_centers)
     slots = dict.fromkeys(homes, 0.0)
     for endpoint in endpoints:
@@ -51,22 +53,22 @@
     return slots
 
 
-def _first_with_room(
+def _choose_owner(
     endpoint: Endpoint,
     order: Sequence[str],
-    taken: Mapping[str, int],
-    fair: float,
+    owned: Mapping[str, int],
+    fair_share: float,
     data_centers: Mapping[str, str],
 ) -> str:
-    near = [vm for vm in order if data_centers.get(vm) == endpoint.data_center]
-    near_limit = math.ceil(fair * REMOTE_TOLERANCE)
-    for vm in near:
-        if taken[vm] + endpoint.slots <= max(near_limit, endpoint.slots):
+    local = [vm for vm in order if data_centers.get(vm) == endpoint.data_center]
+    local_limit = math.ceil(fair_share * REMOTE_TOLERANCE)
+    for vm in local:
+        if owned[vm] + endpoint.slots <= max(local_limit, endpoint.slots):
             return vm
     for vm in order:
-        if taken[vm] + endpoint.slots <= math.ceil(fair):
+        if owned[vm] + endpoint.slots <= math.ceil(fair_share):
             return vm
-    return min(order, key=lambda vm: taken[vm])
+    return min(order, key=lambda vm: owned[vm])
 
 
 def _weight(address: str, vm: str) -> int:
--- a/cloverhook/retry_after.py
+++ b/cloverhook/retry_after.py
@@ -1,6 +1,7 @@
-"""When a refused request may come back: later the more is refused, and spread at random.
+"""Computes how long the caller of a rejected request should wait before it retries.
 
-Layer: coordination.
+Layer: coordination.  The delay grows with the share of rejected requests, and is randomised so
+that retries are spread out.
 """
 
 import random
@@ -9,25 +10,28 @@
 
 BASE_MS = 500.0
 MAX_MS = 15_000.0
-RATE = 0.02
-GROWTH = 8.0
-SPREAD = 0.5
+SMOOTHING = 0.02
+MAX_EXTRA_FACTOR = 8.0
+JITTER = 0.5
 
 
 class ReturnTimes:
-    """Gives refused requests their time to come back."""
+    """Tracks the share of rejected requests and computes retry delays from it."""
 
     def __init__(self, source: random.Random) -> None:
         self._random = source
-        self._refused = 0.0
+        self._rejected_share = 0.0
 
     def admitted(self) -> None:
-        """Count a request that was not refused."""
-        self._refused -= RATE * self._refused
+        """Count a request that was not rejected."""
+        self._rejected_share -= SMOOTHING * self._rejected_share
 
     def refused(self, wait_ms: float) -> float:
-        """Return the milliseconds after which a request refused now may come back."""
-        self._refused += RATE * (1.0 - self._refused)
-        after_ms = (BASE_MS + wait_ms) * (1.0 + GROWTH * self._refused)
-        jitter = self._random.uniform(1.0 - SPREAD, 1.0 + SPREAD)
+        """Count a rejected request and return the milliseconds after which it may be retried.
+
+        `wait_ms` is the expected wait at this VM; it is added to the base delay.
+        """
+        self._rejected_share += SMOOTHING * (1.0 - self._rejected_share)
+        after_ms = (BASE_MS + wait_ms) * (1.0 + MAX_EXTRA_FACTOR * self._rejected_share)
+        jitter = self._random.uniform(1.0 - JITTER, 1.0 + JITTER)
         return min(MAX_MS, after_ms) * jitter
--- a/cloverhook/retry_budget.py
+++ b/cloverhook/retry_budget.py
@@ -1,8 +1,8 @@
-"""The budget that keeps retries from amplifying an outage.
+"""A retry budget, which prevents retries from amplifying an outage.
 
-Layer: coordination.  Each new request earns `ratio` of a retry and each retry spends a whole one,
-so over any stretch of time retries are at most `ratio` of the calls plus a small reserve.  A
-request that is itself a retry of the layer above earns nothing and gets no retry here, so in a
+Layer: coordination.  Each new request adds `ratio` of a retry to the budget and each retry uses a
+whole one, so over any period the retries are at most `ratio` of the requests plus a small reserve.
+A request that is itself a retry by the calling layer adds nothing and is not retried here, so in a
 chain of calls only the layer next to the failure retries.
 
 >>> budget = RetryBudget()
@@ -17,18 +17,18 @@
 
 
 class RetryBudget:
-    """Counts the retries that recent calls have earned."""
+    """Counts the retries that recent requests allow."""
 
     def __init__(self) -> None:
-        self._earned = RESERVE
+        self._available = RESERVE
 
     def earn(self, ratio: float) -> None:
-        """Count a new request."""
-        self._earned = min(CAPACITY, self._earned + ratio)
+        """Add `ratio` of a retry for a new request."""
+        self._available = min(CAPACITY, self._available + ratio)
 
     def take(self) -> bool:
-        """Spend a retry and return True, or return False when none is left."""
-        if self._earned < 1:
+        """Use one retry and return True, or return False if the budget allows none."""
+        if self._available < 1:
             return False
-        self._earned -= 1
+        self._available -= 1
         return True
--- a/cloverhook/steering.py
+++ b/cloverhook/steering.py
@@ -1,7 +1,7 @@
-"""Which VMs a caller is sent to: rendezvous hashing of a service over the VMs that serve.
+"""Chooses the VMs that a service's callers are directed to, by rendezvous hashing.
 
-Layer: coordination.  Every daemon that knows the same VMs gives the same order, and a VM that
-comes or goes moves only the callers of the places it takes or leaves.
+Layer: coordination.  All daemons that have the same list of VMs compute the same order.  A VM that
+joins or leaves moves only the callers of the places in the order that it takes or gives up.
 """
 
 import random
@@ -18,40 +18,40 @@
 
 
 def ranked(key: str, members: Sequence[Member]) -> list[Member]:
-    """Return the members in the key's rendezvous order, first choice first."""
+    """Return the members in the rendezvous order of the key, first choice first."""
     return sorted(members, key=lambda member: _weight(key, member.vm), reverse=True)
 
 
 def home_vms(service_key: str, members: Sequence[Member], count: int) -> list[Member]:
-    """Return the VMs that a service's callers gather on, spread over the data centres.
+    """Return the VMs that a service's callers are directed to, distributed over the data centres.
 
-    Each round takes the best-ranked VM of every data centre that has one left.
+    Each round takes the highest-ranked remaining VM of every data centre.
     """
     homes: list[Member] = []
-    left = ranked(service_key, members)
-    while left and len(homes) < count:
+    remaining = ranked(service_key, members)
+    while remaining and len(homes) < count:
         seen: set[str] = set()
-        for member in tuple(left):
+        for member in tuple(remaining):
             if member.data_center not in seen and len(homes) < count:
                 seen.add(member.data_center)
                 homes.append(member)
-                left.remove(member)
+                remaining.remove(member)
     return homes
 
 
 def answer_lifetime_ms(lifetime_ms: float, homes_changed_ms: float, now_ms: float) -> float:
-    """Return how long a caller may keep an answer: shorter while the homes have just changed."""
+    """Return how long a caller may cache an answer; shorter if the homes changed recently."""
     if now_ms - homes_changed_ms < UNSETTLED_MS:
         return min(lifetime_ms, UNSETTLED_LIFETIME_MS)
     return lifetime_ms
 
 
 class AnswerOrder:
-    """The order in which a service's home VMs stand in the answers that callers get.
+    """Rotates the order in which answers to callers list a service's home VMs.
 
-    A caller that uses only the first address of its answer must not make the first home the
-    busiest, so the first place goes round, to each home as often as its weight says.  The weight is
-    the number of slots that the home owns.  With a random source, the turn starts anywhere.
+    Callers that use only the first address of an answer must not overload one home.  Weighted
+    round robin therefore puts each home first in proportion to its weight, which is the number of
+    slots that the home owns.  With a random source, the rotation starts at a random point.
     """
 
     def __init__(self, source: random.Random | None = None) -> None:
@@ -61,18 +61,20 @@
     def next(
         self, service_key: str, homes: Sequence[Member], weights: Mapping[str, float]
     ) -> list[Member]:
-        """Return the homes in the order of the service's next answer."""
+        """Return the homes in the order for the service's next answer."""
         if not homes:
             return []
-        before = self._credit.get(service_key) or self._start(homes, weights)
-        credit = {home.vm: before.get(home.vm, 0.0) + weights.get(home.vm, 1.0) for home in homes}
+        previous = self._credit.get(service_key) or self._initial_credit(homes, weights)
+        credit = {home.vm: previous.get(home.vm, 0.0) + weights.get(home.vm, 1.0) for home in homes}
         order = sorted(homes, key=lambda home: credit[home.vm], reverse=True)
         credit[order[0].vm] -= sum(weights.get(home.vm, 1.0) for home in homes)
         self._credit[service_key] = credit
         return order
 
-    def _start(self, homes: Sequence[Member], weights: Mapping[str, float]) -> dict[str, float]:
-        """Return a random start, so that daemons do not all name the same home first."""
+    def _initial_credit(
+        self, homes: Sequence[Member], weights: Mapping[str, float]
+    ) -> dict[str, float]:
+        """Return random initial credits, so that not all daemons list the same home first."""
         if self._random is None:
             return {}
         total = sum(weights.get(home.vm, 1.0) for home in homes)
--- a/cloverhook/token_bucket.py
+++ b/cloverhook/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket: a rate that is enforced by construction.
+"""A token bucket, which enforces a rate limit by construction.
 
 Layer: state.
 
@@ -13,42 +13,42 @@
 
 
 class TokenBucket:
-    """Holds up to `capacity` tokens, refilled at `rate_per_s`; it starts full."""
+    """Holds up to `capacity` tokens, is refilled at `rate_per_s` and starts full."""
 
     def __init__(self, rate_per_s: float, capacity: float) -> None:
         self._rate_per_ms = rate_per_s / 1000
         self._capacity = capacity
         self._tokens = capacity
-        self._filled_ms: float | None = None
+        self._refilled_ms: float | None = None
 
     def set_rate(self, rate_per_s: float, capacity: float, now_ms: float) -> None:
-        """Change rate and capacity; tokens above the new capacity are lost."""
-        self._fill(now_ms)
+        """Change the rate and the capacity.  Tokens above the new capacity are discarded."""
+        self._refill(now_ms)
         self._rate_per_ms = rate_per_s / 1000
         self._capacity = capacity
         self._tokens = min(self._tokens, capacity)
 
     def take(self, cost: float, now_ms: float) -> bool:
-        """Take tokens and return True, or leave the bucket as it is and return False."""
-        self._fill(now_ms)
+        """Take `cost` tokens and return True, or take none and return False if there are fewer."""
+        self._refill(now_ms)
         if self._tokens < cost:
             return False
         self._tokens -= cost
         return True
 
     def charge(self, cost: float, now_ms: float) -> None:
-        """Take tokens for what has to be done anyway; the bucket may go below 0."""
-        self._fill(now_ms)
+        """Take `cost` tokens for work that can't be skipped; the balance may become negative."""
+        self._refill(now_ms)
         self._tokens -= cost
 
     def has(self, now_ms: float, reserve: float = 0.0) -> bool:
-        """Return whether more than this share of the capacity is left."""
-        self._fill(now_ms)
+        """Return whether more tokens than this share of the capacity are left."""
+        self._refill(now_ms)
         return self._tokens > reserve * self._capacity
 
     def ready_ms(self, cost: float, now_ms: float) -> float:
-        """Return when `take` can next succeed; infinite for a cost that is never held."""
-        self._fill(now_ms)
+        """Return when `take` can next succeed, or infinity if the bucket never holds the cost."""
+        self._refill(now_ms)
         if self._tokens >= cost:
             return now_ms
         if self._capacity < cost or self._rate_per_ms <= 0:
@@ -56,10 +56,10 @@
         return now_ms + (cost - self._tokens) / self._rate_per_ms
 
     def add(self, tokens: float) -> None:
-        """Add tokens, up to the capacity."""
+        """Add tokens up to the capacity."""
         self._tokens = min(self._capacity, self._tokens + tokens)
 
-    def _fill(self, now_ms: float) -> None:
-        if self._filled_ms is not None and now_ms > self._filled_ms:
-            self.add((now_ms - self._filled_ms) * self._rate_per_ms)
-        self._filled_ms = now_ms if self._filled_ms is None else max(now_ms, self._filled_ms)
+    def _refill(self, now_ms: float) -> None:
+        if self._refilled_ms is not None and now_ms > self._refilled_ms:
+            self.add((now_ms - self._refilled_ms) * self._rate_per_ms)
+        self._refilled_ms = now_ms if self._refilled_ms is None else max(now_ms, self._refilled_ms)
