--- a/cloverhook/endpoint_stats.py
+++ b/cloverhook/endpoint_stats.py
@@ -1,10 +1,11 @@
-"""What one VM knows of one endpoint: its requests there, evidence of trouble, and its limit.
-
-Layer: coordination.  Evidence is a sum of log-likelihood ratios that never falls below 0.  Past
-`SLOW_AT` or `FAILING_AT` the endpoint is on probation: it gets single trial requests, spaced
-further apart each time, and each good answer lets one more in until the limit is back at its slots.
-`SLOW_AT` is high since every answer is a test: at 5 a healthy endpoint was suspected several times
-a second, at 10 about once in a minute and a half.
+"""The state of one endpoint at one VM: its requests there, evidence of trouble, and its limit.
+
+Layer: coordination.  Evidence is a sum of log-likelihood ratios that never falls below 0.  At
+`SLOW_AT` or `FAILING_AT` the endpoint is put on probation: it gets single trial requests, at
+growing intervals.  After the probation, each successful answer raises the limit of concurrent
+requests by one until it is back at the number of slots.  `SLOW_AT` is high because every answer is
+a test: with 5, a healthy endpoint was put on probation several times a second, with 10 about once
+in a minute and a half.
 """
 
 from dataclasses import dataclass, field
@@ -22,7 +23,7 @@
 FAILING_CLEAR_AT = 2.0
 FAILURE_EVIDENCE = 2.5
 SUCCESS_EVIDENCE = -0.5
-FIRST_TRIAL_MS = 30.0
+INITIAL_TRIAL_MS = 30.0
 MAX_TRIAL_MS = 120.0
 REPORT_LIFETIME_MS = 100.0
 
@@ -38,11 +39,11 @@
 
 @dataclass(slots=True)
 class EndpointStats:
-    """One endpoint as this VM sees it.
+    """The state of one endpoint, as far as this VM has observed it.
 
-    `started_ms` holds this VM's own requests in flight there, `lent` counts slots granted to other
-    VMs, and `limit` is how many may be in use at once.  `refused` says that it has refused a
-    request since its health was last asked for, at `health_ms`.
+    `started_ms` holds the start times of this VM's own requests in flight there, `lent` counts the
+    slots granted to other VMs, and `limit` is how many slots may be in use at once.  `refused` is
+    set if the endpoint has rejected a request since its health was last probed, at `health_ms`.
     """
 
     endpoint: Endpoint
@@ -53,7 +54,7 @@
     slowness: float = 0.0
     failures: float = 0.0
     next_trial_ms: float = 0.0
-    trial_ms: float = FIRST_TRIAL_MS
+    trial_ms: float = INITIAL_TRIAL_MS
     reported_ms: float = -1e12
     foreign: int = 0
     evidence_ms: float = -1e12
@@ -64,44 +65,44 @@
 
     @classmethod
     def from_endpoint(cls, endpoint: Endpoint, proven: bool) -> "EndpointStats":
-        """Return the state of a new endpoint; one that is not proven yet starts with one slot."""
+        """Return the state of a new endpoint; unless it is `proven`, its limit starts at 1."""
         return cls(endpoint, endpoint.slots if proven else 1)
 
     @property
     def used(self) -> int:
-        """The slots in use as far as this VM knows."""
+        """The number of slots in use, as far as this VM has observed."""
         return len(self.started_ms) + self.lent
 
     @property
     def takes_work(self) -> bool:
-        """Whether new requests may go there at all."""
+        """Whether new requests may be sent there at all."""
         return self.configured and not self.draining
 
     @property
     def configured(self) -> bool:
-        """Whether the configuration gives it work."""
+        """Whether the configuration allows new requests there."""
         return not self.gone and not self.endpoint.leaving
 
     def room(self, now_ms: float) -> int:
-        """Return how many more requests may go there now."""
+        """Return how many more requests may be sent there now."""
         limit = self.limit
         if self.slowness > 0 and now_ms - self.reported_ms < REPORT_LIFETIME_MS:
             limit = max(1, limit - self.foreign)
         return limit - self.used
 
     def trial_due(self, now_ms: float) -> bool:
-        """Return whether an endpoint on probation may get a trial request."""
+        """Return whether the endpoint is on probation and may get a trial request now."""
         return bool(self.trouble) and self.takes_work and now_ms >= self.next_trial_ms
 
     def begin(self, request_id: str, now_ms: float) -> None:
-        """Count a request that starts; on probation it is a trial."""
+        """Record the start of a request; during probation it is a trial."""
         self.started_ms[request_id] = now_ms
         if self.trouble:
             self.next_trial_ms = now_ms + self.trial_ms
             self.trial_ms = min(MAX_TRIAL_MS, self.trial_ms * 2)
 
     def looks_slow(self, model: LatencyModel, now_ms: float) -> bool:
-        """Return whether answers and the age of requests in flight say that it has slowed down."""
+        """Return whether answers and requests in flight give enough evidence of a slow-down."""
         evidence = self.slowness
         for started_ms in self.started_ms.values():
             evidence += model.age_evidence(now_ms - started_ms)
@@ -110,7 +111,10 @@
     def end(
         self, request_id: str, result: AttemptResult, latency_ms: float, model: LatencyModel
     ) -> None:
-        """Take the end of a request.  Errors give no latency, so fast ones attract nothing."""
+        """Record the end of a request.
+
+        The latency of errors is ignored, so an endpoint that fails fast attracts no requests.
+        """
         self.started_ms.pop(request_id, None)
         self.refused |= result is AttemptResult.REFUSED
         if result is AttemptResult.ANSWERED:
@@ -127,36 +131,42 @@
             self._add_failures(FAILURE_EVIDENCE)
 
     def clear(self) -> bool:
-        """Return whether trials have answered well enough to end the probation."""
+        """Return whether trials have reduced the evidence enough to end the probation."""
         return self.slowness < SLOW_AT / 2 and self.failures < FAILING_CLEAR_AT
 
     def suspect(self, trouble: Trouble, now_ms: float) -> None:
-        """Put the endpoint on probation; a slow one keeps its limit for when the line is long."""
+        """Put the endpoint on probation.
+
+        A slow endpoint keeps its limit, because it is used when the queue is long.
+        """
         self.trouble = trouble
         if trouble == Trouble.SLOW:
             self.slowness = SLOW_AT
         else:
             self.limit = 1
-        self.trial_ms = FIRST_TRIAL_MS
+        self.trial_ms = INITIAL_TRIAL_MS
         self.next_trial_ms = now_ms + self.trial_ms
 
     def acquit(self) -> None:
-        """End the probation; the limit grows back by one with each good answer."""
+        """End the probation; from here the limit grows by one with each successful answer."""
         self.trouble = Trouble.NONE
         self.limit = max(1, min(2, self.endpoint.slots))
-        self.trial_ms = FIRST_TRIAL_MS
+        self.trial_ms = INITIAL_TRIAL_MS
 
     def grow(self) -> None:
-        """Let one more request in, never more than there are slots."""
+        """Raise the limit by one, up to the number of slots."""
         self.limit = min(self.endpoint.slots, self.limit + 1)
 
     def hear(self, load: int, now_ms: float) -> None:
-        """Take a load that an answer or a probe reports: what is there beside requests known of."""
+        """Record the load reported by an answer or a probe.
+
+        `foreign` becomes the part of the load that this VM's own count does not explain.
+        """
         self.foreign = max(0, min(load - self.used, self.endpoint.slots - 1))
         self.reported_ms = now_ms
 
     def blame(self, suspicion: float) -> None:
-        """Take another VM's evidence; it alone can't put the endpoint on probation."""
+        """Record another VM's evidence, which alone can't put the endpoint on probation."""
         self.slowness = max(self.slowness, min(suspicion, SLOW_AT - 1))
 
     def _add_slowness(self, evidence: float) -> None:
--- a/cloverhook/endpoint_table.py
+++ b/cloverhook/endpoint_table.py
@@ -1,8 +1,8 @@
-"""The endpoints of a service as one VM sees them: those it owns, those with room, those in doubt.
+"""The endpoints of a service at one VM: those it owns, those with free slots, those on probation.
 
-Layer: coordination.  The healthy endpoints that this VM owns lie in one pool, slow ones in a second
-that is used only while waiting would take longer than being slow.  Endpoints on probation get
-trial requests when those fall due.
+Layer: coordination.  The healthy endpoints that this VM owns are in one pool, and the slow ones in
+a second one, which is used only while waiting would take longer than a slow endpoint does.
+Endpoints on probation get trial requests when these are due.
 """
 
 import heapq
@@ -16,15 +16,16 @@
 
 __all__ = ["EndpointTable"]
 
-FAILING_SHARE = 1 / 3
+MAX_FAILING_SHARE = 1 / 3
+"""At most this share of the owned endpoints, or one, is on probation for failures at a time."""
 
 
 class EndpointTable:
-    """All endpoints of one service."""
+    """Holds the state of all endpoints of one service and chooses among those this VM owns."""
 
     def __init__(self) -> None:
         self.model = LatencyModel()
-        self._all: dict[str, EndpointStats] = {}
+        self._stats: dict[str, EndpointStats] = {}
         self._owned: frozenset[str] = frozenset()
         self._pool = SlotPool()
         self._slow = SlotPool()
@@ -33,12 +34,12 @@
 
     @property
     def slots(self) -> int:
-        """The slots of the owned endpoints that can be used, slow ones among them."""
+        """The number of slots of the usable owned endpoints, including slow ones."""
         return self._pool.slots + self._slow.slots
 
     @property
     def owned_count(self) -> int:
-        """How many endpoints this VM owns."""
+        """The number of endpoints that this VM owns."""
         return len(self._owned)
 
     def owns(self, address: str) -> bool:
@@ -46,49 +47,52 @@
         return address in self._owned
 
     def present(self) -> list[Endpoint]:
-        """Return the endpoints that are configured and may take work."""
-        return [stats.endpoint for stats in self._all.values() if stats.configured]
+        """Return the endpoints to which the configuration allows new requests."""
+        return [stats.endpoint for stats in self._stats.values() if stats.configured]
 
     def get(self, address: str) -> EndpointStats | None:
-        """Return what is known of an endpoint."""
-        return self._all.get(address)
+        """Return the state of an endpoint, or None if there is none with this address."""
+        return self._stats.get(address)
 
     def configure(self, endpoints: Sequence[Endpoint]) -> None:
-        """Take the endpoints in force; those that are gone stay until their requests have ended."""
-        proven = not self._all
-        fresh = {endpoint.address: endpoint for endpoint in endpoints}
-        for address, stats in tuple(self._all.items()):
-            stats.gone = address not in fresh
+        """Set the configured endpoints.
+
+        A removed endpoint is kept until its requests have ended.
+        """
+        proven = not self._stats
+        configured = {endpoint.address: endpoint for endpoint in endpoints}
+        for address, stats in tuple(self._stats.items()):
+            stats.gone = address not in configured
             if stats.gone and not stats.used:
-                del self._all[address]
-        for address, endpoint in fresh.items():
-            if address in self._all:
-                self._all[address].endpoint = endpoint
-                self._all[address].limit = min(self._all[address].limit, endpoint.slots)
+                del self._stats[address]
+        for address, endpoint in configured.items():
+            if address in self._stats:
+                self._stats[address].endpoint = endpoint
+                self._stats[address].limit = min(self._stats[address].limit, endpoint.slots)
             else:
-                self._all[address] = EndpointStats.from_endpoint(endpoint, proven)
+                self._stats[address] = EndpointStats.from_endpoint(endpoint, proven)
 
     def own(self, addresses: Iterable[str], data_center: str, now_ms: float) -> None:
-        """Take the endpoints that this VM owns now."""
+        """Set the endpoints that this VM owns and its data centre."""
         self._owned = frozenset(addresses)
         self.total_slots = sum(endpoint.slots for endpoint in self.present())
         self._pool = SlotPool(data_center)
         self._slow = SlotPool(data_center)
         self._trials = []
         for address in self._owned:
-            self._sort_in(self._all[address], now_ms)
+            self._place_in_pool(self._stats[address], now_ms)
 
     def owned(self) -> list[EndpointStats]:
-        """Return the endpoints that this VM owns."""
-        return [self._all[address] for address in self._owned if address in self._all]
+        """Return the state of the endpoints that this VM owns."""
+        return [self._stats[address] for address in self._owned if address in self._stats]
 
     def choose(
         self, now_ms: float, wait_ms: float, avoid: str = "", patient: bool = True
     ) -> EndpointStats | None:
-        """Return the owned endpoint for a request that would else wait `wait_ms`, or None.
+        """Return the owned endpoint for a request, or None if the request should wait.
 
-        With no healthy endpoint left, a slow one is used unless the request is patient: another VM
-        may have a slot for it.
+        `wait_ms` is how long the request would wait otherwise.  If no healthy endpoint is left, a
+        slow one is used, unless the request is `patient`: it may wait for a slot of another VM.
         """
         trial = self._due_trial(now_ms)
         if trial is not None:
@@ -96,29 +100,32 @@
         while (stats := self._pool.first(avoid)) is not None:
             if not stats.looks_slow(self.model, now_ms):
                 return stats
-            self._suspect(stats, Trouble.SLOW, now_ms)
-        impatient = not self._pool.slots and not patient
-        if impatient or wait_ms + self.model.mean_ms > self.model.slow_mean_ms:
+            self._start_probation(stats, Trouble.SLOW, now_ms)
+        must_use_slow = not self._pool.slots and not patient
+        if must_use_slow or wait_ms + self.model.mean_ms > self.model.slow_mean_ms:
             return self._slow.first(avoid)
         return None
 
     def spare(self) -> EndpointStats | None:
-        """Return a healthy owned endpoint with a slot to lend, or None."""
+        """Return a healthy owned endpoint with a free slot to lend, or None."""
         return self._pool.first()
 
     def any_unowned(self, addresses: Sequence[str]) -> str:
-        """Return which of these endpoints has the fewest requests of this VM's in flight."""
-        return min(addresses, key=lambda address: self._load_of(self._all[address]))
+        """Return the address, of those given, with the fewest requests of this VM in flight.
+
+        Endpoints that are draining or on probation come last.
+        """
+        return min(addresses, key=lambda address: self._usage_rank(self._stats[address]))
 
     def begin(self, request_id: str, address: str, now_ms: float) -> None:
-        """Count a request that starts."""
-        stats = self._all[address]
+        """Record the start of a request."""
+        stats = self._stats[address]
         stats.begin(request_id, now_ms)
         self.update(stats, now_ms)
 
     def end(self, event: AttemptEnded, now_ms: float) -> None:
-        """Take the end of a request and what it says of its endpoint."""
-        stats = self._all.get(event.address)
+        """Record the end of a request and the resulting evidence about its endpoint."""
+        stats = self._stats.get(event.address)
         if stats is None:
             return
         stats.end(event.request_id, event.result, event.latency_ms, self.model)
@@ -129,20 +136,23 @@
         if event.load is not None:
             stats.hear(event.load, now_ms)
         if event.leaving:
-            self._take_draining(stats, True, now_ms)
-        self._judge(stats, event.result, now_ms)
+            self._set_draining(stats, True, now_ms)
+        self._update_probation(stats, event.result, now_ms)
         self.update(stats, now_ms)
         if stats.gone and not stats.used:
-            del self._all[event.address]
+            del self._stats[event.address]
 
     def lend(self, stats: EndpointStats, now_ms: float) -> None:
-        """Count a slot that another VM uses from now on."""
+        """Record that a slot is lent to another VM."""
         stats.lent += 1
         self.update(stats, now_ms)
 
     def take_back(self, address: str, suspicion: float, now_ms: float) -> None:
-        """Count a lent slot as free again."""
-        stats = self._all.get(address)
+        """Record that a lent slot is free again.
+
+        `suspicion` is the borrower's evidence of trouble at the endpoint.
+        """
+        stats = self._stats.get(address)
         if stats is None:
             return
         stats.lent = max(0, stats.lent - 1)
@@ -150,53 +160,53 @@
         self.update(stats, now_ms)
 
     def take_probe(self, stats: EndpointStats, event: ProbeEnded, now_ms: float) -> None:
-        """Take what a probe has told."""
+        """Record the result of a probe."""
         if event.load is not None:
             stats.evidence_ms = now_ms
             stats.hear(event.load, now_ms)
             self.update(stats, now_ms)
         if event.draining is not None:
-            self._take_draining(stats, event.draining, now_ms)
+            self._set_draining(stats, event.draining, now_ms)
 
     def update(self, stats: EndpointStats, now_ms: float) -> None:
-        """Put an endpoint where it belongs after a change."""
+        """Update the pools after a change of an endpoint's state."""
         self._pool.update(stats, now_ms)
         self._slow.update(stats, now_ms)
 
-    def _take_draining(self, stats: EndpointStats, draining: bool, now_ms: float) -> None:
-        """Take a backend server's word that it takes no new work, or that it does again."""
+    def _set_draining(self, stats: EndpointStats, draining: bool, now_ms: float) -> None:
+        """Record whether a backend server has reported that it accepts no new requests."""
         if stats.draining != draining:
             stats.draining = draining
-            self._sort_in(stats, now_ms)
+            self._place_in_pool(stats, now_ms)
 
-    def _judge(self, stats: EndpointStats, result: AttemptResult, now_ms: float) -> None:
+    def _update_probation(self, stats: EndpointStats, result: AttemptResult, now_ms: float) -> None:
         if stats.trouble:
             if stats.clear():
                 stats.acquit()
-                self._sort_in(stats, now_ms)
+                self._place_in_pool(stats, now_ms)
         elif result is AttemptResult.NOT_SENT:
-            self._suspect(stats, Trouble.UNREACHABLE, now_ms)
+            self._start_probation(stats, Trouble.UNREACHABLE, now_ms)
         elif stats.failures >= FAILING_AT:
-            self._suspect(stats, Trouble.FAILING, now_ms)
+            self._start_probation(stats, Trouble.FAILING, now_ms)
         elif stats.looks_slow(self.model, now_ms):
-            self._suspect(stats, Trouble.SLOW, now_ms)
+            self._start_probation(stats, Trouble.SLOW, now_ms)
 
-    def _suspect(self, stats: EndpointStats, trouble: Trouble, now_ms: float) -> None:
-        if trouble == Trouble.FAILING and not self._may_eject():
+    def _start_probation(self, stats: EndpointStats, trouble: Trouble, now_ms: float) -> None:
+        if trouble == Trouble.FAILING and not self._may_mark_failing():
             return
         stats.suspect(trouble, now_ms)
         if stats.endpoint.address in self._owned:
-            self._sort_in(stats, now_ms)
+            self._place_in_pool(stats, now_ms)
         if trouble == Trouble.SLOW and not self._pool.slots:
             self.model.relearn()
 
-    def _may_eject(self) -> bool:
+    def _may_mark_failing(self) -> bool:
         if len(self.present()) == 1:
             return False
         failing = sum(stats.trouble == Trouble.FAILING for stats in self.owned())
-        return failing + 1 <= max(1, len(self._owned) * FAILING_SHARE)
+        return failing + 1 <= max(1, len(self._owned) * MAX_FAILING_SHARE)
 
-    def _sort_in(self, stats: EndpointStats, now_ms: float) -> None:
+    def _place_in_pool(self, stats: EndpointStats, now_ms: float) -> None:
         address = stats.endpoint.address
         self._pool.remove(address)
         self._slow.remove(address)
@@ -212,7 +222,7 @@
     def _due_trial(self, now_ms: float) -> EndpointStats | None:
         while self._trials and self._trials[0][0] <= now_ms:
             _, address = heapq.heappop(self._trials)
-            stats = self._all.get(address)
+            stats = self._stats.get(address)
             if stats is None or not stats.trouble or address not in self._owned:
                 continue
             if stats.trial_due(now_ms) and stats.room(now_ms) > 0:
@@ -221,5 +231,5 @@
             heapq.heappush(self._trials, (max(stats.next_trial_ms, now_ms + 5.0), address))
         return None
 
-    def _load_of(self, stats: EndpointStats) -> tuple[bool, int]:
+    def _usage_rank(self, stats: EndpointStats) -> tuple[bool, int]:
         return (stats.draining or bool(stats.trouble), stats.used)
--- a/cloverhook/measuring.py
+++ b/cloverhook/measuring.py
@@ -1,12 +1,14 @@
-"""The measuring budget: how much of an owner's time goes into probes.
+"""The probe budget (`Policy.measuring_ms_per_s`) and the schedule of the probes.
 
-Layer: coordination.  The budget of a service holds for all VMs together.  Each owner spends a
-share by the endpoints that it owns, and only half of that: while two VMs' views differ, an
-endpoint may have two owners for a moment, and the sum still stays within the budget.  A probe that
-takes longer than it should is paid for by later ones, so the bound holds over a few seconds.
+Layer: coordination.  The budget limits the time spent on probes of a service, and applies to all
+VMs together.  Each owner gets a share in proportion to the endpoints that it owns, and uses only
+half of it: while two VMs disagree, an endpoint may briefly have two owners, and the sum still stays
+within the budget.  A probe that takes longer than its estimated cost is charged against later ones,
+so the limit holds over a few seconds.
 
-A daemon's own time is bounded too: its routers take turns at probing.  With thousands of idle
-endpoints each is then probed less often; those with requests tell their state without a probe.
+A daemon's own time is limited too: its routers share one rate limit for load probes.  With thousands of
+idle endpoints each of these is then probed less often; endpoints that serve requests report their
+state without a probe.
 """
 
 import math
@@ -30,47 +32,50 @@
 PROBE_COST_MS = 6.0
 CONNECTION_COST_MS = 1.0
 PROBE_WITH_CONNECTION_MS = PROBE_COST_MS + CONNECTION_COST_MS
-SAFETY = 0.5
-STALE_EVIDENCE_MS = 5_000.0
-LOOK_EVERY_MS = 250.0
+BUDGET_SAFETY_FACTOR = 0.5
+EVIDENCE_LIFETIME_MS = 5_000.0
+CHECK_EVERY_MS = 250.0
 PROBES_PER_S = 8
 HEALTH_EVERY_MS = 1_000.0
 TURN_LIFETIME_MS = 1_000.0
 
 
 class MeasuringBudget:
-    """What one VM may spend on measuring one service."""
+    """The time that one VM may spend on probes of one service."""
 
     def __init__(self) -> None:
         self._bucket = TokenBucket(0.0, 0.0)
         self.spent_ms = 0.0
 
     def set_share(self, share_ms_per_s: float, now_ms: float) -> None:
-        """Take this VM's share of the service's budget."""
+        """Set this VM's share of the service's budget."""
         cost_ms = PROBE_COST_MS + CONNECTION_COST_MS
         capacity_ms = max(share_ms_per_s, cost_ms) if share_ms_per_s else 0.0
         self._bucket.set_rate(share_ms_per_s, capacity_ms, now_ms)
 
     def take_probe(self, now_ms: float) -> bool:
-        """Return whether a probe, with the connection it may need, is within the budget."""
+        """Charge a probe, with the connection it may need, if it is within the budget.
+
+        Returns whether it is.
+        """
         if not self._bucket.take(PROBE_WITH_CONNECTION_MS, now_ms):
             return False
         self.spent_ms += PROBE_WITH_CONNECTION_MS
         return True
 
     def settle(self, latency_ms: float, now_ms: float) -> None:
-        """Take the time that a probe took; what is more than its cost is paid off later."""
-        more_ms = max(0.0, latency_ms - PROBE_COST_MS - CONNECTION_COST_MS)
-        self._bucket.charge(more_ms, now_ms)
-        self.spent_ms += more_ms
+        """Charge the time that a probe took beyond its estimated cost, which delays later ones."""
+        overrun_ms = max(0.0, latency_ms - PROBE_COST_MS - CONNECTION_COST_MS)
+        self._bucket.charge(overrun_ms, now_ms)
+        self.spent_ms += overrun_ms
 
     def next_probe_ms(self, now_ms: float) -> float:
-        """Return when a probe is next within the budget."""
+        """Return when the budget next allows a probe."""
         return self._bucket.ready_ms(PROBE_WITH_CONNECTION_MS, now_ms)
 
 
 class ProbeTurns:
-    """Spaces the probes of a daemon: whoever books first has the first turn.
+    """Spaces out the probes of a daemon, in the order of their bookings.
 
     >>> turns = ProbeTurns(probes_per_s=10)
     >>> turns.book(0.0), turns.book(0.0), turns.book(500.0)
@@ -82,73 +87,84 @@
         self._next_ms = -math.inf
 
     def book(self, now_ms: float) -> float:
-        """Return the time of the next free turn."""
+        """Book the next free turn and return its time."""
         turn_ms = max(now_ms, self._next_ms)
         self._next_ms = turn_ms + self._spacing_ms
         return turn_ms
 
 
 class Prober:
-    """Finds the owned endpoints to probe, within the budget.
+    """Selects the owned endpoints to probe, within the budget.
 
-    The load is asked for where nothing has been heard for long, the health where a request was
-    refused, which may be shedding or a drain, and where a drain is known.
+    Endpoints without recent evidence get a load probe.  Endpoints that have rejected a request,
+    which may mean load shedding or a drain, and endpoints known to be draining get a health probe.
 
-    `turns` bounds the probes a second, for all routers that share it.
+    `turns` limits the load probes per second of all routers that share it.
     """
 
     def __init__(self, turns: ProbeTurns | None = None) -> None:
         self.budget = MeasuringBudget()
         self._turns = turns or ProbeTurns()
         self._turn_ms = -math.inf
-        self._under_way: set[str] = set()
+        self._probing: set[str] = set()
         self.next_look_ms = 0.0
-        self._looked_ms = -math.inf
+        self._checked_ms = -math.inf
 
     def look_again(self) -> None:
-        """Look soon: other endpoints are owned, or something has been heard of one."""
-        self.next_look_ms = min(self.next_look_ms, self._looked_ms + LOOK_EVERY_MS)
+        """Schedule a check soon, after a change of the owned endpoints or of one's state."""
+        self.next_look_ms = min(self.next_look_ms, self._checked_ms + CHECK_EVERY_MS)
 
     def ended(self, address: str, latency_ms: float, now_ms: float) -> None:
-        """Take the end of a probe and the time that it took."""
-        self._under_way.discard(address)
+        """Record the end of a probe and the time that it took."""
+        self._probing.discard(address)
         self.budget.settle(latency_ms, now_ms)
         self.look_again()
 
     def due(self, owned: Callable[[], Iterable[EndpointStats]], now_ms: float) -> list[Probe]:
-        """Return the probes to make now; those of health, which end needless requests, go first."""
+        """Return the probes to start now.
+
+        Health probes go first, because they end requests that would only be rejected.
+        """
         if now_ms < self.next_look_ms:
             return []
-        self._looked_ms = now_ms
-        idle = [stats for stats in owned() if self._idle(stats)]
+        self._checked_ms = now_ms
+        idle = [stats for stats in owned() if self._has_no_probe(stats)]
         due: list[Probe] = []
         for stats in idle:
             if _health_due(stats, now_ms) and self.budget.take_probe(now_ms):
-                due.append(self._begin(stats, True, now_ms))
+                due.append(self._start_probe(stats, True, now_ms))
         for stats in idle:
-            if self._idle(stats) and _load_due(stats, now_ms) and self._take_turn(now_ms):
-                due.append(self._begin(stats, False, now_ms))
-        wanted_ms = [self._next_due_ms(stats) for stats in idle if self._idle(stats)]
+            if (
+                self._has_no_probe(stats)
+                and _load_due(stats, now_ms)
+                and self._try_take_turn(now_ms)
+            ):
+                due.append(self._start_probe(stats, False, now_ms))
+        due_times_ms = [self._next_due_ms(stats) for stats in idle if self._has_no_probe(stats)]
         self.next_look_ms = max(
-            min(wanted_ms, default=math.inf),
+            min(due_times_ms, default=math.inf),
             self.budget.next_probe_ms(now_ms),
-            now_ms + LOOK_EVERY_MS,
+            now_ms + CHECK_EVERY_MS,
         )
         return due
 
-    def _idle(self, stats: EndpointStats) -> bool:
-        return stats.endpoint.address not in self._under_way
+    def _has_no_probe(self, stats: EndpointStats) -> bool:
+        return stats.endpoint.address not in self._probing
 
     def _next_due_ms(self, stats: EndpointStats) -> float:
-        """Return when an endpoint next needs a probe; the load is asked for in turn only."""
+        """Return when an endpoint next needs a probe; load probes wait for their turn."""
         health_ms = stats.health_ms + HEALTH_EVERY_MS
         if stats.draining:
             return health_ms
-        load_ms = max(stats.evidence_ms + STALE_EVIDENCE_MS, self._turn_ms)
+        load_ms = max(stats.evidence_ms + EVIDENCE_LIFETIME_MS, self._turn_ms)
         return min(health_ms, load_ms) if stats.refused else load_ms
 
-    def _take_turn(self, now_ms: float) -> bool:
-        """Return whether a probe is paid for and its turn has come; else keep or book a turn."""
+    def _try_take_turn(self, now_ms: float) -> bool:
+        """Return whether the budget allows a probe and the booked turn has come; if so, charge it.
+
+        Without a valid booking, a turn is booked.  A booking expires `TURN_LIFETIME_MS` after its
+        time.
+        """
         if self.budget.next_probe_ms(now_ms) > now_ms:
             return False
         if self._turn_ms + TURN_LIFETIME_MS < now_ms:
@@ -158,31 +174,32 @@
         self._turn_ms = -math.inf
         return self.budget.take_probe(now_ms)
 
-    def _begin(self, stats: EndpointStats, health: bool, now_ms: float) -> Probe:
+    def _start_probe(self, stats: EndpointStats, health: bool, now_ms: float) -> Probe:
         if health:
             stats.health_ms = now_ms
             stats.refused = False
         else:
             stats.evidence_ms = now_ms
-        self._under_way.add(stats.endpoint.address)
+        self._probing.add(stats.endpoint.address)
         return Probe(stats.endpoint.address, health)
 
 
 def budget_share(owned: int, total: int, homes: HomesChanged) -> float:
-    """Return the share of a service's budget for a VM that owns some of all its endpoints.
+    """Return the share of a service's budget for a VM that owns `owned` of its `total` endpoints.
 
-    Only a home spends any, and one that has lost sight of the others not their part too.
+    A VM that is not a home gets none.  A home that treats the endpoints of unreachable homes as its
+    own does not get their share of the budget too.
     """
     if homes.own_vm not in homes.homes or not total:
         return 0.0
-    return SAFETY * min(owned / total, REMOTE_TOLERANCE / len(homes.homes))
+    return BUDGET_SAFETY_FACTOR * min(owned / total, REMOTE_TOLERANCE / len(homes.homes))
 
 
 def _health_due(stats: EndpointStats, now_ms: float) -> bool:
-    asked = stats.refused or stats.draining
-    return asked and now_ms - stats.health_ms >= HEALTH_EVERY_MS
+    is_needed = stats.refused or stats.draining
+    return is_needed and now_ms - stats.health_ms >= HEALTH_EVERY_MS
 
 
 def _load_due(stats: EndpointStats, now_ms: float) -> bool:
-    fresh = now_ms - stats.evidence_ms < STALE_EVIDENCE_MS
+    fresh = now_ms - stats.evidence_ms < EVIDENCE_LIFETIME_MS
     return not (fresh or stats.used or stats.draining or _health_due(stats, now_ms))
--- a/cloverhook/probing.py
+++ b/cloverhook/probing.py
@@ -1,8 +1,9 @@
-"""Asks backend servers for their load or health when a router wants to know.
+"""Probes backend servers for their load or health on behalf of the routers.
 
 Layer: transport.  A probe is `GET /load` or `GET /health` over the pool of connections, so it also
-leaves a warm one behind.  A backend server that has no such path, or answers with anything but a
-JSON object whose `in_flight` is a count or whose `draining` is true, is alive and tells nothing.
+leaves an open connection for later requests.  The answer should be a JSON object whose `in_flight`
+is a count, or whose `draining` is true.  A backend server that has no such path, or gives another
+answer, counts as alive but reports nothing.
 """
 
 import asyncio
@@ -26,7 +27,7 @@
 
 
 class LoadProbes:
-    """The probes under way; each ends with a call of `on_ended`, with its service's key."""
+    """Runs probes.  Each ends with a call of `on_ended` with the key of the service."""
 
     def __init__(
         self,
@@ -40,13 +41,13 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(self, target: Target, address: str, health: bool = False) -> None:
-        """Start to ask an endpoint of a service for its load, or its health."""
+        """Start a probe of an endpoint's load or, if `health` is set, of its health."""
         task = asyncio.get_running_loop().create_task(self._probe(target, address, health))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def close(self) -> None:
-        """Give up the probes under way."""
+        """Cancel the running probes."""
         for task in self._tasks:
             task.cancel()
 
@@ -55,9 +56,9 @@
         body = None
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_MS / 1000):
-                body = await self._ask(target, address, HEALTH_PATH if health else LOAD_PATH)
+                body = await self._fetch(target, address, HEALTH_PATH if health else LOAD_PATH)
         except (UpstreamError, TimeoutError):
-            logging.debug("probing: %s gave no answer.", address)
+            logging.debug("probing: the probe of %s failed or timed out.", address)
         load = draining = None
         if body is not None and health:
             draining = draining_in(body)
@@ -66,44 +67,44 @@
         latency_ms = self._clock_ms() - started_ms
         self._on_ended(target.key, ProbeEnded(address, load, latency_ms, draining))
 
-    async def _ask(self, target: Target, address: str, path: bytes) -> bytes:
+    async def _fetch(self, target: Target, address: str, path: bytes) -> bytes:
         connection = await self._pool.acquire(address)
-        whole = False
+        complete = False
         try:
             host = target.service.hosts[0].encode()
             await connection.send(RequestHead(b"GET", path, [(b"host", host)]))
             body = await _read_body(connection)
-            whole = True
+            complete = True
         finally:
-            if not whole:
+            if not complete:
                 connection.close()
             self._pool.release(address, connection)
         return body
 
 
 def load_in(body: bytes) -> int | None:
-    """Return the requests in flight that the answer to a probe tells, or None.
+    """Return the number of requests in flight that a load probe's answer reports, or None.
 
     >>> load_in(b'{"in_flight": 3, "slots": 4}')
     3
     >>> load_in(b"not found") is None
     True
     """
-    load = _document(body).get("in_flight")
-    counts = isinstance(load, int) and not isinstance(load, bool) and load >= 0
-    return load if counts else None
+    load = _parse_document(body).get("in_flight")
+    is_count = isinstance(load, int) and not isinstance(load, bool) and load >= 0
+    return load if is_count else None
 
 
 def draining_in(body: bytes) -> bool:
-    """Return whether the answer to a probe of health says that the backend server is draining.
+    """Return whether a health probe's answer reports that the backend server is draining.
 
     >>> draining_in(b'{"healthy": false, "draining": true}')
     True
     """
-    return _document(body).get("draining") is True
+    return _parse_document(body).get("draining") is True
 
 
-def _document(body: bytes) -> dict[str, Any]:
+def _parse_document(body: bytes) -> dict[str, Any]:
     try:
         document = json.loads(body)
     except ValueError:
@@ -118,5 +119,5 @@
         part, more = await connection.read()
         body += part
         if len(body) > ANSWER_LIMIT_BYTES:
-            raise UpstreamError("the answer to a probe is too long", sent=True)
+            raise UpstreamError("the answer to a probe exceeds the size limit", sent=True)
     return body
--- a/cloverhook/routing_events.py
+++ b/cloverhook/routing_events.py
@@ -1,7 +1,7 @@
-"""The events that a service's router takes, and the actions that it returns.
+"""The events that a service router processes, and the actions that it returns.
 
-Layer: coordination.  All of them are frozen; a time is a point on the router's clock, in
-milliseconds.
+Layer: coordination.  All of them are immutable.  Points in time are in milliseconds on the
+router's clock.
 """
 
 from collections.abc import Mapping
@@ -36,8 +36,7 @@
 class AttemptResult(Enum):
     """How an attempt at a backend server ended.
 
-    `NOT_SENT` and `REFUSED` are the only ones after which it is certain that the request did not
-    run.
+    Only `NOT_SENT` and `REFUSED` guarantee that the request did not run.
     """
 
     ANSWERED = "answered"
@@ -60,10 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request has arrived; `deadline_ms` is a point on the router's clock.
+    """A request has arrived; `deadline_ms` is a point in time on the router's clock.
 
-    `attempt` is above 1 when the caller is itself a retrying layer and sends the request again:
-    such a request earns no retries here.
+    `attempt` is greater than 1 if the caller is itself a retrying layer and this is one of its
+    retries.  Such a request adds nothing to the retry budget.
     """
 
     request_id: str
@@ -77,9 +76,10 @@
 class AttemptEnded:
     """An attempt has ended, after `latency_ms`.
 
-    `load` is the number of requests in flight that the answer carried, and `leaving` whether it
-    said that the backend server is leaving.  With `again`, the request has not been answered yet
-    and wants another attempt, which the router starts only where the result allows it.
+    `load` is the number of requests in flight that the answer reported, and `leaving` says whether
+    the answer announced that the backend server is leaving.  If `again` is set, the request has not
+    been answered yet and needs another attempt, which the router starts only if the result allows
+    it.
     """
 
     request_id: str
@@ -93,14 +93,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerGone:
-    """The caller of a waiting request has gone."""
+    """The caller of a queued request has disconnected."""
 
     request_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointsChanged:
-    """The configuration in force gives the service these endpoints and this policy."""
+    """The active configuration assigns the service these endpoints and this policy."""
 
     endpoints: tuple[Endpoint, ...]
     policy: Policy
@@ -108,14 +108,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed: deadlines and limits of waiting are looked at."""
+    """Time has passed, so deadlines, wait limits and expiry times need to be checked."""
 
 
 @dataclass(frozen=True, slots=True)
 class HomesChanged:
-    """The VMs that the service's callers gather on have changed; `own_vm` is this daemon's name.
+    """The home VMs, to which the service's callers are directed, have changed.
 
-    `data_centers` gives the data centre of each VM named, as far as it is known.
+    `own_vm` is the name of this daemon's VM.  `data_centers` gives the data centre of each VM named
+    here, as far as it is known.
     """
 
     own_vm: str
@@ -133,9 +134,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeEnded:
-    """A probe has ended after `latency_ms`; `load` is None when it told none.
+    """A probe has ended after `latency_ms`; `load` is None if it reported none.
 
-    `draining` is what a probe of the endpoint's health has found, and else None.
+    `draining` is the result of a health probe, and None for a load probe or a failed one.
     """
 
     address: str
@@ -166,7 +167,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Give a request its final answer without running it (again)."""
+    """Give a request its final answer without another attempt."""
 
     request_id: str
     kind: ErrorKind
@@ -175,7 +176,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask an endpoint for its load, or with `health` whether it is draining."""
+    """Probe an endpoint for its load or, if `health` is set, for whether it is draining."""
 
     address: str
     health: bool = False
