--- a/cloverhook/measuring.py
+++ b/cloverhook/measuring.py
@@ -6,9 +6,9 @@
 within the budget.  A probe that takes longer than its estimated cost is charged against later ones,
 so the limit holds over a few seconds.
 
-A daemon's own time is limited too: its routers share one rate limit for load probes.  With thousands of
-idle endpoints each of these is then probed less often; endpoints that serve requests report their
-state without a probe.
+A daemon's own time is limited too: its routers share one rate limit for load probes.  With
+thousands of idle endpoints each of these is then probed less often; endpoints that serve requests
+report their state without a probe.
 """
 
 import math
@@ -33,8 +33,8 @@
 CONNECTION_COST_MS = 1.0
 PROBE_WITH_CONNECTION_MS = PROBE_COST_MS + CONNECTION_COST_MS
 BUDGET_SAFETY_FACTOR = 0.5
-EVIDENCE_LIFETIME_MS = 5_000.0
-CHECK_EVERY_MS = 250.0
+STALE_EVIDENCE_MS = 5_000.0
+LOOK_EVERY_MS = 250.0
 PROBES_PER_S = 8
 HEALTH_EVERY_MS = 1_000.0
 TURN_LIFETIME_MS = 1_000.0
@@ -112,7 +112,7 @@
 
     def look_again(self) -> None:
         """Schedule a check soon, after a change of the owned endpoints or of one's state."""
-        self.next_look_ms = min(self.next_look_ms, self._checked_ms + CHECK_EVERY_MS)
+        self.next_look_ms = min(self.next_look_ms, self._checked_ms + LOOK_EVERY_MS)
 
     def ended(self, address: str, latency_ms: float, now_ms: float) -> None:
         """Record the end of a probe and the time that it took."""
@@ -144,7 +144,7 @@
         self.next_look_ms = max(
             min(due_times_ms, default=math.inf),
             self.budget.next_probe_ms(now_ms),
-            now_ms + CHECK_EVERY_MS,
+            now_ms + LOOK_EVERY_MS,
         )
         return due
 
@@ -156,7 +156,7 @@
         health_ms = stats.health_ms + HEALTH_EVERY_MS
         if stats.draining:
             return health_ms
-        load_ms = max(stats.evidence_ms + EVIDENCE_LIFETIME_MS, self._turn_ms)
+        load_ms = max(stats.evidence_ms + STALE_EVIDENCE_MS, self._turn_ms)
         return min(health_ms, load_ms) if stats.refused else load_ms
 
     def _try_take_turn(self, now_ms: float) -> bool:
@@ -201,5 +201,5 @@
 
 
 def _load_due(stats: EndpointStats, now_ms: float) -> bool:
-    fresh = now_ms - stats.evidence_ms < EVIDENCE_LIFETIME_MS
+    fresh = now_ms - stats.evidence_ms < STALE_EVIDENCE_MS
     return not (fresh or stats.used or stats.draining or _health_due(stats, now_ms))
