--- a/cloverhook/endpoint_stats.py
+++ b/cloverhook/endpoint_stats.py
@@ -102,7 +102,7 @@
             self.trial_ms = min(MAX_TRIAL_MS, self.trial_ms * 2)
 
     def looks_slow(self, model: LatencyModel, now_ms: float) -> bool:
-        """Return whether answers and requests in flight give enough evidence of a slow-down."""
+        """Return whether answers and the age of requests in flight prove a slow-down."""
         evidence = self.slowness
         for started_ms in self.started_ms.values():
             evidence += model.age_evidence(now_ms - started_ms)
@@ -113,7 +113,8 @@
     ) -> None:
         """Record the end of a request.
 
-        The latency of errors is ignored, so an endpoint that fails fast attracts no requests.
+        The time to an error never counts as an answer's latency, so an endpoint that fails fast
+        attracts no requests.
         """
         self.started_ms.pop(request_id, None)
         self.refused |= result is AttemptResult.REFUSED
@@ -148,7 +149,7 @@
         self.next_trial_ms = now_ms + self.trial_ms
 
     def acquit(self) -> None:
-        """End the probation; from here the limit grows by one with each successful answer."""
+        """End the probation; the limit then grows back by one with each successful answer."""
         self.trouble = Trouble.NONE
         self.limit = max(1, min(2, self.endpoint.slots))
         self.trial_ms = INITIAL_TRIAL_MS
--- a/cloverhook/endpoint_table.py
+++ b/cloverhook/endpoint_table.py
@@ -73,7 +73,7 @@
                 self._stats[address] = EndpointStats.from_endpoint(endpoint, proven)
 
     def own(self, addresses: Iterable[str], data_center: str, now_ms: float) -> None:
-        """Set the endpoints that this VM owns and its data centre."""
+        """Set the endpoints that this VM owns, and the VM's data centre."""
         self._owned = frozenset(addresses)
         self.total_slots = sum(endpoint.slots for endpoint in self.present())
         self._pool = SlotPool(data_center)
--- a/cloverhook/lending.py
+++ b/cloverhook/lending.py
@@ -29,7 +29,7 @@
 class Ask:
     """A slot request of another VM.
 
-    When it was sent, `waiting` requests were queued there and the oldest had waited `oldest_ms`.
+    When it was sent, `waiting` requests were queued there and the first had waited `oldest_ms`.
     """
 
     vm: str
