--- a/cloverhook/endpoint_stats.py
+++ b/cloverhook/endpoint_stats.py
@@ -19,6 +19,7 @@
 
 SLOW_AT = 10.0
 GOOD_EVIDENCE = -0.5
+"""An answer with evidence below this resets the evidence of slowness to 0."""
 FAILING_AT = 5.0
 FAILING_CLEAR_AT = 2.0
 FAILURE_EVIDENCE = 2.5
@@ -26,6 +27,7 @@
 INITIAL_TRIAL_MS = 30.0
 MAX_TRIAL_MS = 120.0
 REPORT_LIFETIME_MS = 100.0
+"""A reported load older than this is ignored."""
 
 
 class Trouble(IntEnum):
--- a/cloverhook/own_limit.py
+++ b/cloverhook/own_limit.py
@@ -1,9 +1,9 @@
 """Load shedding by the lag of the daemon's own event loop.
 
-Layer: coordination, free of input and output.  The daemon schedules a call at short regular
-intervals and reports how late it ran and what share of the time the process was busy.  A daemon
+Layer: coordination, free of input and output.  The daemon schedules a call every few tens of
+milliseconds and reports how late it ran and what share of the time the process was busy.  A daemon
 close to its limit rejects the requests of the lowest priorities at once, rather than being slow
-for all of them.
+for all requests.
 
 >>> limit = OwnLimit()
 >>> limit.observe(late_ms=400.0, busy=1.0)
--- a/cloverhook/ownership.py
+++ b/cloverhook/ownership.py
@@ -18,6 +18,7 @@
 __all__ = ["REMOTE_TOLERANCE", "owned_slots", "owners"]
 
 REMOTE_TOLERANCE = 1.25
+"""A home may own this many equal shares of the slots by endpoints in its own data centre."""
 
 
 def owners(
--- a/cloverhook/routing_events.py
+++ b/cloverhook/routing_events.py
@@ -62,7 +62,7 @@
     """A request has arrived; `deadline_ms` is a point in time on the router's clock.
 
     `attempt` is greater than 1 if the caller is itself a retrying layer and this is one of its
-    retries.  Such a request adds nothing to the retry budget.
+    retries.  Such a request adds nothing to the retry budget and is not retried here.
     """
 
     request_id: str
--- a/cloverhook/steering.py
+++ b/cloverhook/steering.py
@@ -15,6 +15,7 @@
 
 UNSETTLED_MS = 2_000
 UNSETTLED_LIFETIME_MS = 250
+"""Limits how long callers may cache an answer within `UNSETTLED_MS` of a change of the homes."""
 
 
 def ranked(key: str, members: Sequence[Member]) -> list[Member]:
