--- a/cloverhook/admission.py
+++ b/cloverhook/admission.py
@@ -24,7 +24,7 @@
         self._total = 0
         self._in_progress: dict[str, int] = {}
 
-    def enter(self, brand: str) -> bool:
+    def try_enter(self, brand: str) -> bool:
         """Count a new request and return True, or return False if it must be rejected."""
         own = self._in_progress.get(brand, 0)
         brands = len(self._in_progress) + (own == 0)
--- a/cloverhook/dispatch.py
+++ b/cloverhook/dispatch.py
@@ -14,33 +14,33 @@
 from cloverhook.clock import monotonic_ms
 from cloverhook.errors import ErrorKind, RequestError
 from cloverhook.fleet import Endpoint, Policy, Service
-from cloverhook.measuring import ProbeTurns
+from cloverhook.measuring import ProbeSpacing
 from cloverhook.messages import Message
-from cloverhook.own_limit import OwnLimit
-from cloverhook.retry_after import ReturnTimes
+from cloverhook.own_limit import LoadShedder
+from cloverhook.retry_after import RetryAfterTimes
 from cloverhook.routing import PEER_BYTES_PER_S, ServiceRouter
 from cloverhook.routing_events import (
     Action,
     Arrival,
     AttemptEnded,
     AttemptResult,
-    CallerGone,
+    CallerDisconnected,
     EndpointsChanged,
     Event,
     HomesChanged,
-    PeerSaid,
+    PeerMessageReceived,
     Probe,
     ProbeEnded,
-    Refuse,
+    Reject,
+    SendMessage,
     Start,
-    Tell,
     Tick,
 )
 from cloverhook.state import BrandState, State
 from cloverhook.token_bucket import TokenBucket
 from cloverhook.wake_times import LoopTimer, WakeTimes
 
-__all__ = ["DispatchWatch", "Dispatcher", "Outlet", "Target"]
+__all__ = ["DispatchObserver", "DispatchTransport", "Dispatcher", "Target"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -57,10 +57,10 @@
         return f"{self.brand}/{self.service.name}"
 
 
-class Outlet(Protocol):
+class DispatchTransport(Protocol):
     """Sends messages to other VMs and probes to endpoints on behalf of the routers."""
 
-    def tell(self, vm: str, message: Message) -> None:
+    def send_message(self, vm: str, message: Message) -> None:
         """Send a message to another VM.  Delivery is not guaranteed."""
 
     def probe(self, target: Target, address: str, health: bool) -> None:
@@ -70,13 +70,13 @@
         """
 
 
-class DispatchWatch(Protocol):
+class DispatchObserver(Protocol):
     """Observes endpoint states and probes, to produce events and metrics."""
 
-    def endpoint_is(self, address: str, trouble: int) -> None:
+    def record_endpoint_state(self, address: str, trouble: int) -> None:
         """Record why an endpoint is on probation, or 0, after an attempt or probe there."""
 
-    def probed(self, target: Target, latency_ms: float) -> None:
+    def record_probe(self, target: Target, latency_ms: float) -> None:
         """Record a completed probe and its latency in milliseconds."""
 
 
@@ -84,15 +84,15 @@
     """The service routers of this daemon and the requests that wait for their decisions."""
 
     def __init__(
-        self, source: random.Random, transport: Outlet, observer: DispatchWatch | None = None
+        self, source: random.Random, transport: DispatchTransport, observer: DispatchObserver | None = None
     ) -> None:
         self._random = source
         self._observer = observer
         self._transport = transport
-        self.own_limit = OwnLimit()
-        self._retry_after = ReturnTimes(source)
+        self.load_shedder = LoadShedder()
+        self._retry_after = RetryAfterTimes(source)
         self._peer_bytes = TokenBucket(PEER_BYTES_PER_S, PEER_BYTES_PER_S)
-        self._probe_turns = ProbeTurns()
+        self._probe_turns = ProbeSpacing()
         self._brands: Mapping[str, BrandState] = {}
         self._active_targets: tuple[Target, ...] = ()
         self._targets_by_host: dict[bytes, Target] = {}
@@ -107,7 +107,7 @@
     def start_timer(self, clock_ms: Callable[[], float]) -> None:
         """Schedule calls of `wake` on the running event loop whenever a router needs one."""
         self._timer = LoopTimer(clock_ms, lambda: self.wake(clock_ms()))
-        self._timer.by(self._wake_times.next_ms())
+        self._timer.call_by(self._wake_times.earliest_ms())
 
     def stop_timer(self) -> None:
         """Cancel the scheduled call of `wake`."""
@@ -148,7 +148,7 @@
         owner = self._routers[key].owns(address)
         return max(1, endpoint.connections // (2 if owner else 2 * max(1, vms)))
 
-    def waiting(self) -> int:
+    def queued_count(self) -> int:
         """Return the number of requests that are waiting for an endpoint."""
         return len(self._start_futures)
 
@@ -166,10 +166,10 @@
 
         Raises `RequestError` with the final answer if the request is rejected.
         """
-        if self.own_limit.refuses(arrival.priority):
-            after_ms = self._retry_after.refused(0.0)
+        if self.load_shedder.should_shed(arrival.priority):
+            after_ms = self._retry_after.record_rejection(0.0)
             raise RequestError(ErrorKind.OVERLOADED, "this VM is overloaded", after_ms)
-        self._retry_after.admitted()
+        self._retry_after.record_admission()
         return await self._wait_for_start(target, arrival.request_id, arrival, now_ms)
 
     async def retry(self, target: Target, ended: AttemptEnded, now_ms: float) -> str:
@@ -182,12 +182,12 @@
         finally:
             self._report_endpoint_state(target.key, ended.address)
 
-    def ended(self, target: Target, ended: AttemptEnded, now_ms: float) -> None:
+    def record_attempt_end(self, target: Target, ended: AttemptEnded, now_ms: float) -> None:
         """Report the end of a request's last attempt."""
         self._handle_event(target.key, ended, now_ms)
         self._report_endpoint_state(target.key, ended.address)
 
-    def homes_changed(
+    def set_homes(
         self,
         key: str,
         own_vm: str,
@@ -201,28 +201,28 @@
         """
         self._handle_event(key, HomesChanged(own_vm, homes, data_centers or {}), now_ms)
 
-    def peer_said(self, key: str, vm: str, message: Message, now_ms: float) -> None:
+    def handle_peer_message(self, key: str, vm: str, message: Message, now_ms: float) -> None:
         """Process a message from another VM about a service."""
-        self._handle_event(key, PeerSaid(vm, message), now_ms)
+        self._handle_event(key, PeerMessageReceived(vm, message), now_ms)
 
     def probe_ended(self, key: str, ended: ProbeEnded, now_ms: float) -> None:
         """Process the end of a probe."""
         self._handle_event(key, ended, now_ms)
         target = self._targets_by_key.get(key)
         if self._observer is not None and target is not None:
-            self._observer.probed(target, ended.latency_ms)
+            self._observer.record_probe(target, ended.latency_ms)
         self._report_endpoint_state(key, ended.address)
 
     def next_wake_ms(self) -> float | None:
         """Return when `wake` is next due, or None while only events require work."""
-        return self._wake_times.next_ms()
+        return self._wake_times.earliest_ms()
 
     def wake(self, now_ms: float) -> None:
         """Send a `Tick` to the routers whose requested wake time has come."""
-        for key in self._wake_times.due(now_ms):
+        for key in self._wake_times.pop_due(now_ms):
             self._handle_event(key, Tick(), now_ms)
         if self._timer is not None:
-            self._timer.by(self._wake_times.next_ms())
+            self._timer.call_by(self._wake_times.earliest_ms())
 
     def tick(self, now_ms: float) -> None:
         """Send a `Tick` to all routers."""
@@ -254,12 +254,12 @@
             ended = AttemptEnded(request_id, future.result(), AttemptResult.CANCELLED, 0.0)
             self._handle_event(key, ended, now_ms)
         else:
-            self._handle_event(key, CallerGone(request_id), now_ms)
+            self._handle_event(key, CallerDisconnected(request_id), now_ms)
 
     def _report_endpoint_state(self, key: str, address: str) -> None:
         router = self._routers.get(key)
         if self._observer is not None and router is not None:
-            self._observer.endpoint_is(address, router.trouble_of(address))
+            self._observer.record_endpoint_state(address, router.probation_reason_of(address))
 
     def _handle_event(self, key: str, event: Event, now_ms: float) -> None:
         handle = self._handlers.get(key)
@@ -269,21 +269,21 @@
             self._perform(key, action)
         wake_ms = self._routers[key].next_wake_ms(now_ms)
         if wake_ms is not None:
-            self._wake_times.want(key, wake_ms)
+            self._wake_times.request(key, wake_ms)
             if self._timer is not None:
-                self._timer.by(wake_ms)
+                self._timer.call_by(wake_ms)
 
     def _perform(self, key: str, action: Action) -> None:
         match action:
-            case Tell(vm, message):
-                self._transport.tell(vm, message)
+            case SendMessage(vm, message):
+                self._transport.send_message(vm, message)
             case Probe(address, health):
                 self._transport.probe(self._targets_by_key[key], address, health)
             case Start(request_id, address):
                 future = self._pending_future(request_id)
                 if future is not None:
                     future.set_result(address)
-            case Refuse(request_id, kind, retry_after_ms):
+            case Reject(request_id, kind, retry_after_ms):
                 future = self._pending_future(request_id)
                 if future is not None:
                     future.set_exception(RequestError(kind, retry_after_ms=retry_after_ms))
--- a/cloverhook/endpoint_stats.py
+++ b/cloverhook/endpoint_stats.py
@@ -15,7 +15,7 @@
 from cloverhook.latency_model import LatencyModel
 from cloverhook.routing_events import AttemptResult
 
-__all__ = ["EndpointStats", "Trouble"]
+__all__ = ["EndpointStats", "ProbationReason"]
 
 SLOW_AT = 10.0
 GOOD_EVIDENCE = -0.5
@@ -30,7 +30,7 @@
 """A reported load older than this is ignored."""
 
 
-class Trouble(IntEnum):
+class ProbationReason(IntEnum):
     """Why an endpoint is on probation."""
 
     NONE = 0
@@ -52,18 +52,18 @@
     limit: int
     started_ms: dict[str, float] = field(default_factory=dict)
     lent: int = 0
-    trouble: Trouble = Trouble.NONE
+    probation_reason: ProbationReason = ProbationReason.NONE
     slowness: float = 0.0
     failures: float = 0.0
     next_trial_ms: float = 0.0
     trial_ms: float = INITIAL_TRIAL_MS
     reported_ms: float = -1e12
-    foreign: int = 0
-    evidence_ms: float = -1e12
-    gone: bool = False
+    external_in_flight: int = 0
+    last_evidence_ms: float = -1e12
+    removed: bool = False
     refused: bool = False
     draining: bool = False
-    health_ms: float = -1e12
+    health_probed_ms: float = -1e12
 
     @classmethod
     def from_endpoint(cls, endpoint: Endpoint, proven: bool) -> "EndpointStats":
@@ -83,23 +83,23 @@
     @property
     def configured(self) -> bool:
         """Whether the configuration allows new requests there."""
-        return not self.gone and not self.endpoint.leaving
+        return not self.removed and not self.endpoint.leaving
 
-    def room(self, now_ms: float) -> int:
+    def free_slots(self, now_ms: float) -> int:
         """Return how many more requests may be sent there now."""
         limit = self.limit
         if self.slowness > 0 and now_ms - self.reported_ms < REPORT_LIFETIME_MS:
-            limit = max(1, limit - self.foreign)
+            limit = max(1, limit - self.external_in_flight)
         return limit - self.used
 
     def trial_due(self, now_ms: float) -> bool:
         """Return whether the endpoint is on probation and may get a trial request now."""
-        return bool(self.trouble) and self.takes_work and now_ms >= self.next_trial_ms
+        return bool(self.probation_reason) and self.takes_work and now_ms >= self.next_trial_ms
 
-    def begin(self, request_id: str, now_ms: float) -> None:
+    def record_start(self, request_id: str, now_ms: float) -> None:
         """Record the start of a request; during probation it is a trial."""
         self.started_ms[request_id] = now_ms
-        if self.trouble:
+        if self.probation_reason:
             self.next_trial_ms = now_ms + self.trial_ms
             self.trial_ms = min(MAX_TRIAL_MS, self.trial_ms * 2)
 
@@ -110,7 +110,7 @@
             evidence += model.age_evidence(now_ms - started_ms)
         return evidence >= SLOW_AT
 
-    def end(
+    def record_end(
         self, request_id: str, result: AttemptResult, latency_ms: float, model: LatencyModel
     ) -> None:
         """Record the end of a request.
@@ -125,7 +125,7 @@
             self._add_slowness(evidence)
             if evidence < GOOD_EVIDENCE:
                 self.slowness = 0.0
-            self._add_failures(SUCCESS_EVIDENCE if not self.trouble else -FAILURE_EVIDENCE)
+            self._add_failures(SUCCESS_EVIDENCE if not self.probation_reason else -FAILURE_EVIDENCE)
         elif result is AttemptResult.TIMED_OUT:
             self._add_slowness(max(0.0, model.age_evidence(latency_ms)))
         elif result is AttemptResult.NOT_SENT:
@@ -133,42 +133,42 @@
         elif result is not AttemptResult.CANCELLED:
             self._add_failures(FAILURE_EVIDENCE)
 
-    def clear(self) -> bool:
+    def can_end_probation(self) -> bool:
         """Return whether trials have reduced the evidence enough to end the probation."""
         return self.slowness < SLOW_AT / 2 and self.failures < FAILING_CLEAR_AT
 
-    def suspect(self, trouble: Trouble, now_ms: float) -> None:
+    def start_probation(self, trouble: ProbationReason, now_ms: float) -> None:
         """Put the endpoint on probation.
 
         A slow endpoint keeps its limit, because it is used when the queue is long.
         """
-        self.trouble = trouble
-        if trouble == Trouble.SLOW:
+        self.probation_reason = trouble
+        if trouble == ProbationReason.SLOW:
             self.slowness = SLOW_AT
         else:
             self.limit = 1
         self.trial_ms = INITIAL_TRIAL_MS
         self.next_trial_ms = now_ms + self.trial_ms
 
-    def acquit(self) -> None:
+    def end_probation(self) -> None:
         """End the probation; the limit then grows back by one with each successful answer."""
-        self.trouble = Trouble.NONE
+        self.probation_reason = ProbationReason.NONE
         self.limit = max(1, min(2, self.endpoint.slots))
         self.trial_ms = INITIAL_TRIAL_MS
 
-    def grow(self) -> None:
+    def raise_limit(self) -> None:
         """Raise the limit by one, up to the number of slots."""
         self.limit = min(self.endpoint.slots, self.limit + 1)
 
-    def hear(self, load: int, now_ms: float) -> None:
+    def record_load(self, load: int, now_ms: float) -> None:
         """Record the load reported by an answer or a probe.
 
         `foreign` becomes the part of the load that this VM's own count does not explain.
         """
-        self.foreign = max(0, min(load - self.used, self.endpoint.slots - 1))
+        self.external_in_flight = max(0, min(load - self.used, self.endpoint.slots - 1))
         self.reported_ms = now_ms
 
-    def blame(self, suspicion: float) -> None:
+    def record_peer_evidence(self, suspicion: float) -> None:
         """Record another VM's evidence, which alone can't put the endpoint on probation."""
         self.slowness = max(self.slowness, min(suspicion, SLOW_AT - 1))
 
--- a/cloverhook/endpoint_table.py
+++ b/cloverhook/endpoint_table.py
@@ -8,7 +8,7 @@
 import heapq
 from collections.abc import Iterable, Sequence
 
-from cloverhook.endpoint_stats import FAILING_AT, EndpointStats, Trouble
+from cloverhook.endpoint_stats import FAILING_AT, EndpointStats, ProbationReason
 from cloverhook.fleet import Endpoint
 from cloverhook.latency_model import LatencyModel
 from cloverhook.routing_events import AttemptEnded, AttemptResult, ProbeEnded
@@ -46,7 +46,7 @@
         """Return whether this VM owns an endpoint."""
         return address in self._owned
 
-    def present(self) -> list[Endpoint]:
+    def configured_endpoints(self) -> list[Endpoint]:
         """Return the endpoints to which the configuration allows new requests."""
         return [stats.endpoint for stats in self._stats.values() if stats.configured]
 
@@ -62,8 +62,8 @@
         proven = not self._stats
         configured = {endpoint.address: endpoint for endpoint in endpoints}
         for address, stats in tuple(self._stats.items()):
-            stats.gone = address not in configured
-            if stats.gone and not stats.used:
+            stats.removed = address not in configured
+            if stats.removed and not stats.used:
                 del self._stats[address]
         for address, endpoint in configured.items():
             if address in self._stats:
@@ -72,10 +72,10 @@
             else:
                 self._stats[address] = EndpointStats.from_endpoint(endpoint, proven)
 
-    def own(self, addresses: Iterable[str], data_center: str, now_ms: float) -> None:
+    def set_owned(self, addresses: Iterable[str], data_center: str, now_ms: float) -> None:
         """Set the endpoints that this VM owns, and the VM's data centre."""
         self._owned = frozenset(addresses)
-        self.total_slots = sum(endpoint.slots for endpoint in self.present())
+        self.total_slots = sum(endpoint.slots for endpoint in self.configured_endpoints())
         self._pool = SlotPool(data_center)
         self._slow = SlotPool(data_center)
         self._trials = []
@@ -87,7 +87,7 @@
         return [self._stats[address] for address in self._owned if address in self._stats]
 
     def choose(
-        self, now_ms: float, wait_ms: float, avoid: str = "", patient: bool = True
+        self, now_ms: float, wait_ms: float, avoid: str = "", may_wait_for_peer: bool = True
     ) -> EndpointStats | None:
         """Return the owned endpoint for a request, or None if the request should wait.
 
@@ -97,49 +97,49 @@
         trial = self._due_trial(now_ms)
         if trial is not None:
             return trial
-        while (stats := self._pool.first(avoid)) is not None:
+        while (stats := self._pool.best(avoid)) is not None:
             if not stats.looks_slow(self.model, now_ms):
                 return stats
-            self._start_probation(stats, Trouble.SLOW, now_ms)
-        must_use_slow = not self._pool.slots and not patient
+            self._start_probation(stats, ProbationReason.SLOW, now_ms)
+        must_use_slow = not self._pool.slots and not may_wait_for_peer
         if must_use_slow or wait_ms + self.model.mean_ms > self.model.slow_mean_ms:
-            return self._slow.first(avoid)
+            return self._slow.best(avoid)
         return None
 
-    def spare(self) -> EndpointStats | None:
+    def find_lendable(self) -> EndpointStats | None:
         """Return a healthy owned endpoint with a free slot to lend, or None."""
-        return self._pool.first()
+        return self._pool.best()
 
-    def any_unowned(self, addresses: Sequence[str]) -> str:
+    def least_used(self, addresses: Sequence[str]) -> str:
         """Return the address, of those given, with the fewest requests of this VM in flight.
 
         Endpoints that are draining or on probation come last.
         """
         return min(addresses, key=lambda address: self._usage_rank(self._stats[address]))
 
-    def begin(self, request_id: str, address: str, now_ms: float) -> None:
+    def record_start(self, request_id: str, address: str, now_ms: float) -> None:
         """Record the start of a request."""
         stats = self._stats[address]
-        stats.begin(request_id, now_ms)
+        stats.record_start(request_id, now_ms)
         self.update(stats, now_ms)
 
-    def end(self, event: AttemptEnded, now_ms: float) -> None:
+    def record_end(self, event: AttemptEnded, now_ms: float) -> None:
         """Record the end of a request and the resulting evidence about its endpoint."""
         stats = self._stats.get(event.address)
         if stats is None:
             return
-        stats.end(event.request_id, event.result, event.latency_ms, self.model)
+        stats.record_end(event.request_id, event.result, event.latency_ms, self.model)
         if event.result is AttemptResult.ANSWERED:
             self.model.observe(event.latency_ms)
-            stats.evidence_ms = now_ms
-            stats.grow()
+            stats.last_evidence_ms = now_ms
+            stats.raise_limit()
         if event.load is not None:
-            stats.hear(event.load, now_ms)
-        if event.leaving:
+            stats.record_load(event.load, now_ms)
+        if event.server_draining:
             self._set_draining(stats, True, now_ms)
         self._update_probation(stats, event.result, now_ms)
         self.update(stats, now_ms)
-        if stats.gone and not stats.used:
+        if stats.removed and not stats.used:
             del self._stats[event.address]
 
     def lend(self, stats: EndpointStats, now_ms: float) -> None:
@@ -147,7 +147,7 @@
         stats.lent += 1
         self.update(stats, now_ms)
 
-    def take_back(self, address: str, suspicion: float, now_ms: float) -> None:
+    def release_lent(self, address: str, suspicion: float, now_ms: float) -> None:
         """Record that a lent slot is free again.
 
         `suspicion` is the borrower's evidence of trouble at the endpoint.
@@ -156,14 +156,14 @@
         if stats is None:
             return
         stats.lent = max(0, stats.lent - 1)
-        stats.blame(suspicion)
+        stats.record_peer_evidence(suspicion)
         self.update(stats, now_ms)
 
-    def take_probe(self, stats: EndpointStats, event: ProbeEnded, now_ms: float) -> None:
+    def record_probe(self, stats: EndpointStats, event: ProbeEnded, now_ms: float) -> None:
         """Record the result of a probe."""
         if event.load is not None:
-            stats.evidence_ms = now_ms
-            stats.hear(event.load, now_ms)
+            stats.last_evidence_ms = now_ms
+            stats.record_load(event.load, now_ms)
             self.update(stats, now_ms)
         if event.draining is not None:
             self._set_draining(stats, event.draining, now_ms)
@@ -180,30 +180,30 @@
             self._place_in_pool(stats, now_ms)
 
     def _update_probation(self, stats: EndpointStats, result: AttemptResult, now_ms: float) -> None:
-        if stats.trouble:
-            if stats.clear():
-                stats.acquit()
+        if stats.probation_reason:
+            if stats.can_end_probation():
+                stats.end_probation()
                 self._place_in_pool(stats, now_ms)
         elif result is AttemptResult.NOT_SENT:
-            self._start_probation(stats, Trouble.UNREACHABLE, now_ms)
+            self._start_probation(stats, ProbationReason.UNREACHABLE, now_ms)
         elif stats.failures >= FAILING_AT:
-            self._start_probation(stats, Trouble.FAILING, now_ms)
+            self._start_probation(stats, ProbationReason.FAILING, now_ms)
         elif stats.looks_slow(self.model, now_ms):
-            self._start_probation(stats, Trouble.SLOW, now_ms)
+            self._start_probation(stats, ProbationReason.SLOW, now_ms)
 
-    def _start_probation(self, stats: EndpointStats, trouble: Trouble, now_ms: float) -> None:
-        if trouble == Trouble.FAILING and not self._may_mark_failing():
+    def _start_probation(self, stats: EndpointStats, trouble: ProbationReason, now_ms: float) -> None:
+        if trouble == ProbationReason.FAILING and not self._may_mark_failing():
             return
-        stats.suspect(trouble, now_ms)
+        stats.start_probation(trouble, now_ms)
         if stats.endpoint.address in self._owned:
             self._place_in_pool(stats, now_ms)
-        if trouble == Trouble.SLOW and not self._pool.slots:
+        if trouble == ProbationReason.SLOW and not self._pool.slots:
             self.model.relearn()
 
     def _may_mark_failing(self) -> bool:
-        if len(self.present()) == 1:
+        if len(self.configured_endpoints()) == 1:
             return False
-        failing = sum(stats.trouble == Trouble.FAILING for stats in self.owned())
+        failing = sum(stats.probation_reason == ProbationReason.FAILING for stats in self.owned())
         return failing + 1 <= max(1, len(self._owned) * MAX_FAILING_SHARE)
 
     def _place_in_pool(self, stats: EndpointStats, now_ms: float) -> None:
@@ -212,24 +212,24 @@
         self._slow.remove(address)
         if address not in self._owned or not stats.takes_work:
             return
-        if stats.trouble:
+        if stats.probation_reason:
             heapq.heappush(self._trials, (stats.next_trial_ms, address))
-        if stats.trouble == Trouble.SLOW:
+        if stats.probation_reason == ProbationReason.SLOW:
             self._slow.add(stats, now_ms)
-        elif not stats.trouble:
+        elif not stats.probation_reason:
             self._pool.add(stats, now_ms)
 
     def _due_trial(self, now_ms: float) -> EndpointStats | None:
         while self._trials and self._trials[0][0] <= now_ms:
             _, address = heapq.heappop(self._trials)
             stats = self._stats.get(address)
-            if stats is None or not stats.trouble or address not in self._owned:
+            if stats is None or not stats.probation_reason or address not in self._owned:
                 continue
-            if stats.trial_due(now_ms) and stats.room(now_ms) > 0:
+            if stats.trial_due(now_ms) and stats.free_slots(now_ms) > 0:
                 heapq.heappush(self._trials, (now_ms + stats.trial_ms, address))
                 return stats
             heapq.heappush(self._trials, (max(stats.next_trial_ms, now_ms + 5.0), address))
         return None
 
     def _usage_rank(self, stats: EndpointStats) -> tuple[bool, int]:
-        return (stats.draining or bool(stats.trouble), stats.used)
+        return (stats.draining or bool(stats.probation_reason), stats.used)
--- a/cloverhook/lending.py
+++ b/cloverhook/lending.py
@@ -11,11 +11,11 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from cloverhook.messages import SlotAsk
+from cloverhook.messages import SlotRequest
 
-__all__ = ["Ask", "Borrowed", "Lent", "Peer"]
+__all__ = ["BorrowedSlots", "LendingPeer", "LentSlots", "PeerSlotRequest"]
 
-ASK_LIFETIME_MS = 100.0
+SLOT_REQUEST_LIFETIME_MS = 100.0
 LOAN_MS = 500.0
 """A borrower reuses a slot for this long before it returns it."""
 LENT_LIFETIME_MS = 2_000.0
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Ask:
+class PeerSlotRequest:
     """A slot request of another VM.
 
     When it was sent, `waiting` requests were queued there and the first had waited `oldest_ms`.
@@ -40,50 +40,50 @@
     granted: int = 0
 
     @classmethod
-    def from_message(cls, vm: str, message: SlotAsk, now_ms: float) -> "Ask":
+    def from_message(cls, vm: str, message: SlotRequest, now_ms: float) -> "PeerSlotRequest":
         """Return the slot request that a message describes."""
         return cls(vm, message.priority, message.waiting, message.oldest_ms, now_ms)
 
-    def stands(self, now_ms: float) -> bool:
+    def is_open(self, now_ms: float) -> bool:
         """Return whether it has not expired and has slots left to grant."""
-        return self.granted < self.waiting and now_ms - self.received_ms < ASK_LIFETIME_MS
+        return self.granted < self.waiting and now_ms - self.received_ms < SLOT_REQUEST_LIFETIME_MS
 
-    def told_ms(self) -> float:
+    def wait_when_sent_ms(self) -> float:
         """Return how long its next request had waited when the slot request was sent.
 
         This assumes that the queued requests arrived at even intervals.
         """
         return self.oldest_ms * (1.0 - self.granted / self.waiting)
 
-    def waited_ms(self, now_ms: float) -> float:
+    def estimated_wait_ms(self, now_ms: float) -> float:
         """Return how long its next request has waited by now, if no other VM has served it."""
-        return self.told_ms() + now_ms - self.received_ms
+        return self.wait_when_sent_ms() + now_ms - self.received_ms
 
 
 @dataclass(slots=True)
-class Peer:
+class LendingPeer:
     """Another VM of the service: its slot request, if any, and whether it answers."""
 
     vm: str
-    ask: Ask | None = None
-    asked_ms: float | None = None
-    sent_ms: float = -1e12
-    sent_waiting: int = 0
-    got: int = 0
+    slot_request: PeerSlotRequest | None = None
+    unanswered_since_ms: float | None = None
+    last_request_ms: float = -1e12
+    requested_slots: int = 0
+    granted_slots: int = 0
     round_trip_ms: float = INITIAL_ROUND_TRIP_MS
-    silent: bool = False
-    working: bool = True
+    unresponsive: bool = False
+    has_working_endpoint: bool = True
 
-    def heard(self, now_ms: float) -> None:
+    def record_answer(self, now_ms: float) -> None:
         """Record an answer to a slot request, and update the estimate of the round trip."""
-        if self.asked_ms is not None:
-            took_ms = now_ms - self.asked_ms
+        if self.unanswered_since_ms is not None:
+            took_ms = now_ms - self.unanswered_since_ms
             self.round_trip_ms += ROUND_TRIP_SMOOTHING * (took_ms - self.round_trip_ms)
-            self.asked_ms = None
+            self.unanswered_since_ms = None
 
 
 @dataclass(slots=True)
-class Borrowed:
+class BorrowedSlots:
     """Slots of other owners that this VM may use; idle ones are available immediately."""
 
     idle: deque[tuple[str, str, float, float]] = field(default_factory=deque)
@@ -94,11 +94,11 @@
         """The number of borrowed slots, idle or in use."""
         return len(self.idle) + len(self.in_use)
 
-    def put(self, address: str, owner: str, ends_ms: float, now_ms: float) -> None:
+    def add_idle(self, address: str, owner: str, ends_ms: float, now_ms: float) -> None:
         """Add an idle slot whose loan ends at `ends_ms`."""
         self.idle.append((address, owner, ends_ms, now_ms))
 
-    def take(self, request_id: str) -> str | None:
+    def use_idle(self, request_id: str) -> str | None:
         """Assign an idle slot to a request and return its address, or None if there is none."""
         if not self.idle:
             return None
@@ -113,7 +113,7 @@
         """
         return self.in_use.pop(request_id, None)
 
-    def idle_since(self, limit_ms: float) -> list[tuple[str, str]]:
+    def pop_idle_since(self, limit_ms: float) -> list[tuple[str, str]]:
         """Remove the slots that have been idle since `limit_ms`.
 
         Returns the address and the owner of each.
@@ -125,7 +125,7 @@
         return removed
 
 
-class Lent:
+class LentSlots:
     """Slots that this VM has granted to other VMs and that have not been returned yet."""
 
     def __init__(self) -> None:
@@ -138,7 +138,7 @@
         self._next_expiry_ms = min(self._next_expiry_ms, end_ms)
         self._expiries.setdefault((vm, address), deque()).append(end_ms)
 
-    def next_end_ms(self) -> float:
+    def next_expiry_ms(self) -> float:
         """Return the earliest time at which a loan may expire, or infinity if there is none."""
         return self._next_expiry_ms if self._expiries else math.inf
 
@@ -146,11 +146,11 @@
         """Return how many slots are lent."""
         return sum(map(len, self._expiries.values()))
 
-    def to_vm(self, vm: str) -> bool:
+    def has_lent_to(self, vm: str) -> bool:
         """Return whether any slot is lent to this VM."""
         return any(name == vm for name, _ in self._expiries)
 
-    def back(self, vm: str, address: str) -> bool:
+    def record_return(self, vm: str, address: str) -> bool:
         """Record a returned slot.  Returns False if no such slot was lent to the VM."""
         ends = self._expiries.get((vm, address))
         if not ends:
@@ -160,12 +160,12 @@
             del self._expiries[(vm, address)]
         return True
 
-    def take_all_back(self, vm: str) -> list[str]:
+    def reclaim_all(self, vm: str) -> list[str]:
         """Reclaim all slots lent to a VM and return their addresses, one for each slot."""
         keys = [key for key in self._expiries if key[0] == vm]
         return [key[1] for key in keys for _ in self._expiries.pop(key)]
 
-    def lapsed(self, now_ms: float) -> list[str]:
+    def pop_expired(self, now_ms: float) -> list[str]:
         """Reclaim the slots whose loans have expired and return their addresses."""
         expired: list[str] = []
         for (vm, address), ends in tuple(self._expiries.items()):
--- a/cloverhook/measuring.py
+++ b/cloverhook/measuring.py
@@ -15,7 +15,7 @@
 from collections.abc import Callable, Iterable
 
 from cloverhook.endpoint_stats import EndpointStats
-from cloverhook.ownership import REMOTE_TOLERANCE
+from cloverhook.ownership import LOCAL_SHARE_FACTOR
 from cloverhook.routing_events import HomesChanged, Probe
 from cloverhook.token_bucket import TokenBucket
 
@@ -23,24 +23,24 @@
     "CONNECTION_COST_MS",
     "PROBES_PER_S",
     "PROBE_COST_MS",
-    "MeasuringBudget",
-    "ProbeTurns",
-    "Prober",
-    "budget_share",
+    "ProbeBudget",
+    "ProbeSchedule",
+    "ProbeSpacing",
+    "probe_budget_share",
 ]
 
 PROBE_COST_MS = 6.0
 CONNECTION_COST_MS = 1.0
 PROBE_WITH_CONNECTION_MS = PROBE_COST_MS + CONNECTION_COST_MS
 BUDGET_SAFETY_FACTOR = 0.5
-STALE_EVIDENCE_MS = 5_000.0
-LOOK_EVERY_MS = 250.0
+EVIDENCE_LIFETIME_MS = 5_000.0
+CHECK_EVERY_MS = 250.0
 PROBES_PER_S = 8
 HEALTH_EVERY_MS = 1_000.0
 TURN_LIFETIME_MS = 1_000.0
 
 
-class MeasuringBudget:
+class ProbeBudget:
     """The time that one VM may spend on probes of one service."""
 
     def __init__(self) -> None:
@@ -53,17 +53,17 @@
         capacity_ms = max(share_ms_per_s, cost_ms) if share_ms_per_s else 0.0
         self._bucket.set_rate(share_ms_per_s, capacity_ms, now_ms)
 
-    def take_probe(self, now_ms: float) -> bool:
+    def try_take_probe(self, now_ms: float) -> bool:
         """Charge a probe, with the connection it may need, if it is within the budget.
 
         Returns whether it is.
         """
-        if not self._bucket.take(PROBE_WITH_CONNECTION_MS, now_ms):
+        if not self._bucket.try_take(PROBE_WITH_CONNECTION_MS, now_ms):
             return False
         self.spent_ms += PROBE_WITH_CONNECTION_MS
         return True
 
-    def settle(self, latency_ms: float, now_ms: float) -> None:
+    def charge_overrun(self, latency_ms: float, now_ms: float) -> None:
         """Charge the time that a probe took beyond its estimated cost, which delays later ones."""
         overrun_ms = max(0.0, latency_ms - PROBE_COST_MS - CONNECTION_COST_MS)
         self._bucket.charge(overrun_ms, now_ms)
@@ -74,7 +74,7 @@
         return self._bucket.ready_ms(PROBE_WITH_CONNECTION_MS, now_ms)
 
 
-class ProbeTurns:
+class ProbeSpacing:
     """Spaces out the probes of a daemon, in the order of their bookings.
 
     >>> turns = ProbeTurns(probes_per_s=10)
@@ -93,7 +93,7 @@
         return turn_ms
 
 
-class Prober:
+class ProbeSchedule:
     """Selects the owned endpoints to probe, within the budget.
 
     Endpoints without recent evidence get a load probe.  Endpoints that have rejected a request,
@@ -102,36 +102,36 @@
     `turns` limits the load probes per second of all routers that share it.
     """
 
-    def __init__(self, turns: ProbeTurns | None = None) -> None:
-        self.budget = MeasuringBudget()
-        self._turns = turns or ProbeTurns()
+    def __init__(self, turns: ProbeSpacing | None = None) -> None:
+        self.budget = ProbeBudget()
+        self._turns = turns or ProbeSpacing()
         self._turn_ms = -math.inf
         self._probing: set[str] = set()
-        self.next_look_ms = 0.0
+        self.next_check_ms = 0.0
         self._checked_ms = -math.inf
 
-    def look_again(self) -> None:
+    def schedule_check(self) -> None:
         """Schedule a check soon, after a change of the owned endpoints or of one's state."""
-        self.next_look_ms = min(self.next_look_ms, self._checked_ms + LOOK_EVERY_MS)
+        self.next_check_ms = min(self.next_check_ms, self._checked_ms + CHECK_EVERY_MS)
 
-    def ended(self, address: str, latency_ms: float, now_ms: float) -> None:
+    def probe_ended(self, address: str, latency_ms: float, now_ms: float) -> None:
         """Record the end of a probe and the time that it took."""
         self._probing.discard(address)
-        self.budget.settle(latency_ms, now_ms)
-        self.look_again()
+        self.budget.charge_overrun(latency_ms, now_ms)
+        self.schedule_check()
 
-    def due(self, owned: Callable[[], Iterable[EndpointStats]], now_ms: float) -> list[Probe]:
+    def due_probes(self, owned: Callable[[], Iterable[EndpointStats]], now_ms: float) -> list[Probe]:
         """Return the probes to start now.
 
         Health probes go first, because they end requests that would only be rejected.
         """
-        if now_ms < self.next_look_ms:
+        if now_ms < self.next_check_ms:
             return []
         self._checked_ms = now_ms
         idle = [stats for stats in owned() if self._has_no_probe(stats)]
         due: list[Probe] = []
         for stats in idle:
-            if _health_due(stats, now_ms) and self.budget.take_probe(now_ms):
+            if _health_due(stats, now_ms) and self.budget.try_take_probe(now_ms):
                 due.append(self._start_probe(stats, True, now_ms))
         for stats in idle:
             if (
@@ -141,10 +141,10 @@
             ):
                 due.append(self._start_probe(stats, False, now_ms))
         due_times_ms = [self._next_due_ms(stats) for stats in idle if self._has_no_probe(stats)]
-        self.next_look_ms = max(
+        self.next_check_ms = max(
             min(due_times_ms, default=math.inf),
             self.budget.next_probe_ms(now_ms),
-            now_ms + LOOK_EVERY_MS,
+            now_ms + CHECK_EVERY_MS,
         )
         return due
 
@@ -153,10 +153,10 @@
 
     def _next_due_ms(self, stats: EndpointStats) -> float:
         """Return when an endpoint next needs a probe; load probes wait for their turn."""
-        health_ms = stats.health_ms + HEALTH_EVERY_MS
+        health_ms = stats.health_probed_ms + HEALTH_EVERY_MS
         if stats.draining:
             return health_ms
-        load_ms = max(stats.evidence_ms + STALE_EVIDENCE_MS, self._turn_ms)
+        load_ms = max(stats.last_evidence_ms + EVIDENCE_LIFETIME_MS, self._turn_ms)
         return min(health_ms, load_ms) if stats.refused else load_ms
 
     def _try_take_turn(self, now_ms: float) -> bool:
@@ -172,19 +172,19 @@
         if now_ms < self._turn_ms:
             return False
         self._turn_ms = -math.inf
-        return self.budget.take_probe(now_ms)
+        return self.budget.try_take_probe(now_ms)
 
     def _start_probe(self, stats: EndpointStats, health: bool, now_ms: float) -> Probe:
         if health:
-            stats.health_ms = now_ms
+            stats.health_probed_ms = now_ms
             stats.refused = False
         else:
-            stats.evidence_ms = now_ms
+            stats.last_evidence_ms = now_ms
         self._probing.add(stats.endpoint.address)
         return Probe(stats.endpoint.address, health)
 
 
-def budget_share(owned: int, total: int, homes: HomesChanged) -> float:
+def probe_budget_share(owned: int, total: int, homes: HomesChanged) -> float:
     """Return the share of a service's budget for a VM that owns `owned` of its `total` endpoints.
 
     A VM that is not a home gets none.  A home that treats the endpoints of unreachable homes as its
@@ -192,14 +192,14 @@
     """
     if homes.own_vm not in homes.homes or not total:
         return 0.0
-    return BUDGET_SAFETY_FACTOR * min(owned / total, REMOTE_TOLERANCE / len(homes.homes))
+    return BUDGET_SAFETY_FACTOR * min(owned / total, LOCAL_SHARE_FACTOR / len(homes.homes))
 
 
 def _health_due(stats: EndpointStats, now_ms: float) -> bool:
     is_needed = stats.refused or stats.draining
-    return is_needed and now_ms - stats.health_ms >= HEALTH_EVERY_MS
+    return is_needed and now_ms - stats.health_probed_ms >= HEALTH_EVERY_MS
 
 
 def _load_due(stats: EndpointStats, now_ms: float) -> bool:
-    fresh = now_ms - stats.evidence_ms < STALE_EVIDENCE_MS
+    fresh = now_ms - stats.last_evidence_ms < EVIDENCE_LIFETIME_MS
     return not (fresh or stats.used or stats.draining or _health_due(stats, now_ms))
--- a/cloverhook/own_limit.py
+++ b/cloverhook/own_limit.py
@@ -13,24 +13,24 @@
 
 from cloverhook.fleet import Priority
 
-__all__ = ["OwnLimit"]
+__all__ = ["LoadShedder"]
 
 SMOOTHING = 0.2
 LAG_LIMIT_MS = {Priority.LOW: 20.0, Priority.NORMAL: 50.0, Priority.HIGH: 150.0}
 
 
-class OwnLimit:
+class LoadShedder:
     """Tracks the load of this process; `busy` is the share of a core that it uses, 0 to 1."""
 
     def __init__(self) -> None:
-        self.late_ms = 0.0
+        self.lag_ms = 0.0
         self.busy = 0.0
 
-    def observe(self, late_ms: float, busy: float) -> None:
+    def observe(self, lag_ms: float, busy: float) -> None:
         """Record how late a scheduled call ran and the share of time the process was busy."""
-        self.late_ms += SMOOTHING * (max(0.0, late_ms) - self.late_ms)
+        self.lag_ms += SMOOTHING * (max(0.0, lag_ms) - self.lag_ms)
         self.busy += SMOOTHING * (busy - self.busy)
 
-    def refuses(self, priority: Priority) -> bool:
+    def should_shed(self, priority: Priority) -> bool:
         """Return whether new requests of this priority are to be rejected at once."""
-        return self.late_ms > LAG_LIMIT_MS[priority]
+        return self.lag_ms > LAG_LIMIT_MS[priority]
--- a/cloverhook/ownership.py
+++ b/cloverhook/ownership.py
@@ -15,13 +15,13 @@
 
 from cloverhook.fleet import Endpoint
 
-__all__ = ["REMOTE_TOLERANCE", "owned_slots", "owners"]
+__all__ = ["LOCAL_SHARE_FACTOR", "assign_owners", "owned_slots"]
 
-REMOTE_TOLERANCE = 1.25
+LOCAL_SHARE_FACTOR = 1.25
 """A home may own this many equal shares of the slots by endpoints in its own data centre."""
 
 
-def owners(
+def assign_owners(
     endpoints: Sequence[Endpoint], homes: Sequence[str], data_centers: Mapping[str, str]
 ) -> dict[str, str]:
     """Return a mapping from each endpoint's address to its owner.
@@ -46,7 +46,7 @@
     endpoints: Sequence[Endpoint], homes: Sequence[str], data_centers: Mapping[str, str]
 ) -> dict[str, float]:
     """Return how many slots each home owns, which determines its share of the callers."""
-    owner_of = owners(endpoints, homes, data_centers)
+    owner_of = assign_owners(endpoints, homes, data_centers)
     slots = dict.fromkeys(homes, 0.0)
     for endpoint in endpoints:
         if endpoint.address in owner_of:
@@ -62,7 +62,7 @@
     data_centers: Mapping[str, str],
 ) -> str:
     local = [vm for vm in order if data_centers.get(vm) == endpoint.data_center]
-    local_limit = math.ceil(fair_share * REMOTE_TOLERANCE)
+    local_limit = math.ceil(fair_share * LOCAL_SHARE_FACTOR)
     for vm in local:
         if owned[vm] + endpoint.slots <= max(local_limit, endpoint.slots):
             return vm
--- a/cloverhook/probing.py
+++ b/cloverhook/probing.py
@@ -61,9 +61,9 @@
             logging.debug("probing: the probe of %s failed or timed out.", address)
         load = draining = None
         if body is not None and health:
-            draining = draining_in(body)
+            draining = parse_draining(body)
         elif body is not None:
-            load = load_in(body)
+            load = parse_load(body)
         latency_ms = self._clock_ms() - started_ms
         self._on_ended(target.key, ProbeEnded(address, load, latency_ms, draining))
 
@@ -82,7 +82,7 @@
         return body
 
 
-def load_in(body: bytes) -> int | None:
+def parse_load(body: bytes) -> int | None:
     """Return the number of requests in flight that a load probe's answer reports, or None.
 
     >>> load_in(b'{"in_flight": 3, "slots": 4}')
@@ -95,7 +95,7 @@
     return load if is_count else None
 
 
-def draining_in(body: bytes) -> bool:
+def parse_draining(body: bytes) -> bool:
     """Return whether a health probe's answer reports that the backend server is draining.
 
     >>> draining_in(b'{"healthy": false, "draining": true}')
--- a/cloverhook/retry_after.py
+++ b/cloverhook/retry_after.py
@@ -6,7 +6,7 @@
 
 import random
 
-__all__ = ["ReturnTimes"]
+__all__ = ["RetryAfterTimes"]
 
 BASE_MS = 500.0
 MAX_MS = 15_000.0
@@ -15,18 +15,18 @@
 JITTER = 0.5
 
 
-class ReturnTimes:
+class RetryAfterTimes:
     """Tracks the share of rejected requests and computes retry delays from it."""
 
     def __init__(self, source: random.Random) -> None:
         self._random = source
         self._rejected_share = 0.0
 
-    def admitted(self) -> None:
+    def record_admission(self) -> None:
         """Count a request that was not rejected."""
         self._rejected_share -= SMOOTHING * self._rejected_share
 
-    def refused(self, wait_ms: float) -> float:
+    def record_rejection(self, wait_ms: float) -> float:
         """Count a rejected request and return the milliseconds after which it may be retried.
 
         `wait_ms` is the expected wait at this VM; it is added to the base delay.
--- a/cloverhook/retry_budget.py
+++ b/cloverhook/retry_budget.py
@@ -22,11 +22,11 @@
     def __init__(self) -> None:
         self._available = RESERVE
 
-    def earn(self, ratio: float) -> None:
+    def count_request(self, ratio: float) -> None:
         """Add `ratio` of a retry for a new request."""
         self._available = min(CAPACITY, self._available + ratio)
 
-    def take(self) -> bool:
+    def try_take(self) -> bool:
         """Use one retry and return True, or return False if the budget allows none."""
         if self._available < 1:
             return False
--- a/cloverhook/routing_events.py
+++ b/cloverhook/routing_events.py
@@ -19,16 +19,16 @@
     "Arrival",
     "AttemptEnded",
     "AttemptResult",
-    "CallerGone",
+    "CallerDisconnected",
     "EndpointsChanged",
     "Event",
     "HomesChanged",
-    "PeerSaid",
+    "PeerMessageReceived",
     "Probe",
     "ProbeEnded",
-    "Refuse",
+    "Reject",
+    "SendMessage",
     "Start",
-    "Tell",
     "Tick",
 ]
 
@@ -87,12 +87,12 @@
     result: AttemptResult
     latency_ms: float
     load: int | None = None
-    again: bool = False
-    leaving: bool = False
+    wants_retry: bool = False
+    server_draining: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class CallerGone:
+class CallerDisconnected:
     """The caller of a queued request has disconnected."""
 
     request_id: str
@@ -125,7 +125,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerSaid:
+class PeerMessageReceived:
     """Another VM has sent a message about this service."""
 
     vm: str
@@ -148,10 +148,10 @@
 Event = (
     Arrival
     | AttemptEnded
-    | CallerGone
+    | CallerDisconnected
     | EndpointsChanged
     | HomesChanged
-    | PeerSaid
+    | PeerMessageReceived
     | ProbeEnded
     | Tick
 )
@@ -166,7 +166,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Refuse:
+class Reject:
     """Give a request its final answer without another attempt."""
 
     request_id: str
@@ -183,11 +183,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendMessage:
     """Send a message about this service to another VM."""
 
     vm: str
     message: Message
 
 
-Action = Start | Refuse | Probe | Tell
+Action = Start | Reject | Probe | SendMessage
--- a/cloverhook/slot_exchange.py
+++ b/cloverhook/slot_exchange.py
@@ -8,11 +8,11 @@
 
 from collections.abc import Iterable, Mapping
 
-from cloverhook.lending import ASK_LIFETIME_MS, LOAN_MS, Ask, Borrowed, Lent, Peer
-from cloverhook.messages import SlotAsk, SlotGrant, SlotReturn
-from cloverhook.routing_events import Tell
+from cloverhook.lending import LOAN_MS, SLOT_REQUEST_LIFETIME_MS, BorrowedSlots, LendingPeer, LentSlots, PeerSlotRequest
+from cloverhook.messages import SlotGrant, SlotRequest, SlotReturn
+from cloverhook.routing_events import SendMessage
 from cloverhook.token_bucket import TokenBucket
-from cloverhook.waiting import WaitingLine
+from cloverhook.waiting import RequestQueue
 
 __all__ = ["SlotExchange"]
 
@@ -46,30 +46,30 @@
     def __init__(self, service: str, peer_bytes: TokenBucket) -> None:
         self._service = service
         self._peer_bytes = peer_bytes
-        self._peers: dict[str, Peer] = {}
-        self._requesters: dict[str, Peer] = {}
-        self.borrowed = Borrowed()
-        self.lent = Lent()
+        self._peers: dict[str, LendingPeer] = {}
+        self._requesters: dict[str, LendingPeer] = {}
+        self.borrowed = BorrowedSlots()
+        self.lent = LentSlots()
 
     def set_owners(self, vms: Iterable[str]) -> None:
         """Set the other VMs that own endpoints of the service."""
-        self._peers = {vm: self._peers.get(vm, Peer(vm)) for vm in vms}
+        self._peers = {vm: self._peers.get(vm, LendingPeer(vm)) for vm in vms}
 
-    def silent(self) -> set[str]:
+    def unresponsive_owners(self) -> set[str]:
         """Return the owners that don't answer slot requests."""
-        return {peer.vm for peer in self._peers.values() if peer.silent}
+        return {peer.vm for peer in self._peers.values() if peer.unresponsive}
 
-    def may_ask(self, now_ms: float) -> bool:
+    def can_send_request(self, now_ms: float) -> bool:
         """Return whether the byte budget allows a slot request."""
         return self._peer_bytes.has(now_ms)
 
-    def peers_working(self) -> bool:
+    def has_working_peer(self) -> bool:
         """Return whether any other owner that answers may have a working endpoint."""
-        return any(peer.working and not peer.silent for peer in self._peers.values())
+        return any(peer.has_working_endpoint and not peer.unresponsive for peer in self._peers.values())
 
-    def has_peers(self) -> bool:
+    def has_responsive_peer(self) -> bool:
         """Return whether any other owner answers slot requests."""
-        return any(not peer.silent for peer in self._peers.values())
+        return any(not peer.unresponsive for peer in self._peers.values())
 
     def next_wake_ms(self, now_ms: float, waiting: bool) -> float:
         """Return when the exchange next needs a tick, or infinity if it needs none.
@@ -77,32 +77,32 @@
         `waiting` says whether requests are queued.  Slot requests of other VMs expire after a short
         time, and those of this VM are withdrawn soon after its queue becomes empty.
         """
-        wake_ms = self.lent.next_end_ms()
-        if any(peer.ask is not None for peer in self._requesters.values()):
+        wake_ms = self.lent.next_expiry_ms()
+        if any(peer.slot_request is not None for peer in self._requesters.values()):
             wake_ms = min(wake_ms, now_ms + TICK_MS)
         for peer in self._peers.values():
-            if peer.asked_ms is not None and not peer.silent:
-                wake_ms = min(wake_ms, peer.asked_ms + ANSWER_TIMEOUT_MS)
-            if peer.sent_waiting and not waiting:
+            if peer.unanswered_since_ms is not None and not peer.unresponsive:
+                wake_ms = min(wake_ms, peer.unanswered_since_ms + ANSWER_TIMEOUT_MS)
+            if peer.requested_slots and not waiting:
                 wake_ms = min(wake_ms, now_ms + TICK_MS)
         if self.borrowed.idle and not waiting:
             wake_ms = min(wake_ms, now_ms + TICK_MS)
         return wake_ms
 
-    def find_silent(self, now_ms: float) -> bool:
+    def detect_unresponsive(self, now_ms: float) -> bool:
         """Mark owners that leave a slot request unanswered as unresponsive.
 
         Returns whether an owner has been newly marked.
         """
         newly_marked = False
         for peer in self._peers.values():
-            is_overdue = peer.asked_ms is not None and now_ms - peer.asked_ms > ANSWER_TIMEOUT_MS
-            if is_overdue and not peer.silent:
-                peer.silent = True
+            is_overdue = peer.unanswered_since_ms is not None and now_ms - peer.unanswered_since_ms > ANSWER_TIMEOUT_MS
+            if is_overdue and not peer.unresponsive:
+                peer.unresponsive = True
                 newly_marked = True
         return newly_marked
 
-    def heard(self, vm: str, now_ms: float) -> bool:
+    def record_message(self, vm: str, now_ms: float) -> bool:
         """Record a message of any kind from a VM.
 
         Returns whether the VM is an owner that had been unresponsive.
@@ -110,15 +110,15 @@
         peer = self._peers.get(vm)
         if peer is None:
             return False
-        was_silent, peer.silent = peer.silent, False
+        was_silent, peer.unresponsive = peer.unresponsive, False
         return was_silent
 
-    def take_ask(self, vm: str, message: SlotAsk, now_ms: float) -> None:
+    def record_request(self, vm: str, message: SlotRequest, now_ms: float) -> None:
         """Record the slot request of another VM, or its withdrawal."""
-        peer = self._requesters.setdefault(vm, Peer(vm))
-        peer.ask = Ask.from_message(vm, message, now_ms) if message.waiting else None
+        peer = self._requesters.setdefault(vm, LendingPeer(vm))
+        peer.slot_request = PeerSlotRequest.from_message(vm, message, now_ms) if message.waiting else None
 
-    def take_grant(
+    def record_grant(
         self, vm: str, message: SlotGrant, addresses: Iterable[str], now_ms: float
     ) -> None:
         """Record the answer to a slot request.
@@ -127,42 +127,42 @@
         """
         peer = self._peers.get(vm)
         if peer is not None:
-            peer.heard(now_ms)
-            peer.working = message.working
-            peer.got += len(message.addresses)
+            peer.record_answer(now_ms)
+            peer.has_working_endpoint = message.has_working_endpoint
+            peer.granted_slots += len(message.addresses)
         for address in addresses:
-            self.borrowed.put(address, vm, now_ms + LOAN_MS, now_ms)
+            self.borrowed.add_idle(address, vm, now_ms + LOAN_MS, now_ms)
 
-    def best_ask(self, now_ms: float) -> Ask | None:
+    def best_request(self, now_ms: float) -> PeerSlotRequest | None:
         """Return the open slot request with the highest priority and then the longest wait.
 
         Slot requests of owners are skipped while this VM itself holds borrowed slots.
         """
-        best: Ask | None = None
+        best: PeerSlotRequest | None = None
         for peer in self._requesters.values():
-            if peer.ask is None:
+            if peer.slot_request is None:
                 continue
-            if not peer.ask.stands(now_ms):
-                peer.ask = None
+            if not peer.slot_request.is_open(now_ms):
+                peer.slot_request = None
             elif self.borrowed.count and peer.vm in self._peers:
                 continue
-            elif best is None or _rank(peer.ask, now_ms) < _rank(best, now_ms):
-                best = peer.ask
+            elif best is None or _rank(peer.slot_request, now_ms) < _rank(best, now_ms):
+                best = peer.slot_request
         return best
 
-    def wants_back(self, owner: str, queue: WaitingLine, now_ms: float) -> bool:
+    def should_return(self, owner: str, queue: RequestQueue, now_ms: float) -> bool:
         """Return whether a slot borrowed from this owner should be returned after its use."""
-        if self.lent.to_vm(owner):
+        if self.lent.has_lent_to(owner):
             return True
         peer = self._requesters.get(owner)
-        if peer is None or peer.ask is None or not peer.ask.stands(now_ms):
+        if peer is None or peer.slot_request is None or not peer.slot_request.is_open(now_ms):
             return False
         own = queue.first()
-        if own is None or peer.ask.priority < own.arrival.priority:
+        if own is None or peer.slot_request.priority < own.arrival.priority:
             return True
-        return peer.ask.told_ms() + RETURN_WAIT_MARGIN_MS > now_ms - own.arrived_ms
+        return peer.slot_request.wait_when_sent_ms() + RETURN_WAIT_MARGIN_MS > now_ms - own.arrived_ms
 
-    def goes_first(self, ask: Ask, queue: WaitingLine, now_ms: float) -> bool:
+    def precedes_own_queue(self, ask: PeerSlotRequest, queue: RequestQueue, now_ms: float) -> bool:
         """Return whether a slot request precedes this VM's own queued requests.
 
         A lent slot is idle while the grant and the return are in transit.  An owner with queued
@@ -177,12 +177,12 @@
             return ask.priority < own.arrival.priority
         own_ms = now_ms - own.arrived_ms
         if ask.vm not in self._peers:
-            return ask.waited_ms(now_ms) > own_ms
+            return ask.estimated_wait_ms(now_ms) > own_ms
         return (
-            ask.told_ms() > own_ms + LEND_WAIT_MARGIN_MS and self.lent.count() < MAX_LENT_WITH_QUEUE
+            ask.wait_when_sent_ms() > own_ms + LEND_WAIT_MARGIN_MS and self.lent.count() < MAX_LENT_WITH_QUEUE
         )
 
-    def asks(self, queue: WaitingLine, wait_ms: float, now_ms: float) -> list[Tell]:
+    def request_slots(self, queue: RequestQueue, wait_ms: float, now_ms: float) -> list[SendMessage]:
         """Return the slot requests to send for the queued requests.
 
         `wait_ms` is how long the last queued request would wait for one of this VM's own slots; it
@@ -194,42 +194,42 @@
         peers = [
             peer
             for peer in self._peers.values()
-            if not peer.silent and wait_ms > MIN_WAIT_ROUND_TRIPS * peer.round_trip_ms
+            if not peer.unresponsive and wait_ms > MIN_WAIT_ROUND_TRIPS * peer.round_trip_ms
         ]
         owns_none = wait_ms == float("inf")
         reserve = OWNER_RESERVE if wait_ms < LONG_WAIT_MS else LONG_WAIT_RESERVE
         if owns_none and now_ms - first.arrived_ms < REQUEST_ALL_AFTER_MS:
             peers = sorted(peers, key=lambda peer: peer.round_trip_ms)[:1]
-        messages: list[Tell] = []
+        messages: list[SendMessage] = []
         for peer in peers:
             messages.extend(
                 self._request_slots_of(peer, queue, 0.0 if owns_none else reserve, now_ms)
             )
         return messages
 
-    def withdraw(self, now_ms: float) -> list[Tell]:
+    def withdraw_requests(self, now_ms: float) -> list[SendMessage]:
         """Return the messages that withdraw open slot requests, once the queue is empty."""
-        messages: list[Tell] = []
+        messages: list[SendMessage] = []
         for peer in self._peers.values():
-            if peer.sent_waiting:
-                if peer.got >= peer.sent_waiting or now_ms - peer.sent_ms > ASK_LIFETIME_MS:
-                    peer.sent_waiting = 0
+            if peer.requested_slots:
+                if peer.granted_slots >= peer.requested_slots or now_ms - peer.last_request_ms > SLOT_REQUEST_LIFETIME_MS:
+                    peer.requested_slots = 0
                     continue
-                peer.sent_waiting = 0
-                messages.append(self._send(peer.vm, SlotAsk(self._service, 0, 0, 0), now_ms))
+                peer.requested_slots = 0
+                messages.append(self._send(peer.vm, SlotRequest(self._service, 0, 0, 0), now_ms))
         return messages
 
-    def grant(self, vm: str, addresses: Iterable[str], working: bool, now_ms: float) -> Tell:
+    def grant_slots(self, vm: str, addresses: Iterable[str], working: bool, now_ms: float) -> SendMessage:
         """Return the answer to a slot request; `working` is false if no owned endpoint works."""
         return self._send(vm, SlotGrant(self._service, tuple(addresses), working), now_ms)
 
-    def may_grant(self, now_ms: float) -> bool:
+    def can_send_grant(self, now_ms: float) -> bool:
         """Return whether the byte budget allows a grant."""
         return self._peer_bytes.has(now_ms)
 
-    def give_back(
+    def return_slots(
         self, slots: Iterable[tuple[str, str]], suspicion: Mapping[str, int], now_ms: float
-    ) -> list[Tell]:
+    ) -> list[SendMessage]:
         """Return the messages that return slots to their owners.
 
         Each slot is an address and its owner; `suspicion` gives the evidence of trouble seen at an
@@ -238,38 +238,38 @@
         by_owner: dict[str, list[str]] = {}
         for address, owner in slots:
             by_owner.setdefault(owner, []).append(address)
-        messages: list[Tell] = []
+        messages: list[SendMessage] = []
         for owner, addresses in by_owner.items():
             evidence = tuple(suspicion.get(address, 0) for address in addresses)
             message = SlotReturn(self._service, tuple(addresses), evidence)
             messages.append(self._send(owner, message, now_ms))
         return messages
 
-    def _send(self, vm: str, message: SlotAsk | SlotGrant | SlotReturn, now_ms: float) -> Tell:
-        addresses = () if isinstance(message, SlotAsk) else message.addresses
+    def _send(self, vm: str, message: SlotRequest | SlotGrant | SlotReturn, now_ms: float) -> SendMessage:
+        addresses = () if isinstance(message, SlotRequest) else message.addresses
         size = FRAME_BYTES + len(self._service) + sum(len(item) + 2 for item in addresses)
         self._peer_bytes.charge(size, now_ms)
-        return Tell(vm, message)
+        return SendMessage(vm, message)
 
     def _request_slots_of(
-        self, peer: Peer, queue: WaitingLine, reserve: float, now_ms: float
-    ) -> list[Tell]:
-        since_ms = now_ms - peer.sent_ms
-        has_grown = len(queue) > 2 * peer.sent_waiting
+        self, peer: LendingPeer, queue: RequestQueue, reserve: float, now_ms: float
+    ) -> list[SendMessage]:
+        since_ms = now_ms - peer.last_request_ms
+        has_grown = len(queue) > 2 * peer.requested_slots
         if since_ms < MIN_RESEND_MS or (since_ms < RESEND_MS and not has_grown):
             return []
         if not self._peer_bytes.has(now_ms, reserve):
             return []
-        peer.sent_ms = now_ms
-        peer.sent_waiting = len(queue)
-        peer.got = 0
-        if peer.asked_ms is None:
-            peer.asked_ms = now_ms
+        peer.last_request_ms = now_ms
+        peer.requested_slots = len(queue)
+        peer.granted_slots = 0
+        if peer.unanswered_since_ms is None:
+            peer.unanswered_since_ms = now_ms
         first = queue.first()
         oldest_ms = int(now_ms - first.arrived_ms)
-        message = SlotAsk(self._service, int(first.arrival.priority), len(queue), oldest_ms)
+        message = SlotRequest(self._service, int(first.arrival.priority), len(queue), oldest_ms)
         return [self._send(peer.vm, message, now_ms)]
 
 
-def _rank(ask: Ask, now_ms: float) -> tuple[int, float]:
-    return (ask.priority, -ask.waited_ms(now_ms))
+def _rank(ask: PeerSlotRequest, now_ms: float) -> tuple[int, float]:
+    return (ask.priority, -ask.estimated_wait_ms(now_ms))
--- a/cloverhook/slot_pool.py
+++ b/cloverhook/slot_pool.py
@@ -51,13 +51,13 @@
         if address not in self._slots_of:
             return
         self._remove_from_bucket(address)
-        if stats.room(now_ms) <= 0:
+        if stats.free_slots(now_ms) <= 0:
             return
         key = (stats.endpoint.data_center != self._data_center, stats.used)
         self._buckets.setdefault(key, {})[address] = stats
         self._bucket_of[address] = key
 
-    def first(self, avoid: str = "") -> EndpointStats | None:
+    def best(self, avoid: str = "") -> EndpointStats | None:
         """Return the best endpoint with a free slot, or None.
 
         The endpoint with the address `avoid` is returned only if no other one has a free slot.
--- a/cloverhook/steering.py
+++ b/cloverhook/steering.py
@@ -11,14 +11,14 @@
 
 from cloverhook.members import Member
 
-__all__ = ["AnswerOrder", "answer_lifetime_ms", "home_vms", "ranked"]
+__all__ = ["HomeRotation", "answer_lifetime_ms", "home_vms", "rendezvous_order"]
 
 UNSETTLED_MS = 2_000
 UNSETTLED_LIFETIME_MS = 250
 """Limits how long callers may cache an answer within `UNSETTLED_MS` of a change of the homes."""
 
 
-def ranked(key: str, members: Sequence[Member]) -> list[Member]:
+def rendezvous_order(key: str, members: Sequence[Member]) -> list[Member]:
     """Return the members in the rendezvous order of the key, first choice first."""
     return sorted(members, key=lambda member: _weight(key, member.vm), reverse=True)
 
@@ -29,7 +29,7 @@
     Each round takes the highest-ranked remaining VM of every data centre.
     """
     homes: list[Member] = []
-    remaining = ranked(service_key, members)
+    remaining = rendezvous_order(service_key, members)
     while remaining and len(homes) < count:
         seen: set[str] = set()
         for member in tuple(remaining):
@@ -47,7 +47,7 @@
     return lifetime_ms
 
 
-class AnswerOrder:
+class HomeRotation:
     """Rotates the order in which answers to callers list a service's home VMs.
 
     Callers that use only the first address of an answer must not overload one home.  Weighted
@@ -59,7 +59,7 @@
         self._random = source
         self._credit: dict[str, dict[str, float]] = {}
 
-    def next(
+    def next_order(
         self, service_key: str, homes: Sequence[Member], weights: Mapping[str, float]
     ) -> list[Member]:
         """Return the homes in the order for the service's next answer."""
--- a/cloverhook/token_bucket.py
+++ b/cloverhook/token_bucket.py
@@ -28,7 +28,7 @@
         self._capacity = capacity
         self._tokens = min(self._tokens, capacity)
 
-    def take(self, cost: float, now_ms: float) -> bool:
+    def try_take(self, cost: float, now_ms: float) -> bool:
         """Take `cost` tokens and return True, or take none and return False if there are fewer."""
         self._refill(now_ms)
         if self._tokens < cost:
--- a/cloverhook/waiting.py
+++ b/cloverhook/waiting.py
@@ -11,11 +11,11 @@
 from cloverhook.fleet import Priority
 from cloverhook.routing_events import Arrival
 
-__all__ = ["Request", "WaitingLine"]
+__all__ = ["PendingRequest", "RequestQueue"]
 
 
 @dataclass(slots=True)
-class Request:
+class PendingRequest:
     """A request that the router has accepted and that has not ended yet."""
 
     arrival: Arrival
@@ -25,11 +25,11 @@
     started_ms: float = 0.0
 
 
-class WaitingLine:
+class RequestQueue:
     """The queued requests of one service."""
 
     def __init__(self) -> None:
-        self._queues: dict[Priority, OrderedDict[str, Request]] = {
+        self._queues: dict[Priority, OrderedDict[str, PendingRequest]] = {
             priority: OrderedDict() for priority in Priority
         }
         self._expiries: list[tuple[float, str]] = []
@@ -38,14 +38,14 @@
     def __len__(self) -> int:
         return self._count
 
-    def add(self, request: Request, give_up_ms: float) -> None:
+    def add(self, request: PendingRequest, give_up_ms: float) -> None:
         """Append a request to the queue of its priority.  It expires at `give_up_ms`."""
         request_id = request.arrival.request_id
         self._queues[request.arrival.priority][request_id] = request
         heapq.heappush(self._expiries, (give_up_ms, request_id))
         self._count += 1
 
-    def remove(self, request: Request) -> bool:
+    def remove(self, request: PendingRequest) -> bool:
         """Remove a request and return whether it was queued."""
         queue = self._queues[request.arrival.priority]
         if queue.pop(request.arrival.request_id, None) is None:
@@ -55,35 +55,35 @@
             self._expiries.clear()
         return True
 
-    def first(self) -> Request | None:
+    def first(self) -> PendingRequest | None:
         """Return the oldest request of the highest priority, or None if the queue is empty."""
         for queue in self._queues.values():
             if queue:
                 return next(iter(queue.values()))
         return None
 
-    def least(self) -> Request | None:
+    def shed_candidate(self) -> PendingRequest | None:
         """Return the newest request of the lowest priority, or None if the queue is empty."""
         for queue in reversed(self._queues.values()):
             if queue:
                 return next(reversed(queue.values()))
         return None
 
-    def ahead_of(self, priority: Priority) -> int:
+    def count_ahead(self, priority: Priority) -> int:
         """Return how many queued requests a new request of this priority would have to wait for."""
         return sum(len(queue) for level, queue in self._queues.items() if level <= priority)
 
-    def next_end_ms(self) -> float:
+    def next_expiry_ms(self) -> float:
         """Return the earliest time at which a request may expire, or infinity if there is none."""
         return self._expiries[0][0] if self._expiries else math.inf
 
-    def overdue(self, now_ms: float, requests: dict[str, Request]) -> list[Request]:
+    def pop_overdue(self, now_ms: float, requests: dict[str, PendingRequest]) -> list[PendingRequest]:
         """Remove and return the queued requests that have expired.
 
         `requests` holds all accepted requests by identifier.  Expiry times whose request is no
         longer there or no longer queued are skipped.
         """
-        expired: list[Request] = []
+        expired: list[PendingRequest] = []
         while self._expiries and self._expiries[0][0] <= now_ms:
             _, request_id = heapq.heappop(self._expiries)
             request = requests.get(request_id)
