--- a/cloverhook/measuring.py
+++ b/cloverhook/measuring.py
@@ -77,7 +77,7 @@
 class ProbeSpacing:
     """Spaces out the probes of a daemon, in the order of their bookings.
 
-    >>> turns = ProbeSpacing(probes_per_s=10)
+    >>> turns = ProbeTurns(probes_per_s=10)
     >>> turns.book(0.0), turns.book(0.0), turns.book(500.0)
     (0.0, 100.0, 500.0)
     """
--- a/cloverhook/token_bucket.py
+++ b/cloverhook/token_bucket.py
@@ -3,7 +3,7 @@
 Layer: state.
 
 >>> bucket = TokenBucket(rate_per_s=10, capacity=2)
->>> [bucket.try_take(1, now_ms) for now_ms in (0.0, 0.0, 0.0, 100.0)]
+>>> [bucket.take(1, 0.0), bucket.take(1, 0.0), bucket.take(1, 0.0), bucket.take(1, 100.0)]
 [True, True, False, True]
 """
 
