--- a/cloverhook/admission.py
+++ b/cloverhook/admission.py
@@ -7,9 +7,9 @@
 more than twice the limit in progress.
 
 >>> admission = Admission(limit=2)
->>> [admission.enter("saltbush") for _ in range(3)]
+>>> [admission.try_enter("saltbush") for _ in range(3)]
 [True, True, False]
->>> admission.enter("brathwaite")
+>>> admission.try_enter("brathwaite")
 True
 """
 
--- a/cloverhook/dispatch.py
+++ b/cloverhook/dispatch.py
@@ -84,7 +84,10 @@
     """The service routers of this daemon and the requests that wait for their decisions."""
 
     def __init__(
-        self, source: random.Random, transport: DispatchTransport, observer: DispatchObserver | None = None
+        self,
+        source: random.Random,
+        transport: DispatchTransport,
+        observer: DispatchObserver | None = None,
     ) -> None:
         self._random = source
         self._observer = observer
@@ -92,7 +95,7 @@
         self.load_shedder = LoadShedder()
         self._retry_after = RetryAfterTimes(source)
         self._peer_bytes = TokenBucket(PEER_BYTES_PER_S, PEER_BYTES_PER_S)
-        self._probe_turns = ProbeSpacing()
+        self._probe_spacing = ProbeSpacing()
         self._brands: Mapping[str, BrandState] = {}
         self._active_targets: tuple[Target, ...] = ()
         self._targets_by_host: dict[bytes, Target] = {}
@@ -300,7 +303,7 @@
             self._endpoints.setdefault(endpoint.address, {})[target.key] = endpoint
         if target.key not in self._routers:
             source = random.Random(self._random.random())
-            router = ServiceRouter(source, target.key, self._peer_bytes, self._probe_turns)
+            router = ServiceRouter(source, target.key, self._peer_bytes, self._probe_spacing)
             self._routers[target.key] = router
             # Each attribute access on a single-dispatch method creates a new function, so the
             # bound function is kept.
--- a/cloverhook/endpoint_stats.py
+++ b/cloverhook/endpoint_stats.py
@@ -45,7 +45,8 @@
 
     `started_ms` holds the start times of this VM's own requests in flight there, `lent` counts the
     slots granted to other VMs, and `limit` is how many slots may be in use at once.  `refused` is
-    set if the endpoint has rejected a request since its health was last probed, at `health_ms`.
+    set if the endpoint has rejected a request since its health was last probed, at
+    `health_probed_ms`.
     """
 
     endpoint: Endpoint
@@ -137,13 +138,13 @@
         """Return whether trials have reduced the evidence enough to end the probation."""
         return self.slowness < SLOW_AT / 2 and self.failures < FAILING_CLEAR_AT
 
-    def start_probation(self, trouble: ProbationReason, now_ms: float) -> None:
+    def start_probation(self, reason: ProbationReason, now_ms: float) -> None:
         """Put the endpoint on probation.
 
         A slow endpoint keeps its limit, because it is used when the queue is long.
         """
-        self.probation_reason = trouble
-        if trouble == ProbationReason.SLOW:
+        self.probation_reason = reason
+        if reason == ProbationReason.SLOW:
             self.slowness = SLOW_AT
         else:
             self.limit = 1
@@ -163,14 +164,14 @@
     def record_load(self, load: int, now_ms: float) -> None:
         """Record the load reported by an answer or a probe.
 
-        `foreign` becomes the part of the load that this VM's own count does not explain.
+        `external_in_flight` becomes the part of the load that this VM's own count does not explain.
         """
         self.external_in_flight = max(0, min(load - self.used, self.endpoint.slots - 1))
         self.reported_ms = now_ms
 
-    def record_peer_evidence(self, suspicion: float) -> None:
+    def record_peer_evidence(self, evidence: float) -> None:
         """Record another VM's evidence, which alone can't put the endpoint on probation."""
-        self.slowness = max(self.slowness, min(suspicion, SLOW_AT - 1))
+        self.slowness = max(self.slowness, min(evidence, SLOW_AT - 1))
 
     def _add_slowness(self, evidence: float) -> None:
         self.slowness = max(0.0, min(SLOW_AT, self.slowness + evidence))
--- a/cloverhook/endpoint_table.py
+++ b/cloverhook/endpoint_table.py
@@ -92,7 +92,7 @@
         """Return the owned endpoint for a request, or None if the request should wait.
 
         `wait_ms` is how long the request would wait otherwise.  If no healthy endpoint is left, a
-        slow one is used, unless the request is `patient`: it may wait for a slot of another VM.
+        slow one is used unless `may_wait_for_peer` is set: another VM may have a slot for it.
         """
         trial = self._due_trial(now_ms)
         if trial is not None:
@@ -147,16 +147,16 @@
         stats.lent += 1
         self.update(stats, now_ms)
 
-    def release_lent(self, address: str, suspicion: float, now_ms: float) -> None:
+    def release_lent(self, address: str, evidence: float, now_ms: float) -> None:
         """Record that a lent slot is free again.
 
-        `suspicion` is the borrower's evidence of trouble at the endpoint.
+        `evidence` is the borrower's evidence of trouble at the endpoint.
         """
         stats = self._stats.get(address)
         if stats is None:
             return
         stats.lent = max(0, stats.lent - 1)
-        stats.record_peer_evidence(suspicion)
+        stats.record_peer_evidence(evidence)
         self.update(stats, now_ms)
 
     def record_probe(self, stats: EndpointStats, event: ProbeEnded, now_ms: float) -> None:
@@ -191,13 +191,15 @@
         elif stats.looks_slow(self.model, now_ms):
             self._start_probation(stats, ProbationReason.SLOW, now_ms)
 
-    def _start_probation(self, stats: EndpointStats, trouble: ProbationReason, now_ms: float) -> None:
-        if trouble == ProbationReason.FAILING and not self._may_mark_failing():
+    def _start_probation(
+        self, stats: EndpointStats, reason: ProbationReason, now_ms: float
+    ) -> None:
+        if reason == ProbationReason.FAILING and not self._may_mark_failing():
             return
-        stats.start_probation(trouble, now_ms)
+        stats.start_probation(reason, now_ms)
         if stats.endpoint.address in self._owned:
             self._place_in_pool(stats, now_ms)
-        if trouble == ProbationReason.SLOW and not self._pool.slots:
+        if reason == ProbationReason.SLOW and not self._pool.slots:
             self.model.relearn()
 
     def _may_mark_failing(self) -> bool:
--- a/cloverhook/measuring.py
+++ b/cloverhook/measuring.py
@@ -77,7 +77,7 @@
 class ProbeSpacing:
     """Spaces out the probes of a daemon, in the order of their bookings.
 
-    >>> turns = ProbeTurns(probes_per_s=10)
+    >>> turns = ProbeSpacing(probes_per_s=10)
     >>> turns.book(0.0), turns.book(0.0), turns.book(500.0)
     (0.0, 100.0, 500.0)
     """
@@ -120,7 +120,9 @@
         self.budget.charge_overrun(latency_ms, now_ms)
         self.schedule_check()
 
-    def due_probes(self, owned: Callable[[], Iterable[EndpointStats]], now_ms: float) -> list[Probe]:
+    def due_probes(
+        self, owned: Callable[[], Iterable[EndpointStats]], now_ms: float
+    ) -> list[Probe]:
         """Return the probes to start now.
 
         Health probes go first, because they end requests that would only be rejected.
--- a/cloverhook/own_limit.py
+++ b/cloverhook/own_limit.py
@@ -5,9 +5,9 @@
 close to its limit rejects the requests of the lowest priorities at once, rather than being slow
 for all requests.
 
->>> limit = OwnLimit()
->>> limit.observe(late_ms=400.0, busy=1.0)
->>> [limit.refuses(priority) for priority in (Priority.HIGH, Priority.NORMAL, Priority.LOW)]
+>>> shedder = LoadShedder()
+>>> shedder.observe(lag_ms=400.0, busy=1.0)
+>>> [shedder.should_shed(priority) for priority in (Priority.HIGH, Priority.NORMAL, Priority.LOW)]
 [False, True, True]
 """
 
--- a/cloverhook/probing.py
+++ b/cloverhook/probing.py
@@ -85,9 +85,9 @@
 def parse_load(body: bytes) -> int | None:
     """Return the number of requests in flight that a load probe's answer reports, or None.
 
-    >>> load_in(b'{"in_flight": 3, "slots": 4}')
+    >>> parse_load(b'{"in_flight": 3, "slots": 4}')
     3
-    >>> load_in(b"not found") is None
+    >>> parse_load(b"not found") is None
     True
     """
     load = _parse_document(body).get("in_flight")
@@ -98,7 +98,7 @@
 def parse_draining(body: bytes) -> bool:
     """Return whether a health probe's answer reports that the backend server is draining.
 
-    >>> draining_in(b'{"healthy": false, "draining": true}')
+    >>> parse_draining(b'{"healthy": false, "draining": true}')
     True
     """
     return _parse_document(body).get("draining") is True
--- a/cloverhook/retry_budget.py
+++ b/cloverhook/retry_budget.py
@@ -6,7 +6,7 @@
 chain of calls only the layer next to the failure retries.
 
 >>> budget = RetryBudget()
->>> [budget.take() for _ in range(4)]
+>>> [budget.try_take() for _ in range(4)]
 [True, True, True, False]
 """
 
--- a/cloverhook/routing.py
+++ b/cloverhook/routing.py
@@ -94,7 +94,7 @@
         return self._table.owns(address)
 
     def probation_reason_of(self, address: str) -> int:
-        """Return why an endpoint is on probation, as a number of `endpoint_stats.Trouble`."""
+        """Return the `endpoint_stats.ProbationReason` of an endpoint as a number."""
         stats = self._table.get(address)
         return 0 if stats is None else int(stats.probation_reason)
 
@@ -155,8 +155,8 @@
                 return tuple(self._handle_slot_request(event.vm, event.message, now_ms))
             case SlotGrant():
                 return tuple(self._handle_grant(event.vm, event.message, now_ms))
-            case SlotReturn(_, addresses, suspicion):
-                for address, evidence in zip(addresses, suspicion, strict=False):
+            case SlotReturn(_, addresses, failure_evidence):
+                for address, evidence in zip(addresses, failure_evidence, strict=False):
                     if self._slot_exchange.lent.record_return(event.vm, address):
                         self._table.release_lent(address, evidence, now_ms)
                 return tuple(self._assign_slots(now_ms))
@@ -305,7 +305,9 @@
         actions.extend(self._update_slot_requests(now_ms))
         return actions
 
-    def _grant_slot(self, slot_request: PeerSlotRequest, grants: dict[str, list[str]], now_ms: float) -> bool:
+    def _grant_slot(
+        self, slot_request: PeerSlotRequest, grants: dict[str, list[str]], now_ms: float
+    ) -> bool:
         stats = self._table.find_lendable()
         if stats is None or not self._slot_exchange.can_send_grant(now_ms):
             return False
@@ -328,7 +330,9 @@
         actions = self._assign_slots(now_ms)
         answered = any(isinstance(item, SendMessage) and item.vm == vm for item in actions)
         if message.waiting and not answered:
-            actions.append(self._slot_exchange.grant_slots(vm, (), self._owns_working_endpoint(), now_ms))
+            actions.append(
+                self._slot_exchange.grant_slots(vm, (), self._owns_working_endpoint(), now_ms)
+            )
         return actions
 
     def _handle_grant(self, vm: str, message: SlotGrant, now_ms: float) -> list[Action]:
@@ -342,9 +346,9 @@
         if loan is None:
             return []
         owner, ends_ms = loan
-        should_return = self._slot_exchange.should_return(owner, self._queue, now_ms)
+        must_return = self._slot_exchange.should_return(owner, self._queue, now_ms)
         succeeded = event.result is AttemptResult.ANSWERED
-        if succeeded and now_ms < ends_ms and not should_return:
+        if succeeded and now_ms < ends_ms and not must_return:
             self._slot_exchange.borrowed.add_idle(event.address, owner, ends_ms, now_ms)
             return []
         stats = self._table.get(event.address)
--- a/cloverhook/routing_events.py
+++ b/cloverhook/routing_events.py
@@ -76,10 +76,10 @@
 class AttemptEnded:
     """An attempt has ended, after `latency_ms`.
 
-    `load` is the number of requests in flight that the answer reported, and `leaving` says whether
-    the answer announced that the backend server is leaving.  If `again` is set, the request has not
-    been answered yet and needs another attempt, which the router starts only if the result allows
-    it.
+    `load` is the number of requests in flight that the answer reported, and `server_draining` says
+    whether the answer announced that the backend server is draining.  If `wants_retry` is set, the
+    request has not been answered yet and needs another attempt, which the router starts only if the
+    result allows it.
     """
 
     request_id: str
--- a/cloverhook/slot_exchange.py
+++ b/cloverhook/slot_exchange.py
@@ -1,14 +1,21 @@
 """Slot lending between the VMs of one service: which VMs to ask, what to grant and what to return.
 
-Layer: coordination, free of input and output: methods return `Tell` actions.  One token bucket
-limits the bytes that all services of a daemon send for lending.  While it is empty, no slots are
-requested or granted, and requests wait for the VM's own slots.  Slot requests between owners leave
-a reserve in the bucket for VMs that own no endpoints and can only borrow.
+Layer: coordination, free of input and output: methods return `SendMessage` actions.  One token
+bucket limits the bytes that all services of a daemon send for lending.  While it is empty, no slots
+are requested or granted, and requests wait for the VM's own slots.  Slot requests between owners
+leave a reserve in the bucket for VMs that own no endpoints and can only borrow.
 """
 
 from collections.abc import Iterable, Mapping
 
-from cloverhook.lending import LOAN_MS, SLOT_REQUEST_LIFETIME_MS, BorrowedSlots, LendingPeer, LentSlots, PeerSlotRequest
+from cloverhook.lending import (
+    LOAN_MS,
+    SLOT_REQUEST_LIFETIME_MS,
+    BorrowedSlots,
+    LendingPeer,
+    LentSlots,
+    PeerSlotRequest,
+)
 from cloverhook.messages import SlotGrant, SlotRequest, SlotReturn
 from cloverhook.routing_events import SendMessage
 from cloverhook.token_bucket import TokenBucket
@@ -65,7 +72,9 @@
 
     def has_working_peer(self) -> bool:
         """Return whether any other owner that answers may have a working endpoint."""
-        return any(peer.has_working_endpoint and not peer.unresponsive for peer in self._peers.values())
+        return any(
+            peer.has_working_endpoint and not peer.unresponsive for peer in self._peers.values()
+        )
 
     def has_responsive_peer(self) -> bool:
         """Return whether any other owner answers slot requests."""
@@ -96,7 +105,10 @@
         """
         newly_marked = False
         for peer in self._peers.values():
-            is_overdue = peer.unanswered_since_ms is not None and now_ms - peer.unanswered_since_ms > ANSWER_TIMEOUT_MS
+            is_overdue = (
+                peer.unanswered_since_ms is not None
+                and now_ms - peer.unanswered_since_ms > ANSWER_TIMEOUT_MS
+            )
             if is_overdue and not peer.unresponsive:
                 peer.unresponsive = True
                 newly_marked = True
@@ -116,7 +128,9 @@
     def record_request(self, vm: str, message: SlotRequest, now_ms: float) -> None:
         """Record the slot request of another VM, or its withdrawal."""
         peer = self._requesters.setdefault(vm, LendingPeer(vm))
-        peer.slot_request = PeerSlotRequest.from_message(vm, message, now_ms) if message.waiting else None
+        peer.slot_request = (
+            PeerSlotRequest.from_message(vm, message, now_ms) if message.waiting else None
+        )
 
     def record_grant(
         self, vm: str, message: SlotGrant, addresses: Iterable[str], now_ms: float
@@ -160,9 +174,13 @@
         own = queue.first()
         if own is None or peer.slot_request.priority < own.arrival.priority:
             return True
-        return peer.slot_request.wait_when_sent_ms() + RETURN_WAIT_MARGIN_MS > now_ms - own.arrived_ms
+        return (
+            peer.slot_request.wait_when_sent_ms() + RETURN_WAIT_MARGIN_MS > now_ms - own.arrived_ms
+        )
 
-    def precedes_own_queue(self, ask: PeerSlotRequest, queue: RequestQueue, now_ms: float) -> bool:
+    def precedes_own_queue(
+        self, slot_request: PeerSlotRequest, queue: RequestQueue, now_ms: float
+    ) -> bool:
         """Return whether a slot request precedes this VM's own queued requests.
 
         A lent slot is idle while the grant and the return are in transit.  An owner with queued
@@ -173,16 +191,19 @@
         own = queue.first()
         if own is None:
             return True
-        if own.arrival.priority != ask.priority:
-            return ask.priority < own.arrival.priority
+        if own.arrival.priority != slot_request.priority:
+            return slot_request.priority < own.arrival.priority
         own_ms = now_ms - own.arrived_ms
-        if ask.vm not in self._peers:
-            return ask.estimated_wait_ms(now_ms) > own_ms
+        if slot_request.vm not in self._peers:
+            return slot_request.estimated_wait_ms(now_ms) > own_ms
         return (
-            ask.wait_when_sent_ms() > own_ms + LEND_WAIT_MARGIN_MS and self.lent.count() < MAX_LENT_WITH_QUEUE
+            slot_request.wait_when_sent_ms() > own_ms + LEND_WAIT_MARGIN_MS
+            and self.lent.count() < MAX_LENT_WITH_QUEUE
         )
 
-    def request_slots(self, queue: RequestQueue, wait_ms: float, now_ms: float) -> list[SendMessage]:
+    def request_slots(
+        self, queue: RequestQueue, wait_ms: float, now_ms: float
+    ) -> list[SendMessage]:
         """Return the slot requests to send for the queued requests.
 
         `wait_ms` is how long the last queued request would wait for one of this VM's own slots; it
@@ -212,14 +233,19 @@
         messages: list[SendMessage] = []
         for peer in self._peers.values():
             if peer.requested_slots:
-                if peer.granted_slots >= peer.requested_slots or now_ms - peer.last_request_ms > SLOT_REQUEST_LIFETIME_MS:
+                if (
+                    peer.granted_slots >= peer.requested_slots
+                    or now_ms - peer.last_request_ms > SLOT_REQUEST_LIFETIME_MS
+                ):
                     peer.requested_slots = 0
                     continue
                 peer.requested_slots = 0
                 messages.append(self._send(peer.vm, SlotRequest(self._service, 0, 0, 0), now_ms))
         return messages
 
-    def grant_slots(self, vm: str, addresses: Iterable[str], working: bool, now_ms: float) -> SendMessage:
+    def grant_slots(
+        self, vm: str, addresses: Iterable[str], working: bool, now_ms: float
+    ) -> SendMessage:
         """Return the answer to a slot request; `working` is false if no owned endpoint works."""
         return self._send(vm, SlotGrant(self._service, tuple(addresses), working), now_ms)
 
@@ -228,24 +254,26 @@
         return self._peer_bytes.has(now_ms)
 
     def return_slots(
-        self, slots: Iterable[tuple[str, str]], suspicion: Mapping[str, int], now_ms: float
+        self, slots: Iterable[tuple[str, str]], failure_evidence: Mapping[str, int], now_ms: float
     ) -> list[SendMessage]:
         """Return the messages that return slots to their owners.
 
-        Each slot is an address and its owner; `suspicion` gives the evidence of trouble seen at an
-        address.
+        Each slot is an address and its owner; `failure_evidence` gives the evidence of trouble that
+        this VM has for an address.
         """
         by_owner: dict[str, list[str]] = {}
         for address, owner in slots:
             by_owner.setdefault(owner, []).append(address)
         messages: list[SendMessage] = []
         for owner, addresses in by_owner.items():
-            evidence = tuple(suspicion.get(address, 0) for address in addresses)
+            evidence = tuple(failure_evidence.get(address, 0) for address in addresses)
             message = SlotReturn(self._service, tuple(addresses), evidence)
             messages.append(self._send(owner, message, now_ms))
         return messages
 
-    def _send(self, vm: str, message: SlotRequest | SlotGrant | SlotReturn, now_ms: float) -> SendMessage:
+    def _send(
+        self, vm: str, message: SlotRequest | SlotGrant | SlotReturn, now_ms: float
+    ) -> SendMessage:
         addresses = () if isinstance(message, SlotRequest) else message.addresses
         size = FRAME_BYTES + len(self._service) + sum(len(item) + 2 for item in addresses)
         self._peer_bytes.charge(size, now_ms)
@@ -271,5 +299,5 @@
         return [self._send(peer.vm, message, now_ms)]
 
 
-def _rank(ask: PeerSlotRequest, now_ms: float) -> tuple[int, float]:
-    return (ask.priority, -ask.estimated_wait_ms(now_ms))
+def _rank(slot_request: PeerSlotRequest, now_ms: float) -> tuple[int, float]:
+    return (slot_request.priority, -slot_request.estimated_wait_ms(now_ms))
--- a/cloverhook/token_bucket.py
+++ b/cloverhook/token_bucket.py
@@ -3,7 +3,7 @@
 Layer: state.
 
 >>> bucket = TokenBucket(rate_per_s=10, capacity=2)
->>> [bucket.take(1, 0.0), bucket.take(1, 0.0), bucket.take(1, 0.0), bucket.take(1, 100.0)]
+>>> [bucket.try_take(1, now_ms) for now_ms in (0.0, 0.0, 0.0, 100.0)]
 [True, True, False, True]
 """
 
@@ -47,7 +47,7 @@
         return self._tokens > reserve * self._capacity
 
     def ready_ms(self, cost: float, now_ms: float) -> float:
-        """Return when `take` can next succeed, or infinity if the bucket never holds the cost."""
+        """Return when `try_take` can next succeed; infinite if the bucket never holds the cost."""
         self._refill(now_ms)
         if self._tokens >= cost:
             return now_ms
--- a/cloverhook/waiting.py
+++ b/cloverhook/waiting.py
@@ -77,7 +77,9 @@
         """Return the earliest time at which a request may expire, or infinity if there is none."""
         return self._expiries[0][0] if self._expiries else math.inf
 
-    def pop_overdue(self, now_ms: float, requests: dict[str, PendingRequest]) -> list[PendingRequest]:
+    def pop_overdue(
+        self, now_ms: float, requests: dict[str, PendingRequest]
+    ) -> list[PendingRequest]:
         """Remove and return the queued requests that have expired.
 
         `requests` holds all accepted requests by identifier.  Expiry times whose request is no
