--- a/cloverhook/homes.py
+++ b/cloverhook/homes.py
@@ -26,7 +26,7 @@
         """Return the home VMs of a service, distributed over the data centres."""
         return tuple(self._members[vm] for vm in self._homes.get(key, ()))
 
-    def home_names(self, key: str) -> tuple[str, ...]:
+    def vm_names(self, key: str) -> tuple[str, ...]:
         """Return the names of a service's home VMs."""
         return self._homes.get(key, ())
 
