--- a/cloverhook/dispatch.py
+++ b/cloverhook/dispatch.py
@@ -74,7 +74,7 @@
     """Observes endpoint states and probes, to produce events and metrics."""
 
     def record_endpoint_state(self, address: str, trouble: int) -> None:
-        """Record why an endpoint is on probation, or 0, after an attempt or probe there."""
+        """Record the number of an endpoint's `ProbationReason` after an attempt or a probe."""
 
     def record_probe(self, target: Target, latency_ms: float) -> None:
         """Record a completed probe and its latency in milliseconds."""
