--- a/cloverhook/at_most_once.py
+++ b/cloverhook/at_most_once.py
@@ -18,7 +18,7 @@
 __all__ = ["AnswerStore", "OnceGuard"]
 
 ANSWER_LIMIT_BYTES = 65_536
-ENTRY_BYTES = 1_024
+ENTRY_OVERHEAD_BYTES = 1_024
 MAX_KEY_BYTES = 255
 
 Forward = Callable[[Exchange], Awaitable[None]]
@@ -29,7 +29,7 @@
 
     def __init__(self, limit_bytes: int) -> None:
         self._limit_bytes = limit_bytes
-        self._held_bytes = 0
+        self._stored_bytes = 0
         self._answers: OrderedDict[str, CapturedAnswer] = OrderedDict()
 
     def get(self, claim_id: str) -> CapturedAnswer | None:
@@ -39,10 +39,10 @@
     def put(self, claim_id: str, answer: CapturedAnswer) -> None:
         """Keep an answer; the oldest make room for it."""
         self._answers[claim_id] = answer
-        self._held_bytes += _weight(answer)
-        while self._held_bytes > self._limit_bytes:
+        self._stored_bytes += _size_bytes(answer)
+        while self._stored_bytes > self._limit_bytes:
             _, oldest = self._answers.popitem(last=False)
-            self._held_bytes -= _weight(oldest)
+            self._stored_bytes -= _size_bytes(oldest)
 
 
 class OnceGuard:
@@ -114,8 +114,8 @@
             raise RequestError(ErrorKind.REPEAT_UNSETTLED, "the first request goes on") from error
 
     async def _replay(self, exchange: Exchange, answer: CapturedAnswer) -> None:
-        own = (h.REQUEST_ID, exchange.request_id.encode())
-        headers = [own if pair[0] == h.REQUEST_ID else pair for pair in answer.headers]
+        own_id = (h.REQUEST_ID, exchange.request_id.encode())
+        headers = [own_id if pair[0] == h.REQUEST_ID else pair for pair in answer.headers]
         headers.append((h.REPLAYED, b"1"))
         exchange.answer_started = True
         start = {"type": "http.response.start", "status": answer.status, "headers": headers}
@@ -123,6 +123,6 @@
         await exchange.send({"type": "http.response.body", "body": answer.body})
 
 
-def _weight(answer: CapturedAnswer) -> int:
+def _size_bytes(answer: CapturedAnswer) -> int:
     headers = sum(len(name) + len(value) for name, value in answer.headers)
-    return ENTRY_BYTES + headers + len(answer.body)
+    return ENTRY_OVERHEAD_BYTES + headers + len(answer.body)
--- a/cloverhook/catch_up.py
+++ b/cloverhook/catch_up.py
@@ -24,46 +24,46 @@
     """The offsets that linked peers offer, and the request under way."""
 
     def __init__(self) -> None:
-        self._offers: dict[str, int] = {}
-        self._behind_ms: float | None = None
-        self._asked: list[str] = []
-        self._asked_until_ms = 0.0
+        self._peer_offsets: dict[str, int] = {}
+        self._behind_since_ms: float | None = None
+        self._requested: list[str] = []
+        self._request_deadline_ms = 0.0
 
     def offered(self, vm: str, next_offset: int, now_ms: float) -> None:
         """Note the offset up to which a peer has folded."""
-        self._offers[vm] = next_offset
-        if self._behind_ms is None:
-            self._behind_ms = now_ms
+        self._peer_offsets[vm] = next_offset
+        if self._behind_since_ms is None:
+            self._behind_since_ms = now_ms
 
     def lost(self, vm: str) -> None:
         """Note that a peer is linked no more."""
-        self._offers.pop(vm, None)
-        if vm in self._asked:
-            self._asked_until_ms = 0.0
+        self._peer_offsets.pop(vm, None)
+        if vm in self._requested:
+            self._request_deadline_ms = 0.0
 
     def answered(self, vm: str) -> None:
         """Note that the peer asked has answered, so that another request may follow."""
-        if self._asked and self._asked[-1] == vm:
-            self._asked_until_ms = 0.0
+        if self._requested and self._requested[-1] == vm:
+            self._request_deadline_ms = 0.0
 
     def next_wake_ms(self, next_offset: int, now_ms: float) -> float:
         """Return when `due` may next name a peer, if no peer offers more until then."""
-        if all(offset <= next_offset for offset in self._offers.values()):
+        if all(offset <= next_offset for offset in self._peer_offsets.values()):
             return math.inf
-        return max(now_ms + PATIENCE_MS, self._asked_until_ms)
+        return max(now_ms + PATIENCE_MS, self._request_deadline_ms)
 
     def due(self, next_offset: int, now_ms: float) -> str | None:
         """Return the peer to ask now for the records from an offset on, if any."""
-        ahead = sorted(vm for vm, offset in self._offers.items() if offset > next_offset)
+        ahead = sorted(vm for vm, offset in self._peer_offsets.items() if offset > next_offset)
         if not ahead:
-            self._behind_ms = None
-            self._asked.clear()
+            self._behind_since_ms = None
+            self._requested.clear()
             return None
-        if self._behind_ms is None:
-            self._behind_ms = now_ms
-        if now_ms - self._behind_ms < PATIENCE_MS or now_ms < self._asked_until_ms:
+        if self._behind_since_ms is None:
+            self._behind_since_ms = now_ms
+        if now_ms - self._behind_since_ms < PATIENCE_MS or now_ms < self._request_deadline_ms:
             return None
-        vm = min(ahead, key=lambda name: (self._asked.count(name), -self._offers[name]))
-        self._asked.append(vm)
-        self._asked_until_ms = now_ms + ANSWER_MS
+        vm = min(ahead, key=lambda name: (self._requested.count(name), -self._peer_offsets[name]))
+        self._requested.append(vm)
+        self._request_deadline_ms = now_ms + ANSWER_MS
         return vm
--- a/cloverhook/claim_log.py
+++ b/cloverhook/claim_log.py
@@ -1,8 +1,9 @@
-"""Carries claims to the platform's log and its records to the claim book.
+"""Appends claims to the platform's log and feeds the log's records to the claim table.
 
-Layer: coordination.  One loop appends what the book has gathered and then reads up to it, so
-under load a record carries many claims.  An append whose answer was lost is looked for in the log
-before it is sent again; a claim that lands twice counts once.
+Layer: coordination.  One loop appends a batch of everything that the table has queued and then
+reads the log up to that batch, so under load one record carries many claims.  If the answer to an
+append is lost, the log is read before the batch is sent again; a claim that is appended twice
+counts once.
 """
 
 import asyncio
@@ -19,13 +20,13 @@
 
 STREAM = "claims"
 FLUSH_TIMEOUT_MS = 2_000
-READ_EVERY_MS = 1_000
+READ_INTERVAL_MS = 1_000
 RETRY_MS = 200
 RETRY_AFTER_MS = 2_000
 
 
 class ClaimLog:
-    """This daemon's way to claim idempotency keys."""
+    """Claims idempotency keys for this daemon."""
 
     def __init__(
         self,
@@ -40,22 +41,22 @@
         self._clock_ms = clock_ms
         self._wait_ms = wait_ms
         self._appends_per_s = appends_per_s
-        self._allowance = appends_per_s
-        self._allowance_ms = clock_ms()
+        self._tokens = appends_per_s
+        self._last_refill_ms = clock_ms()
         self._futures: dict[str, asyncio.Future[Decision]] = {}
-        self._work = asyncio.Event()
+        self._has_work = asyncio.Event()
 
     async def claim(self, key: str) -> Decision:
         """Claim a key and return the decision.
 
-        Raises `RequestError` of the kind `LOG_UNAVAILABLE` when there is none in time.
+        Raises `RequestError` of the kind `LOG_UNAVAILABLE` if no decision is made in time.
         """
         claim_id = uuid.uuid4().hex
         future: asyncio.Future[Decision] = asyncio.get_running_loop().create_future()
         self._futures[claim_id] = future
-        asked_ms = self._clock_ms()
-        self._book.claim(key, claim_id, asked_ms)
-        self._work.set()
+        started_ms = self._clock_ms()
+        self._book.claim(key, claim_id, started_ms)
+        self._has_work.set()
         decision: Decision | None = None
         try:
             async with asyncio.timeout(self._wait_ms / 1000):
@@ -64,47 +65,49 @@
             decision = None
         finally:
             del self._futures[claim_id]
-            late = self._clock_ms() - asked_ms > 2 * self._wait_ms
+            late = self._clock_ms() - started_ms > 2 * self._wait_ms
             if late or not isinstance(decision, Granted):
                 self.release(key, claim_id)
         if late or decision is None:
             raise RequestError(
                 ErrorKind.LOG_UNAVAILABLE,
-                "the claim on the idempotency key could not be settled in time",
+                "the claim on the idempotency key could not be decided in time",
                 RETRY_AFTER_MS,
             )
         return decision
 
     def release(self, key: str, claim_id: str) -> None:
-        """Give a key back whose request certainly did not run."""
+        """Release a key whose request certainly did not run."""
         self._book.release(key, claim_id)
-        self._work.set()
+        self._has_work.set()
 
     def ran(self, key: str, claim_id: str) -> None:
-        """Tell the other daemons, with the next record, that a request has run."""
+        """Report to the other daemons, with the next record, that a request has run."""
         self._book.ran(key, claim_id)
 
     async def run(self) -> None:
-        """Append and read until cancelled."""
+        """Append batches and read the log until cancelled."""
         while True:
             try:
-                await self._round()
+                await self._append_and_read()
             except PlatformError as error:
-                logging.warning("claims: the log can't be used: %s.", error)
+                logging.warning("claims: the log could not be appended to or read: %s.", error)
                 await asyncio.sleep(RETRY_MS / 1000)
                 continue
             await self._wait_for_work()
 
     async def flush(self) -> None:
-        """Append what still waits, within a bound; for a daemon that stops."""
+        """Append what is still queued, within a time limit; for a daemon that is stopping."""
         try:
             async with asyncio.timeout(FLUSH_TIMEOUT_MS / 1000):
-                await self._round()
+                await self._append_and_read()
         except (PlatformError, TimeoutError) as error:
-            logging.warning("claims: the last records could not be appended: %s.", error)
+            logging.warning(
+                "claims: the last records could not be appended before the stop: %s.", error
+            )
 
-    async def _round(self) -> None:
-        await self._take_allowance()
+    async def _append_and_read(self) -> None:
+        await self._wait_for_token()
         batch = self._book.take_batch(self._clock_ms())
         if batch is not None:
             try:
@@ -129,35 +132,37 @@
                 self._book.missed(read.first_offset, now_ms)
                 continue
             for decision in self._book.fold(read.from_offset, read.records, now_ms):
-                self._settle(decision)
+                self._resolve(decision)
             more = self._book.next_offset < read.next_offset
 
-    def _settle(self, decision: Decision) -> None:
+    def _resolve(self, decision: Decision) -> None:
         future = self._futures.get(decision.claim_id)
         if future is not None and not future.done():
             future.set_result(decision)
         if isinstance(decision, Denied):
-            logging.info("claims: a repeat of %s was held back.", decision.holder_id)
+            logging.info(
+                "claims: a request was not run because claim %s holds its key.", decision.holder_id
+            )
 
     async def _wait_for_work(self) -> None:
         if self._book.undecided:
             return
         try:
-            async with asyncio.timeout(READ_EVERY_MS / 1000):
-                await self._work.wait()
+            async with asyncio.timeout(READ_INTERVAL_MS / 1000):
+                await self._has_work.wait()
         except TimeoutError:
             return
         finally:
-            self._work.clear()
+            self._has_work.clear()
 
-    async def _take_allowance(self) -> None:
-        """Wait until another append is within this daemon's share of the log."""
+    async def _wait_for_token(self) -> None:
+        """Wait until another append is within this daemon's share of the log's append rate."""
         while self._book.has_batch:
             now_ms = self._clock_ms()
-            gained = max(0.0, now_ms - self._allowance_ms) / 1000 * self._appends_per_s
-            self._allowance = min(self._appends_per_s, self._allowance + gained)
-            self._allowance_ms = now_ms
-            if self._allowance >= 1:
-                self._allowance -= 1
+            refill = max(0.0, now_ms - self._last_refill_ms) / 1000 * self._appends_per_s
+            self._tokens = min(self._appends_per_s, self._tokens + refill)
+            self._last_refill_ms = now_ms
+            if self._tokens >= 1:
+                self._tokens -= 1
                 return
-            await asyncio.sleep((1 - self._allowance) / self._appends_per_s)
+            await asyncio.sleep((1 - self._tokens) / self._appends_per_s)
--- a/cloverhook/claims.py
+++ b/cloverhook/claims.py
@@ -1,12 +1,14 @@
-"""Which request holds an idempotency key: the rules by which all daemons agree through a log.
+"""Decides which request holds an idempotency key; all daemons agree on it through a shared log.
 
 Layer: coordination, and free of input and output.  Daemons append claims to one stream of the
-platform's log and fold the same records in the same order, so they come to the same holder of each
-key.  The first claim holds its key until it is released, or until a claim comes whose time is more
-than `window_ms` later.  Both times stand in the records: no daemon's own clock takes part.
+platform's log and fold the same records in the same order, so they all determine the same holder
+of each key.  The first claim holds its key until it is released, or until a claim is folded whose
+time is more than `window_ms` later.  Both times are stored in the records, so the decision doesn't
+depend on the clock of the daemon that folds them.
 
-A claim that is folded twice counts once, and one that lands after its own release never holds.
-A daemon that has missed records can't know who holds a key, until a whole window has passed.
+A claim that is folded twice counts once, and a claim that is appended after its own release never
+holds the key.  A daemon that has missed records can't know who holds a key until a whole window
+has passed.
 
 >>> book = ClaimBook("vm-1", window_ms=60_000)
 >>> book.claim("key", "c1", 0.0)
@@ -33,12 +35,12 @@
 ]
 
 HASH_BYTES = 16
-FORGET_MARGIN_MS = 60_000
-FORGET_EVERY_MS = 1_000
+RETENTION_MARGIN_MS = 60_000
+REMOVAL_INTERVAL_MS = 1_000
 
 
 class ClaimState(Enum):
-    """What is known of the request behind a claim."""
+    """What is known about the request of a claim."""
 
     CLAIMED = "claimed"
     RAN = "ran"
@@ -47,14 +49,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """The claim holds its key: its request may run."""
+    """The claim holds its key, so its request may run."""
 
     claim_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class Denied:
-    """Another claim holds the key; `state` is what is known of the other's request."""
+    """Another claim holds the key; `state` is what is known about that claim's request."""
 
     claim_id: str
     holder_id: str
@@ -64,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unsure:
-    """Records were missed, one of which may hold the key."""
+    """The claim can't be decided: a record that was missed may hold the key."""
 
     claim_id: str
 
@@ -77,7 +79,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimBatch:
-    """A record of the log: keys with the claims that a daemon asks for, gives up or has run."""
+    """A record of the log: a daemon's new claims, released claims and claims that have run.
+
+    Each claim is a pair of its key and its identifier.
+    """
 
     vm: str
     at_ms: float
@@ -87,7 +92,7 @@
 
     @classmethod
     def from_document(cls, document: Mapping[str, Any]) -> "ClaimBatch | None":
-        """Read a record of the log; None for one that is no batch of claims."""
+        """Read a record of the log; return None if it is not a valid batch of claims."""
         vm, at_ms = document.get("vm"), document.get("at_ms")
         parts = [document.get(name) for name in ("claims", "released", "ran")]
         valid = isinstance(vm, str) and isinstance(at_ms, int) and all(map(_are_pairs, parts))
@@ -116,15 +121,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Wanted:
-    """A claim of this daemon that no decision has been made on."""
+class _PendingClaim:
+    """A claim of this daemon that has not been decided yet."""
 
     key: str
     at_ms: float
 
 
 def key_hash(brand: str, service: str, key: bytes) -> str:
-    """Return the name under which a key is claimed: keys of two services never meet."""
+    """Return the hash under which a key is claimed; equal keys of two services don't collide."""
     digest = blake2b(digest_size=HASH_BYTES)
     for part in (brand.encode(), service.encode(), key):
         digest.update(len(part).to_bytes(4) + part)
@@ -132,85 +137,85 @@
 
 
 class ClaimBook:
-    """The claims of all daemons as this one has read them, and its own that are under way."""
+    """The claims of all daemons as read from the log, and this daemon's own pending claims."""
 
     def __init__(self, vm: str, window_ms: float) -> None:
         self._vm = vm
         self._window_ms = window_ms
         self._holders: dict[str, _Holder] = {}
-        self._wanted: dict[str, _Wanted] = {}
+        self._pending: dict[str, _PendingClaim] = {}
         self._unsent: dict[str, None] = {}
-        self._released: dict[str, str] = {}
-        self._ran: dict[str, str] = {}
-        self._unsure_until_ms = float("-inf")
-        self._forgot_ms = float("-inf")
+        self._unsent_releases: dict[str, str] = {}
+        self._unsent_runs: dict[str, str] = {}
+        self._undecidable_until_ms = float("-inf")
+        self._last_removal_ms = float("-inf")
         self.next_offset = 0
 
     @property
     def has_claims(self) -> bool:
-        """Whether a claim waits to be appended."""
+        """Whether a claim is waiting to be appended."""
         return bool(self._unsent)
 
     @property
     def has_batch(self) -> bool:
-        """Whether anything waits to be appended."""
-        return bool(self._unsent or self._released or self._ran)
+        """Whether anything is waiting to be appended."""
+        return bool(self._unsent or self._unsent_releases or self._unsent_runs)
 
     @property
     def undecided(self) -> bool:
-        """Whether a claim of this daemon has no decision yet."""
-        return bool(self._wanted)
+        """Whether a claim of this daemon has not been decided yet."""
+        return bool(self._pending)
 
     def claim(self, key: str, claim_id: str, now_ms: float) -> None:
-        """Ask for a key under an identifier that no other claim has."""
-        self._wanted[claim_id] = _Wanted(key, now_ms)
+        """Queue a claim of a key under an identifier that no other claim has."""
+        self._pending[claim_id] = _PendingClaim(key, now_ms)
         self._unsent[claim_id] = None
 
     def release(self, key: str, claim_id: str) -> None:
-        """Give a claim up whose request certainly did not run."""
-        self._wanted.pop(claim_id, None)
+        """Release a claim whose request certainly did not run."""
+        self._pending.pop(claim_id, None)
         self._unsent.pop(claim_id, None)
-        self._released[claim_id] = key
+        self._unsent_releases[claim_id] = key
 
     def ran(self, key: str, claim_id: str) -> None:
-        """Tell that the request behind a claim has run."""
-        self._ran[claim_id] = key
+        """Record that the request of a claim has run."""
+        self._unsent_runs[claim_id] = key
 
     def take_batch(self, now_ms: float) -> ClaimBatch | None:
-        """Return all that waits, or None where nothing does; `append_failed` gives it back."""
+        """Remove and return everything queued, or None; `append_failed` queues it again."""
         if not self.has_batch:
             return None
         batch = ClaimBatch(
             self._vm,
             now_ms,
-            tuple((self._wanted[claim_id].key, claim_id) for claim_id in self._unsent),
-            tuple((key, claim_id) for claim_id, key in self._released.items()),
-            tuple((key, claim_id) for claim_id, key in self._ran.items()),
+            tuple((self._pending[claim_id].key, claim_id) for claim_id in self._unsent),
+            tuple((key, claim_id) for claim_id, key in self._unsent_releases.items()),
+            tuple((key, claim_id) for claim_id, key in self._unsent_runs.items()),
         )
         self._unsent.clear()
-        self._released.clear()
-        self._ran.clear()
+        self._unsent_releases.clear()
+        self._unsent_runs.clear()
         return batch
 
     def append_failed(self, batch: ClaimBatch) -> None:
-        """Take a batch back that may not have landed: what is still wanted goes out again."""
+        """Queue a batch again that may not have been appended, except claims no longer pending."""
         for _, claim_id in batch.claims:
-            if claim_id in self._wanted:
+            if claim_id in self._pending:
                 self._unsent[claim_id] = None
         for key, claim_id in batch.released:
-            self._released[claim_id] = key
+            self._unsent_releases[claim_id] = key
         for key, claim_id in batch.ran:
-            self._ran[claim_id] = key
+            self._unsent_runs[claim_id] = key
 
     def missed(self, next_offset: int, now_ms: float) -> None:
-        """Go on at an offset, since the records before it can't be read any more."""
+        """Continue at an offset because the records before it can no longer be read."""
         self.next_offset = next_offset
-        self._unsure_until_ms = now_ms + self._window_ms
+        self._undecidable_until_ms = now_ms + self._window_ms
 
     def fold(
         self, from_offset: int, records: Sequence[Mapping[str, Any]], now_ms: float
     ) -> tuple[Decision, ...]:
-        """Take records from the log and return the decisions on this daemon's claims."""
+        """Fold records of the log and return the decisions on this daemon's claims."""
         if from_offset > self.next_offset:
             self.missed(from_offset, now_ms)
         decisions: list[Decision] = []
@@ -219,7 +224,7 @@
             batch = ClaimBatch.from_document(record)
             if batch is not None:
                 decisions += self._fold_batch(batch, now_ms)
-        self._forget(now_ms)
+        self._remove_expired(now_ms)
         return tuple(decisions)
 
     def _fold_batch(self, batch: ClaimBatch, now_ms: float) -> list[Decision]:
@@ -232,7 +237,7 @@
         decisions = []
         for key, claim_id in batch.claims:
             holder = self._fold_claim(key, claim_id, batch)
-            if self._wanted.pop(claim_id, None) is not None:
+            if self._pending.pop(claim_id, None) is not None:
                 self._unsent.pop(claim_id, None)
                 decisions.append(self._decide(claim_id, holder, now_ms))
         return decisions
@@ -259,17 +264,17 @@
     def _decide(self, claim_id: str, holder: _Holder, now_ms: float) -> Decision:
         if holder.claim_id != claim_id:
             return Denied(claim_id, holder.claim_id, holder.vm, holder.state)
-        if now_ms < self._unsure_until_ms:
+        if now_ms < self._undecidable_until_ms:
             return Unsure(claim_id)
         return Granted(claim_id)
 
-    def _forget(self, now_ms: float) -> None:
-        if now_ms - self._forgot_ms < FORGET_EVERY_MS:
+    def _remove_expired(self, now_ms: float) -> None:
+        if now_ms - self._last_removal_ms < REMOVAL_INTERVAL_MS:
             return
-        self._forgot_ms = now_ms
-        oldest_ms = now_ms - self._window_ms - FORGET_MARGIN_MS
-        gone = [key for key, holder in self._holders.items() if holder.at_ms < oldest_ms]
-        for key in gone:
+        self._last_removal_ms = now_ms
+        oldest_ms = now_ms - self._window_ms - RETENTION_MARGIN_MS
+        expired = [key for key, holder in self._holders.items() if holder.at_ms < oldest_ms]
+        for key in expired:
             del self._holders[key]
 
 
--- a/cloverhook/failure_detector.py
+++ b/cloverhook/failure_detector.py
@@ -1,9 +1,10 @@
-"""Notices lost members: watches a few neighbours and asks others before it suspects one.
+"""Failure detector: watches a few neighbours and asks other peers before it suspects one.
 
-Layer: coordination, free of input and output.  The way is that of SWIM.  A neighbour that is silent
-is pinged, and a few other peers are asked to ping it too, so that a cut between two VMs, or in
-one direction only, is not taken for a lost VM.  When nobody hears it, it is suspected, which it
-can refute, and some time later taken for lost.
+Layer: coordination, free of input and output.  It follows the SWIM protocol.  A neighbour that is
+silent is pinged, and a few other peers are asked to ping it too, so that a broken network path
+between two VMs, or in one direction only, is not mistaken for a lost VM.  If no peer receives an
+answer, the VM becomes suspect.  It can refute the suspicion; otherwise it is considered lost after
+a further timeout.
 """
 
 import random
@@ -16,16 +17,16 @@
 
 __all__ = ["BUSY_TICK_MS", "DetectorTimes", "FailureDetector"]
 
-ASKED_PEERS = 3
+INDIRECT_PROBES = 3
 BUSY_TICK_MS = 50.0
 
 
 @dataclass(frozen=True, slots=True)
 class DetectorTimes:
-    """How long a neighbour may be silent, how long its check takes, and how long it is suspected.
+    """How long a neighbour may be silent, how long its check takes, and how long it is suspect.
 
-    A daemon that hears none of its neighbours is probably cut off itself, and takes `alone_factor`
-    times as long over the last two.
+    A daemon that receives nothing from any of its neighbours is probably isolated itself, so it
+    multiplies the last two by `alone_factor`.
     """
 
     silent_ms: float = 800
@@ -35,112 +36,116 @@
 
 
 class FailureDetector:
-    """The evidence about each member, and the checks under way."""
+    """The evidence about each member, and the checks in progress."""
 
     def __init__(self, table: MemberTable, source: random.Random, times: DetectorTimes) -> None:
         self._table = table
         self._random = source
         self._times = times
-        self._heard_ms: dict[str, float] = {}
-        self._watched_ms: dict[str, float] = {}
-        self._checks: dict[str, float] = {}
-        self._askers: dict[str, dict[str, float]] = {}
+        self._last_message_ms: dict[str, float] = {}
+        self._watched_since_ms: dict[str, float] = {}
+        self._check_deadlines_ms: dict[str, float] = {}
+        self._probe_requesters: dict[str, dict[str, float]] = {}
 
     def heard(self, vm: str, now_ms: float) -> tuple[MemberAction, ...]:
-        """Note that a VM has spoken to this one; tell those who asked."""
-        self._heard_ms[vm] = now_ms
-        self._checks.pop(vm, None)
+        """Record a message from a VM and return the answers to the peers that asked about it."""
+        self._last_message_ms[vm] = now_ms
+        self._check_deadlines_ms.pop(vm, None)
         member = self._table.get(vm)
-        askers = self._askers.pop(vm, {})
+        requesters = self._probe_requesters.pop(vm, {})
         if member is None:
             return ()
         answer = Seen(vm, member.incarnation)
-        return tuple(Send(asker, answer) for asker, until in askers.items() if now_ms < until)
+        return tuple(
+            Send(requester, answer)
+            for requester, until_ms in requesters.items()
+            if now_ms < until_ms
+        )
 
     def seen(self, message: Seen, now_ms: float) -> None:
-        """Note that another peer has heard a VM in its present incarnation."""
+        """Record that another peer has received a message from a VM's current incarnation."""
         member = self._table.get(message.target)
         if member is not None and message.incarnation >= member.incarnation:
-            self._heard_ms[message.target] = now_ms
-            self._checks.pop(message.target, None)
+            self._last_message_ms[message.target] = now_ms
+            self._check_deadlines_ms.pop(message.target, None)
 
-    def asked(self, asker: str, target: str, now_ms: float) -> tuple[MemberAction, ...]:
-        """Take a peer's request to ping a VM."""
+    def asked(self, requester: str, target: str, now_ms: float) -> tuple[MemberAction, ...]:
+        """Ping a VM at a peer's request; the peer gets an answer when the VM sends a message."""
         member = self._table.get(target)
         if member is None or target == self._table.own.vm:
             return ()
-        until = now_ms + 2 * self._times.check_ms
-        self._askers.setdefault(target, {})[asker] = until
+        until_ms = now_ms + 2 * self._times.check_ms
+        self._probe_requesters.setdefault(target, {})[requester] = until_ms
         return (Send(target, Ping()),)
 
     def check(
-        self, vm: str, linked: Collection[str], now_ms: float, alone: bool = False
+        self, vm: str, linked: Collection[str], now_ms: float, isolated: bool = False
     ) -> tuple[MemberAction, ...]:
-        """Begin to check a member unless a check is under way."""
+        """Start a check of a member, by direct and indirect pings, unless one is in progress."""
         member = self._table.get(vm)
-        if vm in self._checks or member is None or member.status is not Status.ALIVE:
+        if vm in self._check_deadlines_ms or member is None or member.status is not Status.ALIVE:
             return ()
         if vm == self._table.own.vm:
             return ()
-        factor = self._times.alone_factor if alone else 1
-        self._checks[vm] = now_ms + factor * self._times.check_ms
+        factor = self._times.alone_factor if isolated else 1
+        self._check_deadlines_ms[vm] = now_ms + factor * self._times.check_ms
         others = sorted(set(linked) - {vm})
-        asked = self._random.sample(others, min(ASKED_PEERS, len(others)))
-        return (Send(vm, Ping()), *(Send(peer, ProbeRequest(vm)) for peer in asked))
+        helpers = self._random.sample(others, min(INDIRECT_PROBES, len(others)))
+        return (Send(vm, Ping()), *(Send(peer, ProbeRequest(vm)) for peer in helpers))
 
     def tick(
         self, watched: Collection[str], linked: Collection[str], now_ms: float
     ) -> tuple[tuple[MemberAction, ...], tuple[Member, ...]]:
-        """Return the messages that are due, and what has become of members."""
+        """Return the messages that are due, and the members whose status has changed."""
         self._watch(watched, now_ms)
-        alone = len(watched) > 1 and all(self._silent(vm, now_ms) for vm in watched)
+        isolated = len(watched) > 1 and all(self._is_silent(vm, now_ms) for vm in watched)
         actions: list[MemberAction] = []
         for vm in watched:
-            if self._silent(vm, now_ms):
-                actions.extend(self.check(vm, linked, now_ms, alone))
-        return tuple(actions), (*self._suspects(now_ms), *self._lost(now_ms, alone))
+            if self._is_silent(vm, now_ms):
+                actions.extend(self.check(vm, linked, now_ms, isolated))
+        return tuple(actions), (*self._new_suspects(now_ms), *self._newly_lost(now_ms, isolated))
 
     def next_wake_ms(self, watched: Collection[str], now_ms: float) -> float:
-        """Return when `tick` may next find something, if nothing is heard until then."""
-        if self._checks or self._table.any_suspected:
+        """Return when `tick` is next needed, provided that no message arrives before then."""
+        if self._check_deadlines_ms or self._table.any_suspected:
             return now_ms + BUSY_TICK_MS
-        last_ms = [
-            max(self._heard_ms.get(vm, 0.0), self._watched_ms.get(vm, now_ms))
+        last_seen_ms = [
+            max(self._last_message_ms.get(vm, 0.0), self._watched_since_ms.get(vm, now_ms))
             for vm in watched
             if (member := self._table.get(vm)) is not None and member.status is Status.ALIVE
         ]
-        silent_ms = min(last_ms, default=now_ms) + self._times.silent_ms + 1
-        return silent_ms if silent_ms > now_ms else now_ms + BUSY_TICK_MS
+        wake_ms = min(last_seen_ms, default=now_ms) + self._times.silent_ms + 1
+        return wake_ms if wake_ms > now_ms else now_ms + BUSY_TICK_MS
 
     def woke(self, now_ms: float) -> None:
-        """Start anew: silence during a pause of this process says nothing."""
-        self._heard_ms.clear()
-        self._checks.clear()
-        self._askers.clear()
-        self._watched_ms = dict.fromkeys(self._watched_ms, now_ms)
+        """Discard all evidence: silence during a pause of this process proves nothing."""
+        self._last_message_ms.clear()
+        self._check_deadlines_ms.clear()
+        self._probe_requesters.clear()
+        self._watched_since_ms = dict.fromkeys(self._watched_since_ms, now_ms)
 
     def _watch(self, watched: Collection[str], now_ms: float) -> None:
-        self._watched_ms = {vm: self._watched_ms.get(vm, now_ms) for vm in watched}
-        for vm in tuple(self._heard_ms):
+        self._watched_since_ms = {vm: self._watched_since_ms.get(vm, now_ms) for vm in watched}
+        for vm in tuple(self._last_message_ms):
             if self._table.get(vm) is None:
-                del self._heard_ms[vm]
+                del self._last_message_ms[vm]
 
-    def _silent(self, vm: str, now_ms: float) -> bool:
-        last_ms = max(self._heard_ms.get(vm, 0.0), self._watched_ms.get(vm, 0.0))
-        return now_ms - last_ms > self._times.silent_ms
+    def _is_silent(self, vm: str, now_ms: float) -> bool:
+        last_seen_ms = max(self._last_message_ms.get(vm, 0.0), self._watched_since_ms.get(vm, 0.0))
+        return now_ms - last_seen_ms > self._times.silent_ms
 
-    def _suspects(self, now_ms: float) -> list[Member]:
-        over = [vm for vm, until in self._checks.items() if now_ms >= until]
+    def _new_suspects(self, now_ms: float) -> list[Member]:
+        expired = [vm for vm, until_ms in self._check_deadlines_ms.items() if now_ms >= until_ms]
         found: list[Member] = []
-        for vm in over:
-            del self._checks[vm]
+        for vm in expired:
+            del self._check_deadlines_ms[vm]
             member = self._table.get(vm)
             if member is not None and member.status is Status.ALIVE:
                 found.append(replace(member, status=Status.SUSPECT, since_ms=now_ms))
         return found
 
-    def _lost(self, now_ms: float, alone: bool) -> list[Member]:
-        limit_ms = self._times.suspect_ms * (self._times.alone_factor if alone else 1)
+    def _newly_lost(self, now_ms: float, isolated: bool) -> list[Member]:
+        limit_ms = self._times.suspect_ms * (self._times.alone_factor if isolated else 1)
         return [
             replace(member, status=Status.LOST, since_ms=now_ms)
             for member in self._table.suspects()
--- a/cloverhook/fold.py
+++ b/cloverhook/fold.py
@@ -1,8 +1,8 @@
-"""The fold: one deterministic rule from the records of the log to the state in force.
+"""The fold: the deterministic function that computes the state in force from the log's records.
 
-Layer: coordination.  Every daemon folds the same records in the same order, so all of them come to
-the same state without asking each other.  `fold` never raises for a record's contents: a record
-that is not acceptable leaves the state as it was and gives a verdict that says why.
+Layer: coordination.  Every daemon folds the same records in the same order, so all of them reach
+the same state without asking each other.  `fold` never raises an error for a record's contents: a
+record that can't be accepted leaves the brands unchanged, and the verdict gives the reason.
 """
 
 from collections.abc import Iterator
@@ -45,7 +45,7 @@
 
 
 class Verdict(Enum):
-    """What the fold made of a record."""
+    """The outcome of folding a record."""
 
     ACCEPTED = "accepted"
     STALE = "stale"
@@ -57,7 +57,7 @@
 class FoldResult:
     """The state after a record, and the verdict on that record with its reason.
 
-    `winner` is the accepted change that a stale one lost against.
+    For a stale change, `winner` is the accepted change that it conflicts with, if still known.
     """
 
     state: State
@@ -67,24 +67,26 @@
 
 
 def fold_data(state: State, offset: int, data: Any) -> tuple[Record | None, FoldResult]:
-    """Decode a record and fold it; one that can't be read is invalid, and its record is None."""
+    """Decode a record and fold it; a record that can't be decoded is None and invalid."""
     try:
         record = decode_record(data)
     except MessageError as error:
         if offset < state.next_offset:
-            return None, FoldResult(state, Verdict.DUPLICATE, "offset was folded before")
+            return None, FoldResult(
+                state, Verdict.DUPLICATE, "a record at this offset was folded before"
+            )
         advanced = replace(state, next_offset=offset + 1)
         return None, FoldResult(advanced, Verdict.INVALID, str(error))
     return record, fold(state, offset, record)
 
 
 def fold(state: State, offset: int, record: Record) -> FoldResult:
-    """Fold one record into the state; `offset` is its position, restarts of the log included.
+    """Fold one record into the state; `offset` is its position, including restarts of the log.
 
-    A record before `state.next_offset` was folded already and changes nothing.
+    A record before `state.next_offset` has been folded already and changes nothing.
     """
     if offset < state.next_offset:
-        return FoldResult(state, Verdict.DUPLICATE, "offset was folded before")
+        return FoldResult(state, Verdict.DUPLICATE, "a record at this offset was folded before")
     advanced = replace(state, next_offset=offset + 1)
     try:
         if isinstance(record, Snapshot):
@@ -109,7 +111,7 @@
     version = state.version_of(change.brand)
     if change.base_version != version:
         winners = [item for item in recent if item.version == change.base_version + 1]
-        reason = f"builds on version {change.base_version}, version {version} is in force"
+        reason = f"builds on version {change.base_version}, but version {version} is in force"
         return FoldResult(state, Verdict.STALE, reason, winners[0] if winners else None)
     accepted = Accepted(
         version + 1, change.change_id, change.operator, _summary(change), change.at_ms
@@ -131,7 +133,7 @@
 def _entry_after(
     state: State, change: Change, recent: tuple[Accepted, ...]
 ) -> BrandState | RemovedBrand:
-    """Return the brand's entry after a change.  Raises `ConfigError` when it is not valid."""
+    """Return the brand's entry after a change.  Raises `ConfigError` if the change is invalid."""
     current = state.brands.get(change.brand)
     version = change.base_version + 1
     if isinstance(change.action, Publish):
@@ -170,4 +172,4 @@
         if other.brand.name == name:
             continue
         for host in sorted(brand.hosts() & other.brand.hosts()):
-            yield Fault("hosts", repr(host), f"a host that brand {other.brand.name!r} has not")
+            yield Fault("hosts", repr(host), f"a host that brand {other.brand.name!r} does not use")
--- a/cloverhook/follower.py
+++ b/cloverhook/follower.py
@@ -48,8 +48,8 @@
         self._snapshots = SnapshotPolicy(self._source, limits)
         self._replica = Replica(on_folded, on_adopted)
         self._failures = 0
-        self._current_ms = clock_ms()
-        self._polled_ms = clock_ms()
+        self._caught_up_ms = clock_ms()
+        self._last_poll_ms = clock_ms()
 
     @property
     def state(self) -> State:
@@ -63,7 +63,7 @@
 
     def age_ms(self) -> float:
         """Return how long ago this daemon had every record of the log; 0 while it has them."""
-        return max(0.0, self._clock_ms() - self._current_ms) if self.behind else 0.0
+        return max(0.0, self._clock_ms() - self._caught_up_ms) if self.behind else 0.0
 
     def retry_ms(self) -> float:
         """Return how long to wait after a failed poll: it doubles, with jitter."""
@@ -86,29 +86,29 @@
 
     async def poll(self) -> bool:
         """Read once and fold what is new; return False when the platform gave no answer."""
-        self._notice_pause()
-        wanted = self._replica.next_read()
-        wait_ms = READ_WAIT_MS if wanted.wait else 0
+        self._check_for_pause()
+        planned = self._replica.next_read()
+        wait_ms = READ_WAIT_MS if planned.wait else 0
         try:
-            read = await self._platform.read(CONFIG_STREAM, wanted.offset, wait_ms)
+            read = await self._platform.read(CONFIG_STREAM, planned.offset, wait_ms)
         except PlatformError as error:
             self._failures += 1
             self._replica.read_failed()
             logging.warning("follower: the log can't be read: %s.", error)
             return False
         self._failures = 0
-        if self._replica.next_read() == wanted:
+        if self._replica.next_read() == planned:
             self._replica.take_slice(read)
         if self._replica.at_end:
-            self._current_ms = self._clock_ms()
+            self._caught_up_ms = self._clock_ms()
         return True
 
-    def _notice_pause(self) -> None:
+    def _check_for_pause(self) -> None:
         """After a pause of this process the log may be another one, as after an outage."""
         now_ms = self._clock_ms()
-        if now_ms - self._polled_ms > PAUSE_MS:
+        if now_ms - self._last_poll_ms > PAUSE_MS:
             self._replica.read_failed()
-        self._polled_ms = now_ms
+        self._last_poll_ms = now_ms
 
     async def maintain(self) -> bool:
         """Append a snapshot if one is due and return whether one was appended."""
--- a/cloverhook/gossip.py
+++ b/cloverhook/gossip.py
@@ -15,10 +15,10 @@
 
 __all__ = ["Gossip"]
 
-MAX_CHANGES = 32
-MAX_REPAIRS = 128
-DIFFER_MS = 500
-COMPARE_EVERY_MS = 500
+MAX_UPDATES_PER_MESSAGE = 32
+MAX_REPAIRS_PER_MESSAGE = 128
+DIFFERENCE_GRACE_MS = 500
+COMPARE_INTERVAL_MS = 500
 
 
 class Gossip:
@@ -28,8 +28,8 @@
         self._table = table
         self._random = source
         self._pending: dict[str, str] = {}
-        self._differs_ms: dict[str, float] = {}
-        self._compared_ms: dict[str, float] = {}
+        self._differs_since_ms: dict[str, float] = {}
+        self._last_compared_ms: dict[str, float] = {}
 
     def take(self, member: Member, from_vm: str = "") -> bool:
         """Take knowledge of a member; pass it on if it is new here."""
@@ -50,7 +50,7 @@
         """Return the messages that pass changes on, a bounded number of changes in each."""
         if not self._pending:
             return ()
-        batch = dict(list(self._pending.items())[:MAX_CHANGES])
+        batch = dict(list(self._pending.items())[:MAX_UPDATES_PER_MESSAGE])
         for vm in batch:
             del self._pending[vm]
         actions: list[MemberAction] = []
@@ -82,15 +82,15 @@
     def digest_heard(self, peer: str, digest: int, now_ms: float) -> tuple[MemberAction, ...]:
         """Take the digest of a peer's heartbeat; compare the buckets if it keeps differing."""
         if digest == self._table.digest:
-            self._differs_ms.pop(peer, None)
+            self._differs_since_ms.pop(peer, None)
             self._table.confirm_all()
             return ()
-        since_ms = self._differs_ms.setdefault(peer, now_ms)
-        if len(self._table.present()) > 1 and now_ms - since_ms < DIFFER_MS:
+        since_ms = self._differs_since_ms.setdefault(peer, now_ms)
+        if len(self._table.present()) > 1 and now_ms - since_ms < DIFFERENCE_GRACE_MS:
             return ()
-        if now_ms - self._compared_ms.get(peer, -COMPARE_EVERY_MS) < COMPARE_EVERY_MS:
+        if now_ms - self._last_compared_ms.get(peer, -COMPARE_INTERVAL_MS) < COMPARE_INTERVAL_MS:
             return ()
-        self._compared_ms[peer] = now_ms
+        self._last_compared_ms[peer] = now_ms
         return (Send(peer, MemberDigests(self._table.digests())),)
 
     def compared(self, peer: str, buckets: tuple[int, ...]) -> tuple[MemberAction, ...]:
@@ -104,12 +104,12 @@
             found += [item.to_update() for item in members if not item.unconfirmed]
         if not found:
             return ()
-        return (Send(peer, MemberUpdates(tuple(found[:MAX_REPAIRS]))),)
+        return (Send(peer, MemberUpdates(tuple(found[:MAX_REPAIRS_PER_MESSAGE]))),)
 
     def forget(self, peer: str) -> None:
         """Drop what is kept about a peer whose link has closed."""
-        self._differs_ms.pop(peer, None)
-        self._compared_ms.pop(peer, None)
+        self._differs_since_ms.pop(peer, None)
+        self._last_compared_ms.pop(peer, None)
 
     def _updates(self, vms: Iterable[str]) -> tuple[MemberUpdate, ...]:
         members = [self._table.get(vm) for vm in vms]
--- a/cloverhook/member_watch.py
+++ b/cloverhook/member_watch.py
@@ -25,15 +25,15 @@
     """The members as they were at the last update."""
 
     def __init__(self) -> None:
-        self._seen: dict[str, EventName] = {}
+        self._last_events: dict[str, EventName] = {}
 
     def update(self, members: Iterable[Member]) -> tuple[MemberChange, ...]:
         """Return what has changed since the last update."""
         changes: list[MemberChange] = []
         for member in members:
             name = _event_of(member)
-            if name is not None and self._seen.get(member.vm) is not name:
-                self._seen[member.vm] = name
+            if name is not None and self._last_events.get(member.vm) is not name:
+                self._last_events[member.vm] = name
                 changes.append(MemberChange(name, member.vm))
         return tuple(changes)
 
--- a/cloverhook/members.py
+++ b/cloverhook/members.py
@@ -17,8 +17,8 @@
 __all__ = ["BUCKETS", "Member", "MemberTable", "Status"]
 
 BUCKETS = 32
-LOST_KEPT_MS = 2 * 60 * 60 * 1_000
-LISTED_ONLY = -1
+LOST_RETENTION_MS = 2 * 60 * 60 * 1_000
+LISTED_INCARNATION = -1
 
 
 class Status(IntEnum):
@@ -93,7 +93,7 @@
         return self.status in (Status.ALIVE, Status.SUSPECT)
 
     @property
-    def visible(self) -> tuple[bool, bool, str, str, str]:
+    def externally_visible(self) -> tuple[bool, bool, str, str, str]:
         """What makes a difference to callers, routers and links."""
         addresses = (self.data_center, self.caller_address, self.peer_address)
         return (self.present, self.leaving, *addresses)
@@ -117,9 +117,9 @@
         self._listed: dict[str, VmPhase] = {}
         self._buckets = [0] * BUCKETS
         self._suspected: set[str] = set()
-        self._doubting = False
+        self._after_pause = False
         self.version = 0
-        self._flip(own)
+        self._toggle(own)
 
     @property
     def own(self) -> Member:
@@ -171,14 +171,14 @@
 
     def confirm_all(self) -> None:
         """Note that all that is known holds after a pause too."""
-        if self._doubting:
-            self._doubting = False
+        if self._after_pause:
+            self._after_pause = False
             for vm in tuple(self._members):
                 self.confirm(vm)
 
     def doubt_all(self, now_ms: float) -> None:
         """Note that what is known of every other VM may have changed during a pause."""
-        self._doubting = True
+        self._after_pause = True
         for vm, member in self._members.items():
             if vm != self._own_vm:
                 self._members[vm] = replace(member, unconfirmed=True, since_ms=now_ms)
@@ -186,13 +186,13 @@
     @property
     def doubted(self) -> bool:
         """Whether something that callers may be told dates from before a pause."""
-        return self._doubting and any(
+        return self._after_pause and any(
             member.unconfirmed and member.present for member in self._members.values()
         )
 
     def drop_doubted(self) -> None:
         """Take back to `LISTED` what nobody has confirmed since a pause."""
-        self._doubting = False
+        self._after_pause = False
         for member in self.all():
             if member.unconfirmed and member.present:
                 self._replace(replace(member, status=Status.LISTED, unconfirmed=False))
@@ -213,7 +213,7 @@
     def forget_lost(self, now_ms: float) -> None:
         """Drop members that were lost long ago and aren't listed any more."""
         for member in self.all():
-            old = now_ms - member.since_ms > LOST_KEPT_MS
+            old = now_ms - member.since_ms > LOST_RETENTION_MS
             if member.status is Status.LOST and old and member.vm not in self._listed:
                 self._remove(member)
 
@@ -236,18 +236,18 @@
     def _replace(self, member: Member) -> None:
         known = self._members.get(member.vm)
         if known is not None:
-            self._flip(known)
+            self._toggle(known)
         self._members[member.vm] = member
-        self._flip(member)
-        if known is None or known.visible != member.visible:
+        self._toggle(member)
+        if known is None or known.externally_visible != member.externally_visible:
             self.version += 1
 
     def _remove(self, member: Member) -> None:
-        self._flip(member)
+        self._toggle(member)
         del self._members[member.vm]
         self.version += 1
 
-    def _flip(self, member: Member) -> None:
+    def _toggle(self, member: Member) -> None:
         if member.status is Status.SUSPECT:
             self._suspected ^= {member.vm}
         if member.present:
@@ -260,7 +260,7 @@
         item.data_center,
         item.caller_address,
         item.peer_address,
-        incarnation=LISTED_ONLY,
+        incarnation=LISTED_INCARNATION,
         status=Status.LISTED,
         since_ms=now_ms,
     )
--- a/cloverhook/membership.py
+++ b/cloverhook/membership.py
@@ -1,13 +1,17 @@
-"""Which VMs take part: judged from the platform's list, the daemons' own word, links and callers.
+"""Group membership: decides which VMs take part in the fleet.
 
 Layer: coordination, free of input and output: `Membership.handle` takes a typed event and the time
-on a monotonic clock, and returns typed actions.  The parts do the work: `members` holds what is
-known, `overlay` says which peers to be linked to, `failure_detector` notices the lost and `gossip`
-spreads the changes.
+on a monotonic clock, and returns typed actions.  The evidence comes from the platform's list of
+VMs, from what the daemons report about themselves, from links and from callers.  The work is
+divided among four modules: `members` holds the member table, `overlay` chooses the peers to link
+to, `failure_detector` detects lost members and `gossip` spreads changes.
 
-When the kinds of evidence disagree: a VM that is listed but silent is not handed out; one that is
-heard but not listed yet serves; one that says itself that it is leaving leaves, whatever the list
-says; one that the list calls leaving gets no new callers.
+Rules for evidence that disagrees:
+
+- A VM that is listed but silent is not returned to callers.
+- A VM that sends messages but is not listed yet serves callers.
+- A VM that reports that it is leaving is leaving, whatever the list says.
+- A VM that the list marks as leaving gets no new callers.
 """
 
 import random
@@ -51,17 +55,17 @@
 
 __all__ = ["Membership"]
 
-REDIAL_MS = 500
+REDIAL_INTERVAL_MS = 500
 SEARCH_MS = 1_000
-SEARCHED = 3
-START_MS = 5_000
-ENOUGH_NEIGHBOURS = 2
-CONFIRM_MS = 1_500
-FORGET_MS = 60_000
+SEARCH_COUNT = 3
+STARTUP_MS = 5_000
+MIN_LINKED_NEIGHBOURS = 2
+CONFIRM_TIMEOUT_MS = 1_500
+FORGET_INTERVAL_MS = 60_000
 
 
 class Membership:
-    """The daemons that this one knows, itself among them."""
+    """The members of the fleet as this daemon sees them, including itself."""
 
     def __init__(
         self,
@@ -79,10 +83,10 @@
         self._heartbeat_ms = heartbeat_ms
         self._started_ms = now_ms
         self._config_offset = 0
-        self._next_beat_ms = now_ms
+        self._next_heartbeat_ms = now_ms
         self._next_search_ms = now_ms
-        self._next_forget_ms = now_ms + FORGET_MS
-        self._dialled_ms: dict[str, float] = {}
+        self._next_forget_ms = now_ms + FORGET_INTERVAL_MS
+        self._last_dial_ms: dict[str, float] = {}
         self._confirm_until_ms: float | None = None
         self._replaced = False
         self._ring_version = -1
@@ -90,26 +94,26 @@
         self._successors: tuple[str, ...] = ()
 
     def serving(self) -> tuple[Member, ...]:
-        """Return the daemons that callers may be sent to, ordered by name."""
+        """Return the members that callers may be sent to, ordered by VM name."""
         return self.table.serving()
 
     def busiest(self, vms: Iterable[str]) -> float:
-        """Return the load, 0 to 1, that the busiest of these VMs has told."""
+        """Return the highest load, 0 to 1, that any of these VMs has reported, or 0."""
         known = [self.table.get(vm) for vm in vms]
         return max((member.busy_tenths for member in known if member is not None), default=0) / 10
 
     @property
     def version(self) -> int:
-        """A number that changes whenever `serving` may have changed."""
+        """A number that changes whenever the result of `serving` may have changed."""
         return self.table.version
 
     @property
     def doubtful(self) -> bool:
-        """Whether answers rest on what was known before a pause of this process."""
+        """Whether answers to callers rest on information from before a pause of this process."""
         return self.table.doubted
 
     def neighbours(self) -> tuple[str, ...]:
-        """Return the VMs beside this one in the overlay."""
+        """Return the VMs adjacent to this one in the overlay."""
         if self._ring_version != self.table.version:
             self._ring_version = self.table.version
             vms = [member.vm for member in self.table.present()]
@@ -119,51 +123,54 @@
         return self._neighbours
 
     def handle(self, event: MemberEvent, now_ms: float) -> tuple[MemberAction, ...]:
-        """Take an event and return the actions it calls for."""
-        actions = list(self._take(event, now_ms))
-        actions.extend(self._gossip.flush(self._told()))
+        """Process an event and return the actions to carry out."""
+        actions = list(self._apply_event(event, now_ms))
+        actions.extend(self._gossip.flush(self._update_targets()))
         return tuple(actions)
 
     def next_wake_ms(self, now_ms: float) -> float:
-        """Return when a `Tick` next has something to do, if no other event comes before."""
+        """Return when a `Tick` is next needed, provided that no other event comes first."""
         wake_ms = min(
-            self._next_beat_ms,
+            self._next_heartbeat_ms,
             self._next_search_ms,
             self._detector.next_wake_ms(self.neighbours(), now_ms),
         )
         for vm in self._successors:
             if vm not in self.linked:
-                wake_ms = min(wake_ms, self._dialled_ms.get(vm, now_ms - REDIAL_MS) + REDIAL_MS)
+                wake_ms = min(
+                    wake_ms,
+                    self._last_dial_ms.get(vm, now_ms - REDIAL_INTERVAL_MS) + REDIAL_INTERVAL_MS,
+                )
         if self._confirm_until_ms is not None:
             wake_ms = min(wake_ms, self._confirm_until_ms)
         return wake_ms
 
-    def _told(self) -> list[str]:
-        """Return the peers that changes go to: the neighbours, or all while few are linked."""
-        near = [vm for vm in self.neighbours() if vm in self.linked]
-        return near if len(near) >= ENOUGH_NEIGHBOURS else sorted(self.linked)
+    def _update_targets(self) -> list[str]:
+        """Return the peers to send updates to: the linked neighbours, or all links if too few."""
+        peers = [vm for vm in self.neighbours() if vm in self.linked]
+        return peers if len(peers) >= MIN_LINKED_NEIGHBOURS else sorted(self.linked)
 
     @singledispatchmethod
-    def _take(self, event: MemberEvent, now_ms: float) -> tuple[MemberAction, ...]:
+    def _apply_event(self, event: MemberEvent, now_ms: float) -> tuple[MemberAction, ...]:
         raise TypeError(f"not an event: {event!r}")
 
-    @_take.register
+    @_apply_event.register
     def _(self, event: ListRead, now_ms: float) -> tuple[MemberAction, ...]:
         self.table.listed(event.vms, now_ms)
         return ()
 
-    @_take.register
+    @_apply_event.register
     def _(self, event: LinkOpened, now_ms: float) -> tuple[MemberAction, ...]:
         hello = event.hello
         self.linked.add(hello.vm)
         self._gossip.take_word(_member_of(hello, now_ms))
         return (
             *self._detector.heard(hello.vm, now_ms),
-            *self._correct(hello.vm, hello.incarnation, hello.sequence),
+            *self._prompt_refutation(hello.vm, hello.incarnation, hello.sequence),
             Send(hello.vm, self._heartbeat()),
         )
 
-    @_take.register
+    @_apply_event.register
     def _(self, event: LinkLost, now_ms: float) -> tuple[MemberAction, ...]:
         self.linked.discard(event.vm)
         self._gossip.forget(event.vm)
@@ -171,74 +178,74 @@
             return ()
         return self._detector.check(event.vm, self.linked, now_ms)
 
-    @_take.register
+    @_apply_event.register
     def _(self, event: CallerReport, now_ms: float) -> tuple[MemberAction, ...]:
         for member in self.table.serving():
             if member.caller_address == event.caller_address:
                 return self._detector.check(member.vm, self.linked, now_ms)
         return ()
 
-    @_take.register
+    @_apply_event.register
     def _(self, event: ConfigFolded, now_ms: float) -> tuple[MemberAction, ...]:
         if event.next_offset == self._config_offset:
             return ()
         self._config_offset = event.next_offset
-        return self._beat(now_ms)
+        return self._send_heartbeats(now_ms)
 
-    @_take.register
+    @_apply_event.register
     def _(self, event: Leave, now_ms: float) -> tuple[MemberAction, ...]:
-        self._say(leaving=True)
-        return self._beat(now_ms)
+        self._update_own(leaving=True)
+        return self._send_heartbeats(now_ms)
 
-    @_take.register
+    @_apply_event.register
     def _(self, event: LoadChanged, now_ms: float) -> tuple[MemberAction, ...]:
-        self._say(busy_tenths=event.busy_tenths)
+        self._update_own(busy_tenths=event.busy_tenths)
         return ()
 
-    @_take.register
+    @_apply_event.register
     def _(self, event: Stopped, now_ms: float) -> tuple[MemberAction, ...]:
-        self._say(status=Status.LOST)
+        self._update_own(status=Status.LOST)
         return ()
 
-    @_take.register
+    @_apply_event.register
     def _(self, event: Woke, now_ms: float) -> tuple[MemberAction, ...]:
         self.linked.clear()
-        self._dialled_ms.clear()
+        self._last_dial_ms.clear()
         self.table.doubt_all(now_ms)
         self._detector.woke(now_ms)
         self._confirm_until_ms = None
         return ()
 
-    @_take.register
+    @_apply_event.register
     def _(self, event: MessageHeard, now_ms: float) -> tuple[MemberAction, ...]:
-        heard = self._detector.heard(event.vm, now_ms)
+        probe_answers = self._detector.heard(event.vm, now_ms)
         if self.table.doubted and self._confirm_until_ms is None:
-            self._confirm_until_ms = now_ms + CONFIRM_MS
-        return (*heard, *self._answer(event.vm, event.message, now_ms))
+            self._confirm_until_ms = now_ms + CONFIRM_TIMEOUT_MS
+        return (*probe_answers, *self._apply_message(event.vm, event.message, now_ms))
 
-    @_take.register
+    @_apply_event.register
     def _(self, event: Tick, now_ms: float) -> tuple[MemberAction, ...]:
         if self.table.own.status is Status.LOST:
             return ()
         actions, changed = self._detector.tick(self.neighbours(), self.linked, now_ms)
         for member in changed:
             self._gossip.take(member)
-        told = [Send(item.vm, MemberUpdates((item.to_update(),))) for item in changed]
+        notices = [Send(item.vm, MemberUpdates((item.to_update(),))) for item in changed]
         if self._confirm_until_ms is not None and now_ms >= self._confirm_until_ms:
             self._confirm_until_ms = None
             self.table.drop_doubted()
         if now_ms >= self._next_forget_ms:
-            self._next_forget_ms = now_ms + FORGET_MS
+            self._next_forget_ms = now_ms + FORGET_INTERVAL_MS
             self.table.forget_lost(now_ms)
-        beats = self._beat(now_ms) if now_ms >= self._next_beat_ms else ()
-        return (*actions, *told, *beats, *self._dials(now_ms))
+        heartbeats = self._send_heartbeats(now_ms) if now_ms >= self._next_heartbeat_ms else ()
+        return (*actions, *notices, *heartbeats, *self._dial_peers(now_ms))
 
-    def _answer(self, vm: str, message: Message, now_ms: float) -> tuple[MemberAction, ...]:
+    def _apply_message(self, vm: str, message: Message, now_ms: float) -> tuple[MemberAction, ...]:
         match message:
             case Heartbeat():
-                return self._heartbeat_heard(vm, message, now_ms)
+                return self._apply_heartbeat(vm, message, now_ms)
             case MemberUpdates(updates):
-                return self._updates_heard(vm, updates, now_ms)
+                return self._apply_updates(vm, updates, now_ms)
             case MemberDigests(buckets):
                 return self._gossip.compared(vm, buckets)
             case Ping():
@@ -249,25 +256,27 @@
                 self._detector.seen(message, now_ms)
         return ()
 
-    def _heartbeat_heard(self, vm: str, beat: Heartbeat, now_ms: float) -> tuple[MemberAction, ...]:
+    def _apply_heartbeat(
+        self, vm: str, heartbeat: Heartbeat, now_ms: float
+    ) -> tuple[MemberAction, ...]:
         known = self.table.get(vm)
-        if known is not None and beat.vm == vm:
-            fresh = replace(
+        if known is not None and heartbeat.vm == vm:
+            refreshed = replace(
                 known,
-                incarnation=beat.incarnation,
-                sequence=beat.sequence,
+                incarnation=heartbeat.incarnation,
+                sequence=heartbeat.sequence,
                 status=Status.ALIVE,
-                leaving=beat.leaving,
+                leaving=heartbeat.leaving,
                 since_ms=now_ms,
                 unconfirmed=False,
             )
-            self._gossip.take_word(fresh)
+            self._gossip.take_word(refreshed)
         return (
-            *self._correct(vm, beat.incarnation, beat.sequence),
-            *self._gossip.digest_heard(vm, beat.digest, now_ms),
+            *self._prompt_refutation(vm, heartbeat.incarnation, heartbeat.sequence),
+            *self._gossip.digest_heard(vm, heartbeat.digest, now_ms),
         )
 
-    def _updates_heard(
+    def _apply_updates(
         self, vm: str, updates: tuple[MemberUpdate, ...], now_ms: float
     ) -> tuple[MemberAction, ...]:
         own_vm = self.table.own.vm
@@ -283,22 +292,30 @@
         if own.status is Status.LOST or update.incarnation < own.incarnation:
             return ()
         if update.incarnation > own.incarnation:
-            if now_ms - self._started_ms < START_MS:
-                self._say(incarnation=update.incarnation + 1)
+            # Shortly after the start, this daemon takes a still higher incarnation.  Later, a
+            # higher incarnation means that another process has taken this VM's name.
+            if now_ms - self._started_ms < STARTUP_MS:
+                self._update_own(incarnation=update.incarnation + 1)
                 return ()
             first, self._replaced = not self._replaced, True
             return (Replaced(),) if first else ()
         if update.sequence >= own.sequence and update.status != Status.ALIVE:
-            self._say(sequence=update.sequence + 1)
+            self._update_own(sequence=update.sequence + 1)
         return ()
 
-    def _say(self, **changes: object) -> None:
-        """Say something new of this daemon."""
+    def _update_own(self, **changes: object) -> None:
+        """Change this daemon's own entry, with a new sequence number, and spread the change."""
         own = self.table.own
         self._gossip.take(replace(own, **{"sequence": own.sequence + 1, **changes}))
 
-    def _correct(self, vm: str, incarnation: int, sequence: int) -> tuple[MemberAction, ...]:
-        """Tell a VM that others hold it for suspect or lost, so that it refutes."""
+    def _prompt_refutation(
+        self, vm: str, incarnation: int, sequence: int
+    ) -> tuple[MemberAction, ...]:
+        """Send a VM its own entry if it is recorded as suspect or lost, so that it refutes it.
+
+        `incarnation` and `sequence` are the VM's own; if they are newer than the entry, the entry
+        is refuted already.
+        """
         known = self.table.get(vm)
         if known is None or known.status in (Status.ALIVE, Status.LISTED):
             return ()
@@ -317,25 +334,29 @@
             self.table.digest,
         )
 
-    def _beat(self, now_ms: float) -> tuple[MemberAction, ...]:
-        self._next_beat_ms = now_ms + self._heartbeat_ms
-        beat = self._heartbeat()
-        return tuple(Send(vm, beat) for vm in sorted(self.linked))
+    def _send_heartbeats(self, now_ms: float) -> tuple[MemberAction, ...]:
+        self._next_heartbeat_ms = now_ms + self._heartbeat_ms
+        heartbeat = self._heartbeat()
+        return tuple(Send(vm, heartbeat) for vm in sorted(self.linked))
 
-    def _dials(self, now_ms: float) -> tuple[MemberAction, ...]:
+    def _dial_peers(self, now_ms: float) -> tuple[MemberAction, ...]:
         self.neighbours()
         wanted = [vm for vm in self._successors if vm not in self.linked]
         if now_ms >= self._next_search_ms:
-            self._next_search_ms = now_ms + (SEARCH_MS if self.linked else REDIAL_MS)
-            wanted += self._searched()
-        due = [vm for vm in wanted if now_ms - self._dialled_ms.get(vm, -REDIAL_MS) >= REDIAL_MS]
-        self._dialled_ms.update(dict.fromkeys(due, now_ms))
+            self._next_search_ms = now_ms + (SEARCH_MS if self.linked else REDIAL_INTERVAL_MS)
+            wanted += self._pick_absent()
+        due = [
+            vm
+            for vm in wanted
+            if now_ms - self._last_dial_ms.get(vm, -REDIAL_INTERVAL_MS) >= REDIAL_INTERVAL_MS
+        ]
+        self._last_dial_ms.update(dict.fromkeys(due, now_ms))
         return tuple(Dial(vm) for vm in due)
 
-    def _searched(self) -> list[str]:
-        """Choose VMs that may have come, come back, or stand on the other side of a cut."""
+    def _pick_absent(self) -> list[str]:
+        """Choose absent VMs that may be new, have returned, or be across a network partition."""
         absent = [item.vm for item in self.table.all() if not item.present]
-        count = 1 if self.linked else SEARCHED
+        count = 1 if self.linked else SEARCH_COUNT
         return self._random.sample(absent, min(count, len(absent)))
 
 
--- a/cloverhook/overlay.py
+++ b/cloverhook/overlay.py
@@ -14,34 +14,34 @@
 __all__ = ["RINGS", "neighbours", "successors"]
 
 RINGS = 3
-PLACES_KEPT = 8_192
+CACHED_POSITIONS = 8_192
 
 
 def successors(own_vm: str, vms: Sequence[str]) -> tuple[str, ...]:
     """Return the VMs that a daemon dials: the next one on each ring."""
-    return _beside(own_vm, vms, 1)
+    return _adjacent(own_vm, vms, 1)
 
 
 def neighbours(own_vm: str, vms: Sequence[str]) -> tuple[str, ...]:
     """Return the VMs beside a daemon on any ring, at most twice as many as there are rings."""
-    return tuple(sorted({*_beside(own_vm, vms, 1), *_beside(own_vm, vms, -1)}))
+    return tuple(sorted({*_adjacent(own_vm, vms, 1), *_adjacent(own_vm, vms, -1)}))
 
 
-def _beside(own_vm: str, vms: Sequence[str], step: int) -> tuple[str, ...]:
+def _adjacent(own_vm: str, vms: Sequence[str], step: int) -> tuple[str, ...]:
     found: set[str] = set()
     others = [vm for vm in vms if vm != own_vm]
     for ring in range(RINGS):
         if others:
-            found.add(_next(own_vm, others, ring, step))
+            found.add(_adjacent_on_ring(own_vm, others, ring, step))
     return tuple(sorted(found))
 
 
-def _next(own_vm: str, others: Sequence[str], ring: int, step: int) -> str:
-    own = _place(own_vm, ring)
-    after = [vm for vm in others if step * _place(vm, ring) > step * own]
-    return min(after or others, key=lambda vm: step * _place(vm, ring))
+def _adjacent_on_ring(own_vm: str, others: Sequence[str], ring: int, step: int) -> str:
+    own = _position(own_vm, ring)
+    after = [vm for vm in others if step * _position(vm, ring) > step * own]
+    return min(after or others, key=lambda vm: step * _position(vm, ring))
 
 
-@lru_cache(maxsize=PLACES_KEPT)
-def _place(vm: str, ring: int) -> int:
+@lru_cache(maxsize=CACHED_POSITIONS)
+def _position(vm: str, ring: int) -> int:
     return xxhash.xxh3_64_intdigest(vm.encode(), seed=ring)
--- a/cloverhook/replica.py
+++ b/cloverhook/replica.py
@@ -78,12 +78,12 @@
     def __init__(self, on_folded: OnFolded, on_adopted: OnAdopted = lambda state: None) -> None:
         self._on_folded = on_folded
         self._on_adopted = on_adopted
-        self._kept: deque[tuple[int, Mapping[str, Any]]] = deque(maxlen=KEPT_RECORDS)
+        self._recent_records: deque[tuple[int, Mapping[str, Any]]] = deque(maxlen=KEPT_RECORDS)
         self._search: _Search | None = _Search(lost=False, restarts=0)
-        self._verify = False
-        self._doubtful = False
+        self._verify_last = False
+        self._short_log_seen = False
         self._searched_restarts = 0
-        self._unsaved: State | None = None
+        self._uncovered: State | None = None
         self._snapshot_position: int | None = None
         self.state = State()
         self.first_offset = 0
@@ -97,43 +97,43 @@
     @property
     def snapshot_position(self) -> int | None:
         """Where the log's last snapshot stands; None when it lacks what is in force here."""
-        return None if self._unsaved else self._snapshot_position
+        return None if self._uncovered else self._snapshot_position
 
     def next_read(self) -> Read:
         """Return what to read next from the log."""
         if self._search is not None:
             return Read(self._search.cursor, self._search.at_end)
         offset = offset_of(self.state.next_offset)
-        if self._verify and self._kept:
+        if self._verify_last and self._recent_records:
             return Read(offset - 1, wait=False)
         return Read(offset, self.at_end)
 
     def read_failed(self) -> None:
         """Take that a read failed: the log may be another one when it is back."""
-        self._verify = bool(self._kept)
+        self._verify_last = bool(self._recent_records)
         self.at_end = False
 
     def take_slice(self, read: LogSlice) -> int:
         """Take records that were read from the log and return how many were folded."""
         self.first_offset = read.first_offset
         if self._search is not None:
-            self._take_in_search(self._search, read)
+            self._apply_read_in_search(self._search, read)
             return 0
         offset = offset_of(self.state.next_offset)
         restarts = restarts_of(self.state.next_offset)
-        if read.next_offset < offset and not self._doubtful:
-            self._doubtful = True
+        if read.next_offset < offset and not self._short_log_seen:
+            self._short_log_seen = True
             return 0
-        if read.next_offset < offset or self._differs(read):
+        if read.next_offset < offset or self._last_record_differs(read):
             logging.warning("replica: the log has started over; what is in force stays.")
             self._begin_search(lost=True, restarts=restarts + 1)
             return 0
-        self._doubtful = False
+        self._short_log_seen = False
         if read.first_offset > offset:
             logging.warning("replica: the log has lost records from %d on.", offset)
             self._begin_search(lost=True, restarts=restarts)
             return 0
-        self._verify = False
+        self._verify_last = False
         taken = self.take(position_of(restarts, read.from_offset), read.records)
         self.at_end = offset_of(self.state.next_offset) >= read.next_offset
         return taken
@@ -149,7 +149,7 @@
         for position, data in enumerate(records, start=from_offset):
             if position < self.state.next_offset:
                 continue
-            if self._starts_over(data):
+            if self._reveals_restart(data):
                 break
             self._fold(position, data)
             taken += 1
@@ -164,7 +164,7 @@
             return False
         joined = self.state.join(state)
         changed = not joined.same_brands(self.state)
-        self._kept.clear()
+        self._recent_records.clear()
         self.state = joined
         if changed:
             self._on_adopted(self.state)
@@ -174,9 +174,9 @@
         """Return the kept records from a position on, or None when they are kept no longer."""
         if offset >= self.state.next_offset:
             return ()
-        if not self._kept or self._kept[0][0] > offset:
+        if not self._recent_records or self._recent_records[0][0] > offset:
             return None
-        return tuple(data for position, data in self._kept if position >= offset)
+        return tuple(data for position, data in self._recent_records if position >= offset)
 
     def snapshot(self) -> Snapshot:
         """Return a snapshot for the log; in place of lost records it carries what is in force."""
@@ -187,12 +187,12 @@
 
     def _begin_search(self, lost: bool, restarts: int) -> None:
         self._search = _Search(lost, restarts)
-        self._verify = False
-        self._doubtful = False
+        self._verify_last = False
+        self._short_log_seen = False
         self._snapshot_position = None
         self.at_end = False
 
-    def _take_in_search(self, search: _Search, read: LogSlice) -> None:
+    def _apply_read_in_search(self, search: _Search, read: LogSlice) -> None:
         if read.next_offset < search.cursor:
             self._begin_search(lost=True, restarts=search.restarts + 1)
             return
@@ -202,9 +202,9 @@
         search.first_offset = read.first_offset
         search.at_end = search.cursor >= read.next_offset
         if search.at_end:
-            self._decide(search, read)
+            self._finish_search(search, read)
 
-    def _decide(self, search: _Search, read: LogSlice) -> None:
+    def _finish_search(self, search: _Search, read: LogSlice) -> None:
         """End the search when the replica can fold on from somewhere."""
         position = self.state.next_offset
         if offset_of(position) > read.next_offset:
@@ -214,21 +214,21 @@
         search.lost = not follows
         found = search.covering()
         if found is not None and (not follows or found.next_offset > position):
-            self._enter(found)
+            self._adopt_snapshot(found)
         elif follows:
             self._search = None
 
-    def _enter(self, found: State) -> None:
+    def _adopt_snapshot(self, found: State) -> None:
         joined = replace(self.state.join(found), next_offset=found.next_offset)
         changed = not joined.same_brands(self.state)
-        self._unsaved = None if joined.same_brands(found) else joined
+        self._uncovered = None if joined.same_brands(found) else joined
         self._search = None
-        self._kept.clear()
+        self._recent_records.clear()
         self.state = joined
         if changed:
             self._on_adopted(self.state)
 
-    def _starts_over(self, data: Any) -> bool:
+    def _reveals_restart(self, data: Any) -> bool:
         """Search again when a snapshot tells of a restart of the log that was not noticed."""
         known = max(restarts_of(self.state.next_offset), self._searched_restarts)
         position = data.get("next_offset") if isinstance(data, Mapping) else None
@@ -241,11 +241,11 @@
         self._begin_search(lost=False, restarts=restarts_of(self.state.next_offset))
         return True
 
-    def _differs(self, read: LogSlice) -> bool:
+    def _last_record_differs(self, read: LogSlice) -> bool:
         """Return whether the log holds another record than the one that was folded last."""
-        if not self._verify or not self._kept:
+        if not self._verify_last or not self._recent_records:
             return False
-        position, data = self._kept[-1]
+        position, data = self._recent_records[-1]
         index = offset_of(position) - read.from_offset
         return 0 <= index < len(read.records) and read.records[index] != data
 
@@ -253,7 +253,7 @@
         before = self.state
         record, result = fold_data(before, position, data)
         self.state = result.state
-        self._kept.append((position, data))
+        self._recent_records.append((position, data))
         if result.verdict is not Verdict.ACCEPTED:
             logging.info(
                 "replica: record %d is %s: %s.",
@@ -262,19 +262,19 @@
                 result.reason,
             )
         if isinstance(record, Snapshot) and result.verdict is Verdict.ACCEPTED:
-            self._saved(position, record)
+            self._record_snapshot(position, record)
             if not result.state.same_brands(before):
                 self._on_adopted(result.state)
         if record is not None:
             self._on_folded(record, result)
 
-    def _saved(self, position: int, snapshot: Snapshot) -> None:
+    def _record_snapshot(self, position: int, snapshot: Snapshot) -> None:
         self._snapshot_position = position
-        if self._unsaved is None:
+        if self._uncovered is None:
             return
         taken = State.from_document(snapshot.state, self.state)
-        if taken.join(self._unsaved).same_brands(taken):
-            self._unsaved = None
+        if taken.join(self._uncovered).same_brands(taken):
+            self._uncovered = None
 
 
 def _snapshot_state(data: Any) -> State | None:
--- a/cloverhook/snapshots.py
+++ b/cloverhook/snapshots.py
@@ -17,17 +17,17 @@
 class SnapshotLimits:
     """When a snapshot is wanted and how far the daemons' appends are spread.
 
-    A daemon appends at most one snapshot in `repeat_ms`.  A daemon that has lost records of the
-    log waits for others' snapshots and peers for `patience_ms` before it appends what it has, or
-    for `bare_patience_ms` when it has nothing.
+    A daemon appends at most one snapshot in `min_interval_ms`.  A daemon that has lost records of the
+    log waits for others' snapshots and peers for `loss_wait_ms` before it appends what it has, or
+    for `empty_loss_wait_ms` when it has nothing.
     """
 
     every_records: int = 500
     every_ms: float = 600_000
     spread_ms: float = 10_000
-    repeat_ms: float = 30_000
-    patience_ms: float = 3_000
-    bare_patience_ms: float = 60_000
+    min_interval_ms: float = 30_000
+    loss_wait_ms: float = 3_000
+    empty_loss_wait_ms: float = 60_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,21 +55,21 @@
         self._seen_ms = 0.0
         self._lost_ms: float | None = None
         self._due_ms: float | None = None
-        self._repeat_ms = 0.0
+        self._earliest_append_ms = 0.0
 
     def decide(self, facts: LogFacts, now_ms: float) -> bool:
         """Return whether to append a snapshot now."""
         self._observe(facts, now_ms)
-        if not self._wanted(facts, now_ms):
+        if not self._is_needed(facts, now_ms):
             self._due_ms = None
             return False
         if self._due_ms is None:
             spread_ms = self._source.uniform(0, self._limits.spread_ms)
-            self._due_ms = max(now_ms + spread_ms, self._repeat_ms)
+            self._due_ms = max(now_ms + spread_ms, self._earliest_append_ms)
         if now_ms < self._due_ms:
             return False
         self._due_ms = None
-        self._repeat_ms = now_ms + self._limits.repeat_ms
+        self._earliest_append_ms = now_ms + self._limits.min_interval_ms
         return True
 
     def _observe(self, facts: LogFacts, now_ms: float) -> None:
@@ -82,11 +82,11 @@
         elif self._lost_ms is None:
             self._lost_ms = now_ms
 
-    def _wanted(self, facts: LogFacts, now_ms: float) -> bool:
+    def _is_needed(self, facts: LogFacts, now_ms: float) -> bool:
         limits = self._limits
         if self._lost_ms is not None:
-            patience_ms = limits.bare_patience_ms if facts.bare else limits.patience_ms
-            return now_ms - self._lost_ms >= patience_ms
+            loss_wait_ms = limits.empty_loss_wait_ms if facts.bare else limits.loss_wait_ms
+            return now_ms - self._lost_ms >= loss_wait_ms
         if facts.bare:
             return False
         seen = facts.snapshot_position
