--- a/cloverhook/at_most_once.py
+++ b/cloverhook/at_most_once.py
@@ -1,8 +1,9 @@
-"""Requests with an idempotency key run once, also when their caller repeats them.
+"""Runs requests with an idempotency key at most once, even if their caller repeats them.
 
-Layer: transport.  A request runs only while its claim holds the key.  A repeat gets the first
-request's answer where this daemon has it, waits for it where it is under way here, and else is told
-what is known: that the first request ran, or that nobody can tell.
+Layer: transport.  A request runs only while its claim holds the key.  If this daemon has the first
+request's answer, a repeat gets that answer; if the first request is in progress here, the repeat
+waits for it.  Otherwise the repeat gets an error that says what is known: that the first request
+has run, or that it is unknown whether it has.
 """
 
 import asyncio
@@ -25,7 +26,7 @@
 
 
 class AnswerStore:
-    """Answers by claim, the latest within a number of bytes."""
+    """The latest answers, by claim, up to a total size in bytes."""
 
     def __init__(self, limit_bytes: int) -> None:
         self._limit_bytes = limit_bytes
@@ -37,7 +38,7 @@
         return self._answers.get(claim_id)
 
     def put(self, claim_id: str, answer: CapturedAnswer) -> None:
-        """Keep an answer; the oldest make room for it."""
+        """Store an answer; the oldest answers are evicted to stay within the limit."""
         self._answers[claim_id] = answer
         self._stored_bytes += _size_bytes(answer)
         while self._stored_bytes > self._limit_bytes:
@@ -46,7 +47,7 @@
 
 
 class OnceGuard:
-    """Runs keyed requests at most once."""
+    """Runs requests with an idempotency key at most once."""
 
     def __init__(self, claims: ClaimLog, store: AnswerStore, clock_ms: Callable[[], float]) -> None:
         self._claims = claims
@@ -55,9 +56,9 @@
         self._running: dict[str, asyncio.Event] = {}
 
     async def run(self, exchange: Exchange, key: bytes, forward: Forward) -> None:
-        """Forward a request unless an earlier one holds its key, and answer it else.
+        """Forward a request, or answer it as a repeat if an earlier request holds its key.
 
-        Raises `RequestError` with the answer to a repeat, or when the key can't be claimed.
+        Raises `RequestError` if a repeat has no stored answer, or if the key can't be claimed.
         """
         if not key or len(key) > MAX_KEY_BYTES:
             raise RequestError(ErrorKind.BAD_REQUEST, "the idempotency key is empty or too long")
@@ -68,7 +69,10 @@
                 await self._run_claimed(exchange, name, decision.claim_id, forward)
                 return
             if not isinstance(decision, Denied):
-                raise RequestError(ErrorKind.REPEAT_UNSETTLED, "records of claims were missed")
+                raise RequestError(
+                    ErrorKind.REPEAT_UNSETTLED,
+                    "claim records were missed; an earlier request may hold the key",
+                )
             if await self._answer_repeat(exchange, decision):
                 return
 
@@ -89,7 +93,11 @@
             self._running.pop(claim_id).set()
 
     async def _answer_repeat(self, exchange: Exchange, denied: Denied) -> bool:
-        """Answer a repeat; return False when the first request did not run after all."""
+        """Answer a repeat; return False if the key has to be claimed again.
+
+        That is the case if the first request ended here without an answer to replay, for example
+        because it did not run after all.
+        """
         running = self._running.get(denied.holder_id)
         if running is not None:
             await self._wait(exchange, running)
@@ -111,7 +119,10 @@
             async with asyncio.timeout(remaining_ms / 1000):
                 await running.wait()
         except TimeoutError as error:
-            raise RequestError(ErrorKind.REPEAT_UNSETTLED, "the first request goes on") from error
+            raise RequestError(
+                ErrorKind.REPEAT_UNSETTLED,
+                "the first request with this idempotency key is still running",
+            ) from error
 
     async def _replay(self, exchange: Exchange, answer: CapturedAnswer) -> None:
         own_id = (h.REQUEST_ID, exchange.request_id.encode())
--- a/cloverhook/catch_up.py
+++ b/cloverhook/catch_up.py
@@ -1,9 +1,10 @@
-"""Gets the configuration records from peers that have them when the log is slow or out of reach.
+"""Requests configuration records from peers when the log is slow or unreachable.
 
-Layer: coordination, free of input and output.  A daemon that folds a record tells its linked peers
-its new offset at once.  A peer that is still behind after a moment, in which its own read of the
-log may bring the record, asks one of those that offer it, and another one if no answer comes.  So
-a record crosses a link only when it is needed there.
+Layer: coordination, free of input and output.  A daemon that folds a record sends its new offset to
+its linked peers at once.  Each of them first waits a short time, in which its own read of the log
+may return the record.  A daemon that is still behind then asks one of the peers that have the
+record, and another one if no answer arrives in time.  So a record is sent over a link only if it is
+needed there.
 
 >>> catch_up = CatchUp()
 >>> catch_up.offered("vm-2", 5, 0.0)
@@ -21,7 +22,7 @@
 
 
 class CatchUp:
-    """The offsets that linked peers offer, and the request under way."""
+    """The offsets that linked peers have reached, and the request in progress."""
 
     def __init__(self) -> None:
         self._peer_offsets: dict[str, int] = {}
@@ -30,30 +31,30 @@
         self._request_deadline_ms = 0.0
 
     def offered(self, vm: str, next_offset: int, now_ms: float) -> None:
-        """Note the offset up to which a peer has folded."""
+        """Record the offset up to which a peer has folded the log."""
         self._peer_offsets[vm] = next_offset
         if self._behind_since_ms is None:
             self._behind_since_ms = now_ms
 
     def lost(self, vm: str) -> None:
-        """Note that a peer is linked no more."""
+        """Record that a peer is no longer linked."""
         self._peer_offsets.pop(vm, None)
         if vm in self._requested:
             self._request_deadline_ms = 0.0
 
     def answered(self, vm: str) -> None:
-        """Note that the peer asked has answered, so that another request may follow."""
+        """Record an answer from the peer that was asked, so that another request may follow."""
         if self._requested and self._requested[-1] == vm:
             self._request_deadline_ms = 0.0
 
     def next_wake_ms(self, next_offset: int, now_ms: float) -> float:
-        """Return when `due` may next name a peer, if no peer offers more until then."""
+        """Return when `due` may next return a peer, unless a peer reports a new offset before."""
         if all(offset <= next_offset for offset in self._peer_offsets.values()):
             return math.inf
         return max(now_ms + PATIENCE_MS, self._request_deadline_ms)
 
     def due(self, next_offset: int, now_ms: float) -> str | None:
-        """Return the peer to ask now for the records from an offset on, if any."""
+        """Return the peer to ask now for the records from an offset on, or None."""
         ahead = sorted(vm for vm, offset in self._peer_offsets.items() if offset > next_offset)
         if not ahead:
             self._behind_since_ms = None
--- a/cloverhook/fold.py
+++ b/cloverhook/fold.py
@@ -97,9 +97,9 @@
 
 
 def _fold_snapshot(state: State, snapshot: Snapshot) -> FoldResult:
-    taken = State.from_document(snapshot.state, state)
-    joined = state.join(taken)
-    restarts = max(restarts_of(state.next_offset), restarts_of(taken.next_offset))
+    decoded = State.from_document(snapshot.state, state)
+    joined = state.join(decoded)
+    restarts = max(restarts_of(state.next_offset), restarts_of(decoded.next_offset))
     position = position_of(restarts, offset_of(state.next_offset))
     return FoldResult(replace(joined, next_offset=position), Verdict.ACCEPTED)
 
@@ -172,4 +172,4 @@
         if other.brand.name == name:
             continue
         for host in sorted(brand.hosts() & other.brand.hosts()):
-            yield Fault("hosts", repr(host), f"a host that brand {other.brand.name!r} does not use")
+            yield Fault("hosts", repr(host), f"a host that brand {other.brand.name!r} has not taken")
--- a/cloverhook/follower.py
+++ b/cloverhook/follower.py
@@ -1,7 +1,7 @@
-"""Follows the configuration stream of the platform's log, and keeps snapshots in it.
+"""Follows the configuration stream of the platform's log, and appends snapshots to it.
 
-Layer: coordination.  The decisions are made by `Replica` and `SnapshotPolicy`; this module calls
-the platform for them.  Records and states from peers go to the same replica.
+Layer: coordination.  `Replica` and `SnapshotPolicy` make the decisions; this module calls the
+platform on their behalf.  Records and states from peers are applied to the same replica.
 """
 
 import random
@@ -31,7 +31,7 @@
 
 
 class Follower:
-    """This daemon's copy of the state in force."""
+    """This daemon's replica of the state in force, kept current with the log."""
 
     def __init__(
         self,
@@ -58,20 +58,20 @@
 
     @property
     def behind(self) -> bool:
-        """Whether records may be in force elsewhere that this daemon does not have."""
+        """Whether this daemon may lack records that are already in force elsewhere."""
         return self._failures > 0 or not self._replica.at_end
 
     def age_ms(self) -> float:
-        """Return how long ago this daemon had every record of the log; 0 while it has them."""
+        """Return the time since this daemon last had every record of the log; 0 if it has them."""
         return max(0.0, self._clock_ms() - self._caught_up_ms) if self.behind else 0.0
 
     def retry_ms(self) -> float:
-        """Return how long to wait after a failed poll: it doubles, with jitter."""
+        """Return the delay after a failed poll: exponential backoff with jitter."""
         ceiling_ms = min(MAX_RETRY_MS, FIRST_RETRY_MS * 2 ** max(0, self._failures - 1))
         return ceiling_ms * self._source.uniform(0.5, 1)
 
     def status(self) -> dict[str, Any]:
-        """Return what operators see of how this daemon follows the log."""
+        """Return the status, for operators, of how this daemon follows the log."""
         return {
             "offset": offset_of(self.state.next_offset),
             "log_restarts": restarts_of(self.state.next_offset),
@@ -85,7 +85,7 @@
         }
 
     async def poll(self) -> bool:
-        """Read once and fold what is new; return False when the platform gave no answer."""
+        """Read once and fold new records; return False if the log can't be read."""
         self._check_for_pause()
         planned = self._replica.next_read()
         wait_ms = READ_WAIT_MS if planned.wait else 0
@@ -104,14 +104,14 @@
         return True
 
     def _check_for_pause(self) -> None:
-        """After a pause of this process the log may be another one, as after an outage."""
+        """After a pause of this process, as after an outage, the log may have been replaced."""
         now_ms = self._clock_ms()
         if now_ms - self._last_poll_ms > PAUSE_MS:
             self._replica.read_failed()
         self._last_poll_ms = now_ms
 
     async def maintain(self) -> bool:
-        """Append a snapshot if one is due and return whether one was appended."""
+        """Append a snapshot if one is due, and return whether one was appended."""
         facts = LogFacts(
             self.state.next_offset,
             self._replica.first_offset,
@@ -124,18 +124,18 @@
         try:
             await self._platform.append(CONFIG_STREAM, encode_record(self._replica.snapshot()))
         except PlatformError as error:
-            logging.warning("follower: no snapshot was appended: %s.", error)
+            logging.warning("follower: the snapshot could not be appended: %s.", error)
             return False
         return True
 
     def take(self, from_offset: int, records: tuple[Mapping[str, Any], ...]) -> int:
-        """Fold records that a peer gave and return how many were new."""
+        """Fold records received from a peer and return how many were new."""
         return self._replica.take(from_offset, records)
 
     def adopt(self, state: State) -> bool:
-        """Join a state that a peer gave and return whether anything in force changed."""
+        """Join a state received from a peer and return whether anything in force changed."""
         return self._replica.adopt(state)
 
     def records_from(self, offset: int) -> tuple[Mapping[str, Any], ...] | None:
-        """Return the kept records from an offset on, or None when they are kept no longer."""
+        """Return the retained records from an offset on, or None if some are no longer there."""
         return self._replica.records_from(offset)
--- a/cloverhook/gossip.py
+++ b/cloverhook/gossip.py
@@ -1,9 +1,10 @@
-"""Spreads what is known of members: changes at once to every link, and repairs by digests.
+"""Gossip about members: changes are sent over every link at once; digests repair what was lost.
 
-Layer: coordination, free of input and output.  A change goes to each linked peer once, which sends
-it on only if it was new there, so a change costs each link at most one message in each direction.
-What a closing link loses is found by the digests in heartbeats: two daemons that still differ
-after a while compare one digest for each bucket, and only the buckets that differ are sent.
+Layer: coordination, free of input and output.  A change is sent to each linked peer once, and a
+peer relays it only if it was new there, so a change costs each link at most one message in each
+direction.  Changes that were lost when a link closed are detected by anti-entropy, with the digests
+in heartbeats: two daemons that still differ after a while compare one digest for each bucket, and
+only the buckets that differ are sent.
 """
 
 import random
@@ -22,7 +23,7 @@
 
 
 class Gossip:
-    """The changes that have to be passed on, and the peers that differ."""
+    """The changes to relay, and the peers whose digests differ."""
 
     def __init__(self, table: MemberTable, source: random.Random) -> None:
         self._table = table
@@ -32,14 +33,14 @@
         self._last_compared_ms: dict[str, float] = {}
 
     def take(self, member: Member, from_vm: str = "") -> bool:
-        """Take knowledge of a member; pass it on if it is new here."""
+        """Apply an update about a member; relay it if it is new here, and return whether it is."""
         if not self._table.put(member):
             return False
         self._pending[member.vm] = from_vm
         return True
 
     def take_word(self, member: Member) -> None:
-        """Take what a member says of itself."""
+        """Apply an update that a member sent about itself."""
         known = self._table.get(member.vm)
         if known is not None and known.precedence == member.precedence:
             self._table.confirm(member.vm)
@@ -47,7 +48,7 @@
         self.take(member, member.vm)
 
     def flush(self, linked: Collection[str]) -> tuple[MemberAction, ...]:
-        """Return the messages that pass changes on, a bounded number of changes in each."""
+        """Return the messages that relay changes, each with a bounded number of changes."""
         if not self._pending:
             return ()
         batch = dict(list(self._pending.items())[:MAX_UPDATES_PER_MESSAGE])
@@ -64,7 +65,7 @@
     def updated(
         self, peer: str, updates: Iterable[MemberUpdate], now_ms: float
     ) -> tuple[MemberAction, ...]:
-        """Take a peer's updates; send back what is newer here."""
+        """Apply a peer's updates; send back the entries that are newer here."""
         newer: list[str] = []
         for update in updates:
             member = Member.from_update(update, now_ms)
@@ -80,7 +81,7 @@
         return (Send(peer, MemberUpdates(self._updates(newer))),)
 
     def digest_heard(self, peer: str, digest: int, now_ms: float) -> tuple[MemberAction, ...]:
-        """Take the digest of a peer's heartbeat; compare the buckets if it keeps differing."""
+        """Process the digest in a peer's heartbeat; compare buckets if it keeps differing."""
         if digest == self._table.digest:
             self._differs_since_ms.pop(peer, None)
             self._table.confirm_all()
@@ -94,7 +95,7 @@
         return (Send(peer, MemberDigests(self._table.digests())),)
 
     def compared(self, peer: str, buckets: tuple[int, ...]) -> tuple[MemberAction, ...]:
-        """Take a peer's digests and return the members of the buckets that differ."""
+        """Return an update with the members of the buckets in which a peer's digests differ."""
         own = self._table.digests()
         differing = [index for index, value in enumerate(own) if buckets[index] != value]
         self._random.shuffle(differing)
@@ -107,7 +108,7 @@
         return (Send(peer, MemberUpdates(tuple(found[:MAX_REPAIRS_PER_MESSAGE]))),)
 
     def forget(self, peer: str) -> None:
-        """Drop what is kept about a peer whose link has closed."""
+        """Discard the records about a peer whose link has closed."""
         self._differs_since_ms.pop(peer, None)
         self._last_compared_ms.pop(peer, None)
 
--- a/cloverhook/greeting.py
+++ b/cloverhook/greeting.py
@@ -1,10 +1,10 @@
-"""How daemons prove to each other that they hold the shared key.
+"""The handshake in which two daemons prove to each other that they hold the shared key.
 
-Layer: protocol.  The side that dials sends a nonce, the other side answers with its own, and then
-each proves itself with a keyed hash over its role, both nonces and its whole greeting.  The nonces
-make a replay useless, the role makes a proof useless when it is sent back to its author, and the
-named target makes it useless at another VM.  The side that accepts proves itself only after the
-other one has.
+Layer: protocol.  The side that dials sends a nonce and the other side answers with its own.  Then
+each side authenticates itself with a keyed hash over its role, both nonces and its whole `Hello`.
+The nonces prevent replay, the role prevents a proof from being reflected to its author, and the
+named target prevents its use at another VM.  The accepting side sends its proof only after it has
+verified the other side's.
 """
 
 import hashlib
@@ -44,32 +44,35 @@
 
     @classmethod
     def from_nonces(cls, key: bytes, role: Role, nonce: bytes, peer_nonce: object) -> "Greeting":
-        """Return the view once both nonces are known.  Raises `AuthenticationError`."""
+        """Return the view when both nonces are known.
+
+        Raises `AuthenticationError` if the peer's nonce is missing, malformed or equal to ours.
+        """
         if not isinstance(peer_nonce, bytes) or len(peer_nonce) != NONCE_BYTES:
-            raise AuthenticationError("no nonce")
+            raise AuthenticationError("the peer sent no valid nonce")
         if hmac.compare_digest(nonce, peer_nonce):
-            raise AuthenticationError("our own nonce came back")
+            raise AuthenticationError("the peer sent back this daemon's own nonce")
         return cls(key, role, nonce, peer_nonce)
 
     @staticmethod
     def new_nonce() -> bytes:
-        """Return a nonce that was never used."""
+        """Return a new random nonce."""
         return secrets.token_bytes(NONCE_BYTES)
 
     def prove(self, hello: Hello) -> Hello:
-        """Return our greeting with its proof."""
+        """Return this side's greeting with its proof."""
         return replace(hello, proof=self._proof(hello, self.role))
 
     def check(self, hello: object, own_vm: str) -> Hello:
-        """Return the peer's greeting.  Raises `AuthenticationError` for a wrong one."""
+        """Return the peer's greeting.  Raises `AuthenticationError` if it is invalid."""
         if not isinstance(hello, Hello):
-            raise AuthenticationError("no greeting")
+            raise AuthenticationError("the peer sent no greeting")
         if not hmac.compare_digest(hello.proof, self._proof(hello, self.role.other)):
-            raise AuthenticationError("a wrong proof")
+            raise AuthenticationError("the proof in the peer's greeting is wrong")
         if hello.target not in ("", own_vm):
-            raise AuthenticationError(f"a greeting for {hello.target}")
+            raise AuthenticationError(f"the peer's greeting is addressed to {hello.target}")
         if hello.vm == own_vm:
-            raise AuthenticationError("a greeting under our own name")
+            raise AuthenticationError("the peer's greeting has this VM's own name")
         return hello
 
     def _proof(self, hello: Hello, role: Role) -> bytes:
--- a/cloverhook/member_events.py
+++ b/cloverhook/member_events.py
@@ -1,4 +1,4 @@
-"""What `Membership` is told and what it asks for.
+"""The events that `Membership` processes and the actions that it returns.
 
 Layer: coordination.
 """
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkOpened:
-    """A link to a peer that has proved itself is open."""
+    """A link to an authenticated peer is open."""
 
     hello: Hello
 
 
 @dataclass(frozen=True, slots=True)
 class LinkLost:
-    """The link to a peer has closed or has gone silent."""
+    """The link to a peer has closed or become silent."""
 
     vm: str
 
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerReport:
-    """A caller could not connect to an address that it had been given."""
+    """A caller reports that it could not connect to an address that it had been given."""
 
     caller_address: str
 
@@ -73,24 +73,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Woke:
-    """This process was paused for longer than its peers wait."""
+    """This process has resumed after a pause longer than its peers wait for a silent daemon."""
 
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """This daemon begins a planned stop."""
+    """This daemon starts a planned stop."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadChanged:
-    """This daemon's process uses another share of a core, in tenths."""
+    """The share of a core that this daemon's process uses has changed; it is in tenths."""
 
     busy_tenths: int
 
 
 @dataclass(frozen=True, slots=True)
 class Stopped:
-    """This daemon has ended its planned stop and is about to exit."""
+    """This daemon has completed its planned stop and is about to exit."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Replaced:
-    """Another process has taken this VM's name: this one has to leave."""
+    """Another process has taken this VM's name, so this daemon has to leave."""
 
 
 MemberAction = Send | Dial | Replaced
--- a/cloverhook/member_watch.py
+++ b/cloverhook/member_watch.py
@@ -1,7 +1,7 @@
-"""Notices which daemons have come, gone or fallen silent, for the time line.
+"""Detects which daemons have joined, left or become silent, for the time line.
 
-Layer: coordination, free of input and output.  `MemberWatch.update` compares what is known now with
-what was known before, so membership itself needs to tell nobody of its changes.
+Layer: coordination, free of input and output.  `MemberWatch.update` compares the current members
+with those of the previous update, so membership itself doesn't have to report its changes.
 """
 
 from collections.abc import Iterable
@@ -15,14 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """A daemon that has joined, left, fallen silent or been given up."""
+    """A daemon that has joined, left, become suspect or been lost."""
 
     name: EventName
     vm: str
 
 
 class MemberWatch:
-    """The members as they were at the last update."""
+    """The members as of the last update."""
 
     def __init__(self) -> None:
         self._last_events: dict[str, EventName] = {}
--- a/cloverhook/members.py
+++ b/cloverhook/members.py
@@ -1,8 +1,9 @@
-"""The members a daemon knows, and the rule by which newer knowledge of one replaces older.
+"""The table of members, and the rule that decides which of two updates about a member wins.
 
-Layer: coordination, free of input and output.  Of two updates about a VM the one with the higher
-incarnation holds, then the one with the higher sequence number, then the graver status.  Only the
-VM itself raises its sequence number, so it can refute what others say of it, and nobody else can.
+Layer: coordination, free of input and output.  Of two updates about a VM, the one with the higher
+incarnation wins, then the one with the higher sequence number, then the one with the more severe
+status.  Only the VM itself raises its sequence number, so only the VM itself can refute what other
+daemons report about it.
 """
 
 from collections.abc import Iterable
@@ -22,9 +23,9 @@
 
 
 class Status(IntEnum):
-    """What is known of a member's process, gravest last.
+    """The status of a member's process, in order of increasing severity.
 
-    `LISTED` members stand in the platform's list, but nobody has heard of them yet.
+    `LISTED` members are in the platform's list, but no daemon has reported them yet.
     """
 
     LISTED = 0
@@ -35,9 +36,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A daemon as this one knows it; `since_ms` is when its status was learnt.
+    """A daemon's entry in the member table; `since_ms` is when its status was learnt.
 
-    `unconfirmed` says that the knowledge dates from before a pause of this process.
+    `unconfirmed` means that the entry dates from before a pause of this process.
     """
 
     vm: str
@@ -54,7 +55,7 @@
 
     @classmethod
     def from_update(cls, update: MemberUpdate, now_ms: float) -> "Member":
-        """Return the member that an update describes.  Raises `ValueError` for a wrong status."""
+        """Return the member that an update describes.  Raises `ValueError` for a bad status."""
         return cls(
             update.vm,
             update.data_center,
@@ -69,7 +70,7 @@
         )
 
     def to_update(self) -> MemberUpdate:
-        """Return what peers are told of this member."""
+        """Return the update about this member to send to peers."""
         return MemberUpdate(
             self.vm,
             self.data_center,
@@ -84,31 +85,31 @@
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """The order by which one update replaces another."""
+        """The sort key that decides which update replaces another; the greater one wins."""
         return (self.incarnation, self.sequence, int(self.status))
 
     @property
     def present(self) -> bool:
-        """Whether the process is taken to run."""
+        """Whether the process is presumed to be running."""
         return self.status in (Status.ALIVE, Status.SUSPECT)
 
     @property
     def externally_visible(self) -> tuple[bool, bool, str, str, str]:
-        """What makes a difference to callers, routers and links."""
+        """The attributes that matter to callers, routers and links."""
         addresses = (self.data_center, self.caller_address, self.peer_address)
         return (self.present, self.leaving, *addresses)
 
     @property
     def digest(self) -> int:
-        """A hash over what peers have to agree on."""
+        """A hash over the attributes that peers have to agree on."""
         key = f"{self.vm}\0{self.incarnation}\0{self.sequence}\0{int(self.status)}"
         return xxhash.xxh3_64_intdigest(key.encode())
 
 
 class MemberTable:
-    """Every member by VM name, this daemon's own among them.
+    """All members by VM name, including this daemon's own entry.
 
-    `version` counts the changes that make a difference to callers, routers or links.
+    `version` counts the changes that matter to callers, routers or links.
     """
 
     def __init__(self, own: Member) -> None:
@@ -127,19 +128,19 @@
         return self._members[self._own_vm]
 
     def get(self, vm: str) -> Member | None:
-        """Return what is known of a VM."""
+        """Return a VM's entry, or None."""
         return self._members.get(vm)
 
     def all(self) -> tuple[Member, ...]:
-        """Return every member, ordered by name."""
+        """Return all members, ordered by VM name."""
         return tuple(self._members[vm] for vm in sorted(self._members))
 
     def present(self) -> tuple[Member, ...]:
-        """Return the members whose process is taken to run, ordered by name."""
+        """Return the members whose process is presumed to be running, ordered by VM name."""
         return tuple(member for member in self.all() if member.present)
 
     def serving(self) -> tuple[Member, ...]:
-        """Return the members that callers may be sent to, ordered by name."""
+        """Return the members that callers may be sent to, ordered by VM name."""
         return tuple(
             member
             for member in self.present()
@@ -148,15 +149,15 @@
 
     @property
     def any_suspected(self) -> bool:
-        """Whether any member is suspected."""
+        """Whether any member is suspect."""
         return bool(self._suspected)
 
     def suspects(self) -> tuple[Member, ...]:
-        """Return the members that are suspected."""
+        """Return the members that are suspect, ordered by VM name."""
         return tuple(self._members[vm] for vm in sorted(self._suspected))
 
     def put(self, member: Member) -> bool:
-        """Take newer knowledge of a member; return whether it was newer."""
+        """Store a member if it is newer than the known entry; return whether it was stored."""
         known = self._members.get(member.vm)
         if known is not None and known.precedence >= member.precedence:
             return False
@@ -164,20 +165,20 @@
         return True
 
     def confirm(self, vm: str) -> None:
-        """Note that what is known of a VM holds after a pause too."""
+        """Record that a VM's entry is still correct after a pause of this process."""
         known = self._members.get(vm)
         if known is not None and known.unconfirmed:
             self._members[vm] = replace(known, unconfirmed=False)
 
     def confirm_all(self) -> None:
-        """Note that all that is known holds after a pause too."""
+        """Record that all entries are still correct after a pause of this process."""
         if self._after_pause:
             self._after_pause = False
             for vm in tuple(self._members):
                 self.confirm(vm)
 
     def doubt_all(self, now_ms: float) -> None:
-        """Note that what is known of every other VM may have changed during a pause."""
+        """Mark the entries of all other VMs as unconfirmed: they may have changed in a pause."""
         self._after_pause = True
         for vm, member in self._members.items():
             if vm != self._own_vm:
@@ -185,20 +186,20 @@
 
     @property
     def doubted(self) -> bool:
-        """Whether something that callers may be told dates from before a pause."""
+        """Whether an entry that may be returned to callers dates from before a pause."""
         return self._after_pause and any(
             member.unconfirmed and member.present for member in self._members.values()
         )
 
     def drop_doubted(self) -> None:
-        """Take back to `LISTED` what nobody has confirmed since a pause."""
+        """Reset members that have not been confirmed since a pause to `LISTED`."""
         self._after_pause = False
         for member in self.all():
             if member.unconfirmed and member.present:
                 self._replace(replace(member, status=Status.LISTED, unconfirmed=False))
 
     def listed(self, vms: Iterable[ListedVm], now_ms: float) -> None:
-        """Take the platform's list: addresses of VMs not heard of yet, and who is leaving."""
+        """Apply the platform's list: add VMs not known yet, and record which ones are leaving."""
         phases = {item.vm: item.phase for item in vms}
         for item in vms:
             if item.vm not in self._members:
@@ -211,7 +212,7 @@
             self.version += 1
 
     def forget_lost(self, now_ms: float) -> None:
-        """Drop members that were lost long ago and aren't listed any more."""
+        """Remove members that were lost long ago and are no longer listed."""
         for member in self.all():
             old = now_ms - member.since_ms > LOST_RETENTION_MS
             if member.status is Status.LOST and old and member.vm not in self._listed:
@@ -219,7 +220,7 @@
 
     @property
     def digest(self) -> int:
-        """One hash over all members that are taken to run."""
+        """One hash over all members whose process is presumed to be running."""
         total = 0
         for bucket in self._buckets:
             total ^= bucket
@@ -230,7 +231,7 @@
         return tuple(self._buckets)
 
     def bucket(self, index: int) -> tuple[Member, ...]:
-        """Return the members of a bucket that are taken to run."""
+        """Return the members of a bucket whose process is presumed to be running."""
         return tuple(item for item in self.present() if _bucket_of(item.vm) == index)
 
     def _replace(self, member: Member) -> None:
--- a/cloverhook/overlay.py
+++ b/cloverhook/overlay.py
@@ -1,9 +1,10 @@
-"""Which peers a daemon keeps links to: its neighbours on a few rings, however many VMs there are.
+"""The overlay network: each daemon links to a few peers, however many VMs there are.
 
-Layer: coordination, free of input and output.  Each ring orders all members by a hash of its own,
-and a daemon dials the one after it on each ring.  The union of a few such random rings has a small
-diameter with high probability (about log N to the base of the degree less one), every daemon has
-the same degree, and a member that comes or goes changes only the links beside it.
+Layer: coordination, free of input and output.  A daemon is linked to its neighbours on a few rings.
+Each ring orders all members by a different hash, and a daemon dials its successor on each ring.
+The union of a few such random rings has a small diameter with high probability (about log N to the
+base of the degree minus one), every daemon has the same degree, and a member that joins or leaves
+changes only the links next to it.
 """
 
 from collections.abc import Sequence
@@ -18,12 +19,12 @@
 
 
 def successors(own_vm: str, vms: Sequence[str]) -> tuple[str, ...]:
-    """Return the VMs that a daemon dials: the next one on each ring."""
+    """Return the VMs that a daemon dials: its successor on each ring."""
     return _adjacent(own_vm, vms, 1)
 
 
 def neighbours(own_vm: str, vms: Sequence[str]) -> tuple[str, ...]:
-    """Return the VMs beside a daemon on any ring, at most twice as many as there are rings."""
+    """Return the VMs adjacent to a daemon on any ring: at most two for each ring."""
     return tuple(sorted({*_adjacent(own_vm, vms, 1), *_adjacent(own_vm, vms, -1)}))
 
 
--- a/cloverhook/records.py
+++ b/cloverhook/records.py
@@ -1,8 +1,9 @@
 """The records of the configuration stream, and their JSON form.
 
-Layer: protocol.  A `Change` names the version of the brand that it builds on, so that of two racing
-changes exactly one is accepted wherever the log is folded.  A change carries an identifier that is
-chosen before the first append, so that a tool can look for it after a lost answer.
+Layer: protocol.  A `Change` names the version of the brand that it builds on, so that of two
+concurrent changes every daemon accepts the same one and only that one.  A change has an identifier
+that is chosen before the first append, so that a tool whose append got no answer can find the
+change in the log.
 """
 
 from collections.abc import Mapping
@@ -41,14 +42,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Publish:
-    """Replace a brand's configuration by a document."""
+    """Replace a brand's configuration with a document."""
 
     document: Mapping[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class SwitchPreset:
-    """Put another preset in force for a brand."""
+    """Switch a brand to another preset."""
 
     preset: Preset
 
@@ -63,9 +64,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """An operator's change of one brand, which builds on `base_version` of that brand.
+    """An operator's change of one brand, based on `base_version` of that brand.
 
-    `at_ms` is when it was made by the operator's clock; nothing is decided by it.
+    `at_ms` is the time of the change by the operator's clock; no decision depends on it.
     """
 
     change_id: str
@@ -78,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The folded state up to `next_offset`, in the form that `fold.State.to_document` gives."""
+    """The state folded up to `next_offset`, in the form that `state.State.to_document` returns."""
 
     next_offset: int
     state: Mapping[str, Any]
@@ -153,9 +154,9 @@
 
 
 def decode_record(data: Any) -> Record:
-    """Return the record for a JSON object.  Raises `MessageError` for one that can't be read.
+    """Return the record for a JSON object.  Raises `MessageError` if the object is invalid.
 
-    Keys that this version does not know are dropped.
+    Keys that this version of the program does not know are ignored.
     """
     _require(RECORD, data)
     if data["type"] == "snapshot":
--- a/cloverhook/replica.py
+++ b/cloverhook/replica.py
@@ -1,14 +1,15 @@
-"""A replica of the configuration in force, kept by folding the log's records in order.
+"""A replica of the configuration in force, maintained by folding the log's records in order.
 
-Layer: coordination, free of input and output.  `next_read` says what to read next from the log
-and `take_slice` takes what was read; `take` and `adopt` take records and states from peers.  A log
-that ends before the replica's position is taken to have started over only when it is seen twice.
+Layer: coordination, free of input and output.  `next_read` returns what to read next from the log
+and `take_slice` processes what was read; `take` and `adopt` process records and states from peers.
+If a read shows that the log ends before the replica's position, the replica concludes that the log
+has started over only after a second read shows the same.
 
 A replica searches the log for the newest snapshot when it starts, when the log has lost records
-that the replica has not folded, and when the log has started over.  It folds on from there.  While
-records are lost and no snapshot covers them, the replica keeps what is in force and folds no
-change: a change that lost a race in the lost records must not win here.  The design note
-`docs/decisions/0010-configuration-through-the-log.md` gives the reasons.
+that the replica has not folded, and when the log has started over.  It continues to fold from that
+snapshot.  While records are lost and no snapshot covers them, the replica keeps the state in force
+and folds no change, because a change that lost a race in the lost records must not win here.  The
+design note `docs/decisions/0010-configuration-through-the-log.md` gives the reasons.
 """
 
 from collections import deque
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Read:
-    """What to read next from the log; with `wait`, there may be nothing new yet."""
+    """What to read next from the log; `wait` is set if there may be nothing new yet."""
 
     offset: int
     wait: bool
@@ -42,10 +43,10 @@
 
 @dataclass(slots=True)
 class _Search:
-    """A search of the log for the newest snapshot from which every later record is kept.
+    """A search for the newest snapshot after which the log still has every record.
 
-    `lost` says that records are lost between the replica's position and the log, and `restarts`
-    how often the log has started over.
+    `lost` means that records are missing between the replica's position and the log, and
+    `restarts` counts how often the log has started over.
     """
 
     lost: bool
@@ -56,15 +57,15 @@
     best: State | None = None
 
     def consider(self, offset: int, data: Any) -> None:
-        """Look at a record: a later snapshot takes the place of the best one."""
-        taken = _snapshot_state(data)
-        if taken is None or offset_of(taken.next_offset) > offset:
+        """Examine a record; a later snapshot replaces the best one."""
+        candidate = _snapshot_state(data)
+        if candidate is None or offset_of(candidate.next_offset) > offset:
             return
-        if self.best is None or taken.next_offset >= self.best.next_offset:
-            self.best = taken
+        if self.best is None or candidate.next_offset >= self.best.next_offset:
+            self.best = candidate
 
     def covering(self) -> State | None:
-        """Return the best snapshot's state at its position if the log keeps what follows it."""
+        """Return the best snapshot's state, at its position, if the log has all later records."""
         if self.best is None or offset_of(self.best.next_offset) < self.first_offset:
             return None
         restarts = max(self.restarts, restarts_of(self.best.next_offset))
@@ -73,7 +74,7 @@
 
 
 class Replica:
-    """This process's replica of the state in force."""
+    """A replica of the state in force, kept by one process."""
 
     def __init__(self, on_folded: OnFolded, on_adopted: OnAdopted = lambda state: None) -> None:
         self._on_folded = on_folded
@@ -91,12 +92,12 @@
 
     @property
     def lost(self) -> bool:
-        """Whether the log lacks records between this replica's position and its head."""
+        """Whether records between this replica's position and the log's head are missing."""
         return self._search is not None and self._search.lost and self._search.at_end
 
     @property
     def snapshot_position(self) -> int | None:
-        """Where the log's last snapshot stands; None when it lacks what is in force here."""
+        """The position of the log's last snapshot; None if it lacks part of the state here."""
         return None if self._uncovered else self._snapshot_position
 
     def next_read(self) -> Read:
@@ -109,12 +110,12 @@
         return Read(offset, self.at_end)
 
     def read_failed(self) -> None:
-        """Take that a read failed: the log may be another one when it is back."""
+        """Record that a read failed; the log may have been replaced when it is available again."""
         self._verify_last = bool(self._recent_records)
         self.at_end = False
 
     def take_slice(self, read: LogSlice) -> int:
-        """Take records that were read from the log and return how many were folded."""
+        """Process records that were read from the log and return how many were folded."""
         self.first_offset = read.first_offset
         if self._search is not None:
             self._apply_read_in_search(self._search, read)
@@ -125,40 +126,41 @@
             self._short_log_seen = True
             return 0
         if read.next_offset < offset or self._last_record_differs(read):
-            logging.warning("replica: the log has started over; what is in force stays.")
+            logging.warning("replica: the log has started over; the configuration in force stays.")
             self._begin_search(lost=True, restarts=restarts + 1)
             return 0
         self._short_log_seen = False
         if read.first_offset > offset:
-            logging.warning("replica: the log has lost records from %d on.", offset)
+            logging.warning("replica: the log has lost records from offset %d on.", offset)
             self._begin_search(lost=True, restarts=restarts)
             return 0
         self._verify_last = False
-        taken = self.take(position_of(restarts, read.from_offset), read.records)
+        folded = self.take(position_of(restarts, read.from_offset), read.records)
         self.at_end = offset_of(self.state.next_offset) >= read.next_offset
-        return taken
+        return folded
 
     def take(self, from_offset: int, records: tuple[Mapping[str, Any], ...]) -> int:
         """Fold records that start at a position and return how many were new.
 
-        Records that do not join onto the replica's position are left.
+        Records are ignored if there is a gap between the replica's position and the first of them.
         """
         if from_offset > self.state.next_offset:
             return 0
-        taken = 0
+        folded = 0
         for position, data in enumerate(records, start=from_offset):
             if position < self.state.next_offset:
                 continue
             if self._reveals_restart(data):
                 break
             self._fold(position, data)
-            taken += 1
-        return taken
+            folded += 1
+        return folded
 
     def adopt(self, state: State) -> bool:
-        """Join a state that a peer gave and return whether anything in force changed.
+        """Join a state received from a peer and return whether anything in force changed.
 
-        One from no later position is left: it holds nothing new, or what the log has lost.
+        A state whose position is not later is ignored: it contains nothing new, or changes that
+        the log has lost.
         """
         if state.next_offset <= self.state.next_offset:
             return False
@@ -171,7 +173,7 @@
         return changed
 
     def records_from(self, offset: int) -> tuple[Mapping[str, Any], ...] | None:
-        """Return the kept records from a position on, or None when they are kept no longer."""
+        """Return the retained records from a position on, or None if some are no longer there."""
         if offset >= self.state.next_offset:
             return ()
         if not self._recent_records or self._recent_records[0][0] > offset:
@@ -179,7 +181,7 @@
         return tuple(data for position, data in self._recent_records if position >= offset)
 
     def snapshot(self) -> Snapshot:
-        """Return a snapshot for the log; in place of lost records it carries what is in force."""
+        """Return a snapshot for the log; it replaces lost records by the state in force."""
         position = self.state.next_offset
         if self._search is not None and self._search.lost:
             position = position_of(self._search.restarts, self._search.first_offset)
@@ -205,7 +207,7 @@
             self._finish_search(search, read)
 
     def _finish_search(self, search: _Search, read: LogSlice) -> None:
-        """End the search when the replica can fold on from somewhere."""
+        """End the search if there is a position from which the replica can continue to fold."""
         position = self.state.next_offset
         if offset_of(position) > read.next_offset:
             search.restarts = max(search.restarts, restarts_of(position) + 1)
@@ -229,20 +231,20 @@
             self._on_adopted(self.state)
 
     def _reveals_restart(self, data: Any) -> bool:
-        """Search again when a snapshot tells of a restart of the log that was not noticed."""
+        """Start a search if a snapshot shows a restart of the log that had gone undetected."""
         known = max(restarts_of(self.state.next_offset), self._searched_restarts)
         position = data.get("next_offset") if isinstance(data, Mapping) else None
         if not isinstance(position, int) or restarts_of(position) <= known:
             return False
-        taken = _snapshot_state(data)
-        if taken is None or restarts_of(taken.next_offset) <= known:
+        candidate = _snapshot_state(data)
+        if candidate is None or restarts_of(candidate.next_offset) <= known:
             return False
-        self._searched_restarts = restarts_of(taken.next_offset)
+        self._searched_restarts = restarts_of(candidate.next_offset)
         self._begin_search(lost=False, restarts=restarts_of(self.state.next_offset))
         return True
 
     def _last_record_differs(self, read: LogSlice) -> bool:
-        """Return whether the log holds another record than the one that was folded last."""
+        """Return whether the log has a different record at the offset that was folded last."""
         if not self._verify_last or not self._recent_records:
             return False
         position, data = self._recent_records[-1]
@@ -272,13 +274,13 @@
         self._snapshot_position = position
         if self._uncovered is None:
             return
-        taken = State.from_document(snapshot.state, self.state)
-        if taken.join(self._uncovered).same_brands(taken):
+        saved = State.from_document(snapshot.state, self.state)
+        if saved.join(self._uncovered).same_brands(saved):
             self._uncovered = None
 
 
 def _snapshot_state(data: Any) -> State | None:
-    """Return the state of a record that is a valid snapshot, else None."""
+    """Return the state in a record if it is a valid snapshot, else None."""
     if not isinstance(data, Mapping) or data.get("type") != "snapshot":
         return None
     try:
--- a/cloverhook/snapshots.py
+++ b/cloverhook/snapshots.py
@@ -1,8 +1,8 @@
-"""When to append a snapshot of the state to the log.
+"""Decides when to append a snapshot of the state to the log.
 
-Layer: coordination, free of input and output.  Every daemon decides alone.  Each waits for a
-random time first and gives up when it sees another's snapshot, so that one append does for all;
-a second one does no harm.
+Layer: coordination, free of input and output.  Every daemon decides independently.  Each first
+waits for a random time and cancels its append if it sees another daemon's snapshot, so that usually
+one append is enough for all; a second one is harmless.
 """
 
 import random
@@ -15,11 +15,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotLimits:
-    """When a snapshot is wanted and how far the daemons' appends are spread.
+    """When a snapshot is needed, and over how long the daemons' appends are spread.
 
-    A daemon appends at most one snapshot in `min_interval_ms`.  A daemon that has lost records of the
-    log waits for others' snapshots and peers for `loss_wait_ms` before it appends what it has, or
-    for `empty_loss_wait_ms` when it has nothing.
+    A daemon appends at most one snapshot in `min_interval_ms`.  If the log has lost records that a
+    daemon has not folded, the daemon waits for the snapshots of others and for peers before it
+    appends its own state: for `loss_wait_ms`, or for `empty_loss_wait_ms` if its state is empty.
     """
 
     every_records: int = 500
@@ -32,10 +32,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LogFacts:
-    """What a replica knows of the log.
+    """What a replica knows about the log.
 
-    `position` is the replica's next position, `first_offset` the oldest offset the log keeps and
-    `snapshot_position` where the last snapshot stands, None when none was seen.
+    `position` is the replica's next position, `first_offset` is the oldest offset that the log
+    retains and `snapshot_position` is the position of the last snapshot, None if none was seen.
+    `lost` means that records which the replica has not folded are missing from the log, and `bare`
+    that the replica has no brands, neither in force nor removed.
     """
 
     position: int
@@ -46,7 +48,7 @@
 
 
 class SnapshotPolicy:
-    """Decides when this daemon appends a snapshot."""
+    """Decides when this daemon appends a snapshot of its state."""
 
     def __init__(self, source: random.Random, limits: SnapshotLimits | None = None) -> None:
         self._source = source
--- a/cloverhook/state.py
+++ b/cloverhook/state.py
@@ -1,11 +1,11 @@
-"""The configuration in force: what the records of the log come to.
+"""The configuration in force: the result of folding the records of the log.
 
-Layer: state.  A `State` is frozen.  `State.join` combines two of them so that each brand has the
-higher of its two versions; it is associative, commutative and idempotent and never lowers a
+Layer: state.  A `State` is frozen.  `State.join` combines two states so that each brand has the
+higher of its two versions.  The join is associative, commutative and idempotent and never lowers a
 version, so a state that arrives late, twice or from a peer does no harm.
 
-The log's offsets start over at 0 when the platform loses the log.  A position counts these
-restarts too, so that it always grows: `position_of(restarts, offset)`.
+The log's offsets start over at 0 when the platform loses the log.  A position also counts these
+restarts, so that it always increases: `position_of(restarts, offset)`.
 """
 
 import json
@@ -49,7 +49,7 @@
 
 
 def offset_of(position: int) -> int:
-    """Return the offset in the log of a position."""
+    """Return the offset in the log for a position."""
     return position % RESTART_STRIDE
 
 
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """A change that was accepted: it made `version` of its brand."""
+    """A change that was accepted and produced `version` of its brand."""
 
     version: int = kind_field(Integer(1))
     change_id: str = kind_field(Text())
@@ -71,9 +71,9 @@
 
 @dataclass(frozen=True, slots=True)
 class BrandState:
-    """A brand as it is in force: its version counts the accepted changes.
+    """A brand in force; its version counts the accepted changes.
 
-    `recent` holds the last changes that were accepted, oldest first.
+    `recent` contains the last changes that were accepted, oldest first.
     """
 
     version: int
@@ -87,7 +87,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RemovedBrand:
-    """What is kept of a brand that was removed, so that no older record brings it back."""
+    """The tombstone of a removed brand, which prevents an older record from restoring it."""
 
     version: int
     recent: tuple[Accepted, ...] = ()
@@ -95,28 +95,28 @@
 
 @dataclass(frozen=True, slots=True)
 class State:
-    """What is in force for all brands, and the position of the next record to fold."""
+    """The state of all brands, and the position of the next record to fold."""
 
     next_offset: int = 0
     brands: Mapping[str, BrandState] = field(default_factory=dict)
     removed: Mapping[str, RemovedBrand] = field(default_factory=dict)
 
     def entry(self, brand: str) -> BrandState | RemovedBrand | None:
-        """Return what is known of a brand, in force or removed."""
+        """Return the entry of a brand, in force or removed, or None."""
         return self.brands.get(brand) or self.removed.get(brand)
 
     def version_of(self, brand: str) -> int:
-        """Return the version a change of this brand must build on; 0 for one that never was."""
+        """Return the version that a change of this brand must build on; 0 for an unknown brand."""
         entry = self.entry(brand)
         return entry.version if entry else 0
 
     def recent(self, brand: str) -> tuple[Accepted, ...]:
-        """Return the last changes of a brand that were accepted, oldest first."""
+        """Return the last accepted changes of a brand, oldest first."""
         entry = self.entry(brand)
         return entry.recent if entry else ()
 
     def accepted(self, change_id: str) -> tuple[str, Accepted] | None:
-        """Return the brand and the accepted change with this identifier, if it is still kept."""
+        """Return the brand and the accepted change with this identifier, if still retained."""
         for brand in (*self.brands, *self.removed):
             for change in self.recent(brand):
                 if change.change_id == change_id:
@@ -124,7 +124,7 @@
         return None
 
     def with_entry(self, brand: str, entry: BrandState | RemovedBrand) -> "State":
-        """Return the state with another entry for a brand."""
+        """Return the state with a new entry for a brand."""
         entries = {**self.brands, **self.removed, brand: entry}
         return _state(self.next_offset, entries)
 
@@ -145,7 +145,7 @@
         return _state(max(self.next_offset, other.next_offset), entries)
 
     def same_brands(self, other: "State") -> bool:
-        """Return whether two states hold the same brands, whatever their positions."""
+        """Return whether two states contain the same brands, regardless of their positions."""
         return self.brands == other.brands and self.removed == other.removed
 
     def to_document(self) -> dict[str, Any]:
@@ -158,9 +158,10 @@
 
     @classmethod
     def from_document(cls, data: Mapping[str, Any], known: "State | None" = None) -> "State":
-        """Return the state that `to_document` gave.  Raises `ConfigError` for anything else.
+        """Return the state from a document of `to_document`.
 
-        Brands whose documents stand in a `known` state are taken from it and not built again.
+        Raises `ConfigError` for anything else.  Brands whose documents are the same in a `known`
+        state are reused from it and not built again.
         """
         faults = faults_of(STATE, "", data)
         if faults:
@@ -203,12 +204,15 @@
 
 
 def _rank(entry: BrandState | RemovedBrand) -> tuple[int, str]:
-    """Order entries by version; equal versions differ only after the log lost records."""
+    """Order entries by version; equal versions differ only after the log has lost records.
+
+    The canonical JSON form then breaks the tie, so that all daemons choose the same entry.
+    """
     return entry.version, _canonical(_to_document(entry))
 
 
 def _canonical(document: Mapping[str, Any]) -> str:
-    """Return the JSON form that tells true from 1, which compare as equal."""
+    """Return a JSON form that distinguishes true from 1, which compare as equal in Python."""
     return json.dumps(document, sort_keys=True)
 
 
@@ -252,7 +256,7 @@
     else:
         brand = Brand.from_document(item["document"])
     if brand.name != name:
-        raise ConfigError((Fault(f"brands.{name}", repr(brand.name), "the same name"),))
+        raise ConfigError((Fault(f"brands.{name}", repr(brand.name), "the name of its entry"),))
     return BrandState(
         item["version"],
         item["change_id"],
