--- a/cloverhook/claims.py
+++ b/cloverhook/claims.py
@@ -198,7 +198,7 @@
         return batch
 
     def append_failed(self, batch: ClaimBatch) -> None:
-        """Queue a batch again that may not have been appended, except claims no longer pending."""
+        """Queue a batch again that may not have been appended, without claims already decided."""
         for _, claim_id in batch.claims:
             if claim_id in self._pending:
                 self._unsent[claim_id] = None
--- a/cloverhook/failure_detector.py
+++ b/cloverhook/failure_detector.py
@@ -2,9 +2,9 @@
 
 Layer: coordination, free of input and output.  It follows the SWIM protocol.  A neighbour that is
 silent is pinged, and a few other peers are asked to ping it too, so that a broken network path
-between two VMs, or in one direction only, is not mistaken for a lost VM.  If no peer receives an
-answer, the VM becomes suspect.  It can refute the suspicion; otherwise it is considered lost after
-a further timeout.
+between two VMs, or in one direction only, is not mistaken for a lost VM.  If neither this daemon
+nor any of those peers receives an answer, the VM becomes suspect.  It can refute the suspicion;
+otherwise it is considered lost after a further timeout.
 """
 
 import random
--- a/cloverhook/fold.py
+++ b/cloverhook/fold.py
@@ -67,7 +67,7 @@
 
 
 def fold_data(state: State, offset: int, data: Any) -> tuple[Record | None, FoldResult]:
-    """Decode a record and fold it; a record that can't be decoded is None and invalid."""
+    """Decode a record and fold it; one that can't be decoded is invalid and returned as None."""
     try:
         record = decode_record(data)
     except MessageError as error:
@@ -172,4 +172,6 @@
         if other.brand.name == name:
             continue
         for host in sorted(brand.hosts() & other.brand.hosts()):
-            yield Fault("hosts", repr(host), f"a host that brand {other.brand.name!r} has not taken")
+            yield Fault(
+                "hosts", repr(host), f"a host that brand {other.brand.name!r} has not taken"
+            )
--- a/cloverhook/greeting.py
+++ b/cloverhook/greeting.py
@@ -56,7 +56,7 @@
 
     @staticmethod
     def new_nonce() -> bytes:
-        """Return a new random nonce."""
+        """Return a new random nonce, one that was never used before."""
         return secrets.token_bytes(NONCE_BYTES)
 
     def prove(self, hello: Hello) -> Hello:
