--- a/cloverhook/members.py
+++ b/cloverhook/members.py
@@ -94,7 +94,7 @@
         return self.status in (Status.ALIVE, Status.SUSPECT)
 
     @property
-    def externally_visible(self) -> tuple[bool, bool, str, str, str]:
+    def visible_attributes(self) -> tuple[bool, bool, str, str, str]:
         """The attributes that matter to callers, routers and links."""
         addresses = (self.data_center, self.caller_address, self.peer_address)
         return (self.present, self.leaving, *addresses)
@@ -240,7 +240,7 @@
             self._toggle(known)
         self._members[member.vm] = member
         self._toggle(member)
-        if known is None or known.externally_visible != member.externally_visible:
+        if known is None or known.visible_attributes != member.visible_attributes:
             self.version += 1
 
     def _remove(self, member: Member) -> None:
