--- a/cloverhook/at_most_once.py
+++ b/cloverhook/at_most_once.py
@@ -16,7 +16,7 @@
 from cloverhook.errors import ErrorKind, RequestError
 from cloverhook.exchange import AnswerCapture, CapturedAnswer, Exchange
 
-__all__ = ["AnswerStore", "OnceGuard"]
+__all__ = ["AnswerCache", "AtMostOnceRunner"]
 
 ANSWER_LIMIT_BYTES = 65_536
 ENTRY_OVERHEAD_BYTES = 1_024
@@ -25,7 +25,7 @@
 Forward = Callable[[Exchange], Awaitable[None]]
 
 
-class AnswerStore:
+class AnswerCache:
     """The latest answers, by claim, up to a total size in bytes."""
 
     def __init__(self, limit_bytes: int) -> None:
@@ -46,10 +46,10 @@
             self._stored_bytes -= _size_bytes(oldest)
 
 
-class OnceGuard:
+class AtMostOnceRunner:
     """Runs requests with an idempotency key at most once."""
 
-    def __init__(self, claims: ClaimLog, store: AnswerStore, clock_ms: Callable[[], float]) -> None:
+    def __init__(self, claims: ClaimLog, store: AnswerCache, clock_ms: Callable[[], float]) -> None:
         self._claims = claims
         self._store = store
         self._clock_ms = clock_ms
@@ -87,7 +87,7 @@
             if not exchange.maybe_ran:
                 self._claims.release(name, claim_id)
             elif capture.ran:
-                self._claims.ran(name, claim_id)
+                self._claims.mark_ran(name, claim_id)
             if capture.answer is not None:
                 self._store.put(claim_id, capture.answer)
             self._running.pop(claim_id).set()
--- a/cloverhook/catch_up.py
+++ b/cloverhook/catch_up.py
@@ -17,8 +17,8 @@
 
 __all__ = ["CatchUp"]
 
-PATIENCE_MS = 20
-ANSWER_MS = 400
+REQUEST_DELAY_MS = 20
+ANSWER_TIMEOUT_MS = 400
 
 
 class CatchUp:
@@ -30,19 +30,19 @@
         self._requested: list[str] = []
         self._request_deadline_ms = 0.0
 
-    def offered(self, vm: str, next_offset: int, now_ms: float) -> None:
+    def record_offset(self, vm: str, next_offset: int, now_ms: float) -> None:
         """Record the offset up to which a peer has folded the log."""
         self._peer_offsets[vm] = next_offset
         if self._behind_since_ms is None:
             self._behind_since_ms = now_ms
 
-    def lost(self, vm: str) -> None:
+    def remove_peer(self, vm: str) -> None:
         """Record that a peer is no longer linked."""
         self._peer_offsets.pop(vm, None)
         if vm in self._requested:
             self._request_deadline_ms = 0.0
 
-    def answered(self, vm: str) -> None:
+    def record_answer(self, vm: str) -> None:
         """Record an answer from the peer that was asked, so that another request may follow."""
         if self._requested and self._requested[-1] == vm:
             self._request_deadline_ms = 0.0
@@ -51,9 +51,9 @@
         """Return when `due` may next return a peer, unless a peer reports a new offset before."""
         if all(offset <= next_offset for offset in self._peer_offsets.values()):
             return math.inf
-        return max(now_ms + PATIENCE_MS, self._request_deadline_ms)
+        return max(now_ms + REQUEST_DELAY_MS, self._request_deadline_ms)
 
-    def due(self, next_offset: int, now_ms: float) -> str | None:
+    def next_peer(self, next_offset: int, now_ms: float) -> str | None:
         """Return the peer to ask now for the records from an offset on, or None."""
         ahead = sorted(vm for vm, offset in self._peer_offsets.items() if offset > next_offset)
         if not ahead:
@@ -62,9 +62,9 @@
             return None
         if self._behind_since_ms is None:
             self._behind_since_ms = now_ms
-        if now_ms - self._behind_since_ms < PATIENCE_MS or now_ms < self._request_deadline_ms:
+        if now_ms - self._behind_since_ms < REQUEST_DELAY_MS or now_ms < self._request_deadline_ms:
             return None
         vm = min(ahead, key=lambda name: (self._requested.count(name), -self._peer_offsets[name]))
         self._requested.append(vm)
-        self._request_deadline_ms = now_ms + ANSWER_MS
+        self._request_deadline_ms = now_ms + ANSWER_TIMEOUT_MS
         return vm
--- a/cloverhook/claim_log.py
+++ b/cloverhook/claim_log.py
@@ -12,7 +12,7 @@
 
 from absl import logging
 
-from cloverhook.claims import ClaimBook, Decision, Denied, Granted
+from cloverhook.claims import ClaimTable, Decision, Denied, Granted
 from cloverhook.errors import ErrorKind, PlatformError, PlatformSilentError, RequestError
 from cloverhook.platform_api import Platform
 
@@ -31,7 +31,7 @@
     def __init__(
         self,
         platform: Platform,
-        book: ClaimBook,
+        book: ClaimTable,
         clock_ms: Callable[[], float],
         wait_ms: float,
         appends_per_s: float,
@@ -81,9 +81,9 @@
         self._book.release(key, claim_id)
         self._has_work.set()
 
-    def ran(self, key: str, claim_id: str) -> None:
+    def mark_ran(self, key: str, claim_id: str) -> None:
         """Report to the other daemons, with the next record, that a request has run."""
-        self._book.ran(key, claim_id)
+        self._book.mark_ran(key, claim_id)
 
     async def run(self) -> None:
         """Append batches and read the log until cancelled."""
@@ -129,7 +129,7 @@
             now_ms = self._clock_ms()
             if read.next_offset < self._book.next_offset:
                 logging.warning("claims: the log has started over.")
-                self._book.missed(read.first_offset, now_ms)
+                self._book.record_gap(read.first_offset, now_ms)
                 continue
             for decision in self._book.fold(read.from_offset, read.records, now_ms):
                 self._resolve(decision)
--- a/cloverhook/claims.py
+++ b/cloverhook/claims.py
@@ -25,12 +25,12 @@
 
 __all__ = [
     "ClaimBatch",
-    "ClaimBook",
+    "ClaimTable",
     "ClaimState",
     "Decision",
     "Denied",
     "Granted",
-    "Unsure",
+    "Undecidable",
     "key_hash",
 ]
 
@@ -65,13 +65,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unsure:
+class Undecidable:
     """The claim can't be decided: a record that was missed may hold the key."""
 
     claim_id: str
 
 
-Decision = Granted | Denied | Unsure
+Decision = Granted | Denied | Undecidable
 
 
 Pairs = tuple[tuple[str, str], ...]
@@ -136,7 +136,7 @@
     return digest.hexdigest()
 
 
-class ClaimBook:
+class ClaimTable:
     """The claims of all daemons as read from the log, and this daemon's own pending claims."""
 
     def __init__(self, vm: str, window_ms: float) -> None:
@@ -177,7 +177,7 @@
         self._unsent.pop(claim_id, None)
         self._unsent_releases[claim_id] = key
 
-    def ran(self, key: str, claim_id: str) -> None:
+    def mark_ran(self, key: str, claim_id: str) -> None:
         """Record that the request of a claim has run."""
         self._unsent_runs[claim_id] = key
 
@@ -207,7 +207,7 @@
         for key, claim_id in batch.ran:
             self._unsent_runs[claim_id] = key
 
-    def missed(self, next_offset: int, now_ms: float) -> None:
+    def record_gap(self, next_offset: int, now_ms: float) -> None:
         """Continue at an offset because the records before it can no longer be read."""
         self.next_offset = next_offset
         self._undecidable_until_ms = now_ms + self._window_ms
@@ -217,7 +217,7 @@
     ) -> tuple[Decision, ...]:
         """Fold records of the log and return the decisions on this daemon's claims."""
         if from_offset > self.next_offset:
-            self.missed(from_offset, now_ms)
+            self.record_gap(from_offset, now_ms)
         decisions: list[Decision] = []
         for record in records[self.next_offset - from_offset :]:
             self.next_offset += 1
@@ -265,7 +265,7 @@
         if holder.claim_id != claim_id:
             return Denied(claim_id, holder.claim_id, holder.vm, holder.state)
         if now_ms < self._undecidable_until_ms:
-            return Unsure(claim_id)
+            return Undecidable(claim_id)
         return Granted(claim_id)
 
     def _remove_expired(self, now_ms: float) -> None:
--- a/cloverhook/failure_detector.py
+++ b/cloverhook/failure_detector.py
@@ -11,34 +11,34 @@
 from collections.abc import Collection
 from dataclasses import dataclass, replace
 
-from cloverhook.member_events import MemberAction, Send
+from cloverhook.member_events import MemberAction, SendMessage
 from cloverhook.members import Member, MemberTable, Status
-from cloverhook.messages import Ping, ProbeRequest, Seen
+from cloverhook.messages import Ping, ProbeRequest, ProbeSuccess
 
-__all__ = ["BUSY_TICK_MS", "DetectorTimes", "FailureDetector"]
+__all__ = ["BUSY_TICK_MS", "DetectorTimeouts", "FailureDetector"]
 
 INDIRECT_PROBES = 3
 BUSY_TICK_MS = 50.0
 
 
 @dataclass(frozen=True, slots=True)
-class DetectorTimes:
+class DetectorTimeouts:
     """How long a neighbour may be silent, how long its check takes, and how long it is suspect.
 
     A daemon that receives nothing from any of its neighbours is probably isolated itself, so it
     multiplies the last two by `alone_factor`.
     """
 
-    silent_ms: float = 800
-    check_ms: float = 500
-    suspect_ms: float = 700
-    alone_factor: float = 3
+    silence_timeout_ms: float = 800
+    check_timeout_ms: float = 500
+    suspicion_timeout_ms: float = 700
+    isolated_factor: float = 3
 
 
 class FailureDetector:
     """The evidence about each member, and the checks in progress."""
 
-    def __init__(self, table: MemberTable, source: random.Random, times: DetectorTimes) -> None:
+    def __init__(self, table: MemberTable, source: random.Random, times: DetectorTimeouts) -> None:
         self._table = table
         self._random = source
         self._times = times
@@ -47,7 +47,7 @@
         self._check_deadlines_ms: dict[str, float] = {}
         self._probe_requesters: dict[str, dict[str, float]] = {}
 
-    def heard(self, vm: str, now_ms: float) -> tuple[MemberAction, ...]:
+    def record_message(self, vm: str, now_ms: float) -> tuple[MemberAction, ...]:
         """Record a message from a VM and return the answers to the peers that asked about it."""
         self._last_message_ms[vm] = now_ms
         self._check_deadlines_ms.pop(vm, None)
@@ -55,30 +55,30 @@
         requesters = self._probe_requesters.pop(vm, {})
         if member is None:
             return ()
-        answer = Seen(vm, member.incarnation)
+        answer = ProbeSuccess(vm, member.incarnation)
         return tuple(
-            Send(requester, answer)
+            SendMessage(requester, answer)
             for requester, until_ms in requesters.items()
             if now_ms < until_ms
         )
 
-    def seen(self, message: Seen, now_ms: float) -> None:
+    def record_probe_success(self, message: ProbeSuccess, now_ms: float) -> None:
         """Record that another peer has received a message from a VM's current incarnation."""
         member = self._table.get(message.target)
         if member is not None and message.incarnation >= member.incarnation:
             self._last_message_ms[message.target] = now_ms
             self._check_deadlines_ms.pop(message.target, None)
 
-    def asked(self, requester: str, target: str, now_ms: float) -> tuple[MemberAction, ...]:
+    def handle_probe_request(self, requester: str, target: str, now_ms: float) -> tuple[MemberAction, ...]:
         """Ping a VM at a peer's request; the peer gets an answer when the VM sends a message."""
         member = self._table.get(target)
         if member is None or target == self._table.own.vm:
             return ()
-        until_ms = now_ms + 2 * self._times.check_ms
+        until_ms = now_ms + 2 * self._times.check_timeout_ms
         self._probe_requesters.setdefault(target, {})[requester] = until_ms
-        return (Send(target, Ping()),)
+        return (SendMessage(target, Ping()),)
 
-    def check(
+    def start_check(
         self, vm: str, linked: Collection[str], now_ms: float, isolated: bool = False
     ) -> tuple[MemberAction, ...]:
         """Start a check of a member, by direct and indirect pings, unless one is in progress."""
@@ -87,11 +87,11 @@
             return ()
         if vm == self._table.own.vm:
             return ()
-        factor = self._times.alone_factor if isolated else 1
-        self._check_deadlines_ms[vm] = now_ms + factor * self._times.check_ms
+        factor = self._times.isolated_factor if isolated else 1
+        self._check_deadlines_ms[vm] = now_ms + factor * self._times.check_timeout_ms
         others = sorted(set(linked) - {vm})
         helpers = self._random.sample(others, min(INDIRECT_PROBES, len(others)))
-        return (Send(vm, Ping()), *(Send(peer, ProbeRequest(vm)) for peer in helpers))
+        return (SendMessage(vm, Ping()), *(SendMessage(peer, ProbeRequest(vm)) for peer in helpers))
 
     def tick(
         self, watched: Collection[str], linked: Collection[str], now_ms: float
@@ -102,7 +102,7 @@
         actions: list[MemberAction] = []
         for vm in watched:
             if self._is_silent(vm, now_ms):
-                actions.extend(self.check(vm, linked, now_ms, isolated))
+                actions.extend(self.start_check(vm, linked, now_ms, isolated))
         return tuple(actions), (*self._new_suspects(now_ms), *self._newly_lost(now_ms, isolated))
 
     def next_wake_ms(self, watched: Collection[str], now_ms: float) -> float:
@@ -114,10 +114,10 @@
             for vm in watched
             if (member := self._table.get(vm)) is not None and member.status is Status.ALIVE
         ]
-        wake_ms = min(last_seen_ms, default=now_ms) + self._times.silent_ms + 1
+        wake_ms = min(last_seen_ms, default=now_ms) + self._times.silence_timeout_ms + 1
         return wake_ms if wake_ms > now_ms else now_ms + BUSY_TICK_MS
 
-    def woke(self, now_ms: float) -> None:
+    def reset_after_pause(self, now_ms: float) -> None:
         """Discard all evidence: silence during a pause of this process proves nothing."""
         self._last_message_ms.clear()
         self._check_deadlines_ms.clear()
@@ -132,7 +132,7 @@
 
     def _is_silent(self, vm: str, now_ms: float) -> bool:
         last_seen_ms = max(self._last_message_ms.get(vm, 0.0), self._watched_since_ms.get(vm, 0.0))
-        return now_ms - last_seen_ms > self._times.silent_ms
+        return now_ms - last_seen_ms > self._times.silence_timeout_ms
 
     def _new_suspects(self, now_ms: float) -> list[Member]:
         expired = [vm for vm, until_ms in self._check_deadlines_ms.items() if now_ms >= until_ms]
@@ -145,7 +145,7 @@
         return found
 
     def _newly_lost(self, now_ms: float, isolated: bool) -> list[Member]:
-        limit_ms = self._times.suspect_ms * (self._times.alone_factor if isolated else 1)
+        limit_ms = self._times.suspicion_timeout_ms * (self._times.isolated_factor if isolated else 1)
         return [
             replace(member, status=Status.LOST, since_ms=now_ms)
             for member in self._table.suspects()
--- a/cloverhook/fold.py
+++ b/cloverhook/fold.py
@@ -105,7 +105,7 @@
 
 
 def _fold_change(state: State, change: Change) -> FoldResult:
-    recent = state.recent(change.brand)
+    recent = state.recent_changes(change.brand)
     if any(item.change_id == change.change_id for item in recent):
         return FoldResult(state, Verdict.DUPLICATE, "the change was accepted before")
     version = state.version_of(change.brand)
--- a/cloverhook/follower.py
+++ b/cloverhook/follower.py
@@ -15,7 +15,7 @@
 from cloverhook.platform_api import Platform
 from cloverhook.records import CONFIG_STREAM, encode_record
 from cloverhook.replica import OnAdopted, OnFolded, Replica
-from cloverhook.snapshots import LogFacts, SnapshotLimits, SnapshotPolicy
+from cloverhook.snapshots import LogStatus, SnapshotLimits, SnapshotPolicy
 from cloverhook.state import State, offset_of, restarts_of
 
 __all__ = ["Follower"]
@@ -76,7 +76,7 @@
             "offset": offset_of(self.state.next_offset),
             "log_restarts": restarts_of(self.state.next_offset),
             "behind": self.behind,
-            "records_lost": self._replica.lost,
+            "records_lost": self._replica.records_lost,
             "age_ms": round(self.age_ms()),
             "versions": {
                 brand: self.state.version_of(brand)
@@ -93,12 +93,12 @@
             read = await self._platform.read(CONFIG_STREAM, planned.offset, wait_ms)
         except PlatformError as error:
             self._failures += 1
-            self._replica.read_failed()
+            self._replica.record_read_failure()
             logging.warning("follower: the log can't be read: %s.", error)
             return False
         self._failures = 0
         if self._replica.next_read() == planned:
-            self._replica.take_slice(read)
+            self._replica.apply_read(read)
         if self._replica.at_end:
             self._caught_up_ms = self._clock_ms()
         return True
@@ -107,17 +107,17 @@
         """After a pause of this process, as after an outage, the log may have been replaced."""
         now_ms = self._clock_ms()
         if now_ms - self._last_poll_ms > PAUSE_MS:
-            self._replica.read_failed()
+            self._replica.record_read_failure()
         self._last_poll_ms = now_ms
 
-    async def maintain(self) -> bool:
+    async def append_snapshot_if_due(self) -> bool:
         """Append a snapshot if one is due, and return whether one was appended."""
-        facts = LogFacts(
+        facts = LogStatus(
             self.state.next_offset,
             self._replica.first_offset,
             self._replica.snapshot_position,
-            self._replica.lost,
-            bare=not self.state.brands and not self.state.removed,
+            self._replica.records_lost,
+            replica_is_empty=not self.state.brands and not self.state.removed,
         )
         if self._failures or not self._snapshots.decide(facts, self._clock_ms()):
             return False
@@ -128,9 +128,9 @@
             return False
         return True
 
-    def take(self, from_offset: int, records: tuple[Mapping[str, Any], ...]) -> int:
+    def fold_records(self, from_offset: int, records: tuple[Mapping[str, Any], ...]) -> int:
         """Fold records received from a peer and return how many were new."""
-        return self._replica.take(from_offset, records)
+        return self._replica.fold_records(from_offset, records)
 
     def adopt(self, state: State) -> bool:
         """Join a state received from a peer and return whether anything in force changed."""
--- a/cloverhook/gossip.py
+++ b/cloverhook/gossip.py
@@ -10,7 +10,7 @@
 import random
 from collections.abc import Collection, Iterable
 
-from cloverhook.member_events import MemberAction, Send
+from cloverhook.member_events import MemberAction, SendMessage
 from cloverhook.members import Member, MemberTable
 from cloverhook.messages import MemberDigests, MemberUpdate, MemberUpdates
 
@@ -32,20 +32,20 @@
         self._differs_since_ms: dict[str, float] = {}
         self._last_compared_ms: dict[str, float] = {}
 
-    def take(self, member: Member, from_vm: str = "") -> bool:
+    def apply(self, member: Member, from_vm: str = "") -> bool:
         """Apply an update about a member; relay it if it is new here, and return whether it is."""
         if not self._table.put(member):
             return False
         self._pending[member.vm] = from_vm
         return True
 
-    def take_word(self, member: Member) -> None:
+    def apply_self_report(self, member: Member) -> None:
         """Apply an update that a member sent about itself."""
         known = self._table.get(member.vm)
         if known is not None and known.precedence == member.precedence:
             self._table.confirm(member.vm)
             return
-        self.take(member, member.vm)
+        self.apply(member, member.vm)
 
     def flush(self, linked: Collection[str]) -> tuple[MemberAction, ...]:
         """Return the messages that relay changes, each with a bounded number of changes."""
@@ -59,17 +59,17 @@
             wanted = [vm for vm, source in batch.items() if peer not in (vm, source)]
             updates = self._updates(wanted)
             if updates:
-                actions.append(Send(peer, MemberUpdates(updates)))
+                actions.append(SendMessage(peer, MemberUpdates(updates)))
         return tuple(actions)
 
-    def updated(
+    def handle_updates(
         self, peer: str, updates: Iterable[MemberUpdate], now_ms: float
     ) -> tuple[MemberAction, ...]:
         """Apply a peer's updates; send back the entries that are newer here."""
         newer: list[str] = []
         for update in updates:
             member = Member.from_update(update, now_ms)
-            if self.take(member, peer):
+            if self.apply(member, peer):
                 continue
             known = self._table.get(update.vm)
             if known.precedence == member.precedence:
@@ -78,9 +78,9 @@
                 newer.append(update.vm)
         if not newer:
             return ()
-        return (Send(peer, MemberUpdates(self._updates(newer))),)
+        return (SendMessage(peer, MemberUpdates(self._updates(newer))),)
 
-    def digest_heard(self, peer: str, digest: int, now_ms: float) -> tuple[MemberAction, ...]:
+    def handle_digest(self, peer: str, digest: int, now_ms: float) -> tuple[MemberAction, ...]:
         """Process the digest in a peer's heartbeat; compare buckets if it keeps differing."""
         if digest == self._table.digest:
             self._differs_since_ms.pop(peer, None)
@@ -92,9 +92,9 @@
         if now_ms - self._last_compared_ms.get(peer, -COMPARE_INTERVAL_MS) < COMPARE_INTERVAL_MS:
             return ()
         self._last_compared_ms[peer] = now_ms
-        return (Send(peer, MemberDigests(self._table.digests())),)
+        return (SendMessage(peer, MemberDigests(self._table.digests())),)
 
-    def compared(self, peer: str, buckets: tuple[int, ...]) -> tuple[MemberAction, ...]:
+    def reply_to_digests(self, peer: str, buckets: tuple[int, ...]) -> tuple[MemberAction, ...]:
         """Return an update with the members of the buckets in which a peer's digests differ."""
         own = self._table.digests()
         differing = [index for index, value in enumerate(own) if buckets[index] != value]
@@ -105,7 +105,7 @@
             found += [item.to_update() for item in members if not item.unconfirmed]
         if not found:
             return ()
-        return (Send(peer, MemberUpdates(tuple(found[:MAX_REPAIRS_PER_MESSAGE]))),)
+        return (SendMessage(peer, MemberUpdates(tuple(found[:MAX_REPAIRS_PER_MESSAGE]))),)
 
     def forget(self, peer: str) -> None:
         """Discard the records about a peer whose link has closed."""
--- a/cloverhook/greeting.py
+++ b/cloverhook/greeting.py
@@ -16,7 +16,7 @@
 from cloverhook.errors import AuthenticationError
 from cloverhook.messages import Hello, encode
 
-__all__ = ["NONCE_BYTES", "Greeting", "Role"]
+__all__ = ["NONCE_BYTES", "Handshake", "Role"]
 
 NONCE_BYTES = 16
 
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Greeting:
+class Handshake:
     """One side's view of a link that is being opened."""
 
     key: bytes
@@ -43,7 +43,7 @@
     peer_nonce: bytes
 
     @classmethod
-    def from_nonces(cls, key: bytes, role: Role, nonce: bytes, peer_nonce: object) -> "Greeting":
+    def from_nonces(cls, key: bytes, role: Role, nonce: bytes, peer_nonce: object) -> "Handshake":
         """Return the view when both nonces are known.
 
         Raises `AuthenticationError` if the peer's nonce is missing, malformed or equal to ours.
--- a/cloverhook/member_events.py
+++ b/cloverhook/member_events.py
@@ -9,27 +9,27 @@
 from cloverhook.platform_api import ListedVm
 
 __all__ = [
-    "CallerReport",
+    "CallerConnectFailed",
     "ConfigFolded",
     "Dial",
-    "Leave",
     "LinkLost",
     "LinkOpened",
     "LoadChanged",
-    "ListRead",
     "MemberAction",
     "MemberEvent",
-    "MessageHeard",
+    "MessageReceived",
+    "ProcessResumed",
     "Replaced",
-    "Send",
+    "SendMessage",
+    "ShutdownStarted",
     "Stopped",
     "Tick",
-    "Woke",
+    "VmListRead",
 ]
 
 
 @dataclass(frozen=True, slots=True)
-class ListRead:
+class VmListRead:
     """The platform's list has been read."""
 
     vms: tuple[ListedVm, ...]
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MessageHeard:
+class MessageReceived:
     """A peer has sent a message."""
 
     vm: str
@@ -58,7 +58,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerReport:
+class CallerConnectFailed:
     """A caller reports that it could not connect to an address that it had been given."""
 
     caller_address: str
@@ -72,12 +72,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Woke:
+class ProcessResumed:
     """This process has resumed after a pause longer than its peers wait for a silent daemon."""
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
+class ShutdownStarted:
     """This daemon starts a planned stop."""
 
 
@@ -85,7 +85,7 @@
 class LoadChanged:
     """The share of a core that this daemon's process uses has changed; it is in tenths."""
 
-    busy_tenths: int
+    load_tenths: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,22 +99,22 @@
 
 
 MemberEvent = (
-    CallerReport
+    CallerConnectFailed
     | ConfigFolded
-    | Leave
+    | ShutdownStarted
     | LinkLost
     | LinkOpened
     | LoadChanged
-    | ListRead
-    | MessageHeard
+    | VmListRead
+    | MessageReceived
     | Stopped
     | Tick
-    | Woke
+    | ProcessResumed
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
+class SendMessage:
     """Send a message to a peer, over a new link if there is none."""
 
     vm: str
@@ -133,4 +133,4 @@
     """Another process has taken this VM's name, so this daemon has to leave."""
 
 
-MemberAction = Send | Dial | Replaced
+MemberAction = SendMessage | Dial | Replaced
--- a/cloverhook/members.py
+++ b/cloverhook/members.py
@@ -51,7 +51,7 @@
     leaving: bool = False
     since_ms: float = 0.0
     unconfirmed: bool = False
-    busy_tenths: int = 0
+    load_tenths: int = 0
 
     @classmethod
     def from_update(cls, update: MemberUpdate, now_ms: float) -> "Member":
@@ -66,7 +66,7 @@
             Status(update.status),
             update.leaving,
             now_ms,
-            busy_tenths=update.busy_tenths,
+            load_tenths=update.load_tenths,
         )
 
     def to_update(self) -> MemberUpdate:
@@ -80,7 +80,7 @@
             self.sequence,
             int(self.status),
             self.leaving,
-            self.busy_tenths,
+            self.load_tenths,
         )
 
     @property
@@ -177,7 +177,7 @@
             for vm in tuple(self._members):
                 self.confirm(vm)
 
-    def doubt_all(self, now_ms: float) -> None:
+    def mark_all_unconfirmed(self, now_ms: float) -> None:
         """Mark the entries of all other VMs as unconfirmed: they may have changed in a pause."""
         self._after_pause = True
         for vm, member in self._members.items():
@@ -185,20 +185,20 @@
                 self._members[vm] = replace(member, unconfirmed=True, since_ms=now_ms)
 
     @property
-    def doubted(self) -> bool:
+    def has_unconfirmed(self) -> bool:
         """Whether an entry that may be returned to callers dates from before a pause."""
         return self._after_pause and any(
             member.unconfirmed and member.present for member in self._members.values()
         )
 
-    def drop_doubted(self) -> None:
+    def drop_unconfirmed(self) -> None:
         """Reset members that have not been confirmed since a pause to `LISTED`."""
         self._after_pause = False
         for member in self.all():
             if member.unconfirmed and member.present:
                 self._replace(replace(member, status=Status.LISTED, unconfirmed=False))
 
-    def listed(self, vms: Iterable[ListedVm], now_ms: float) -> None:
+    def apply_vm_list(self, vms: Iterable[ListedVm], now_ms: float) -> None:
         """Apply the platform's list: add VMs not known yet, and record which ones are leaving."""
         phases = {item.vm: item.phase for item in vms}
         for item in vms:
--- a/cloverhook/membership.py
+++ b/cloverhook/membership.py
@@ -19,25 +19,25 @@
 from dataclasses import replace
 from functools import singledispatchmethod
 
-from cloverhook.failure_detector import DetectorTimes, FailureDetector
+from cloverhook.failure_detector import DetectorTimeouts, FailureDetector
 from cloverhook.gossip import Gossip
 from cloverhook.member_events import (
-    CallerReport,
+    CallerConnectFailed,
     ConfigFolded,
     Dial,
-    Leave,
     LinkLost,
     LinkOpened,
-    ListRead,
     LoadChanged,
     MemberAction,
     MemberEvent,
-    MessageHeard,
+    MessageReceived,
+    ProcessResumed,
     Replaced,
-    Send,
+    SendMessage,
+    ShutdownStarted,
     Stopped,
     Tick,
-    Woke,
+    VmListRead,
 )
 from cloverhook.members import Member, MemberTable, Status
 from cloverhook.messages import (
@@ -49,14 +49,14 @@
     Message,
     Ping,
     ProbeRequest,
-    Seen,
+    ProbeSuccess,
 )
 from cloverhook.overlay import neighbours, successors
 
 __all__ = ["Membership"]
 
 REDIAL_INTERVAL_MS = 500
-SEARCH_MS = 1_000
+SEARCH_INTERVAL_MS = 1_000
 SEARCH_COUNT = 3
 STARTUP_MS = 5_000
 MIN_LINKED_NEIGHBOURS = 2
@@ -73,12 +73,12 @@
         source: random.Random,
         now_ms: float,
         heartbeat_ms: float = 250,
-        times: DetectorTimes | None = None,
+        times: DetectorTimeouts | None = None,
     ) -> None:
         self.table = MemberTable(own)
         self.linked: set[str] = set()
         self._random = source
-        self._detector = FailureDetector(self.table, source, times or DetectorTimes())
+        self._detector = FailureDetector(self.table, source, times or DetectorTimeouts())
         self._gossip = Gossip(self.table, source)
         self._heartbeat_ms = heartbeat_ms
         self._started_ms = now_ms
@@ -97,10 +97,10 @@
         """Return the members that callers may be sent to, ordered by VM name."""
         return self.table.serving()
 
-    def busiest(self, vms: Iterable[str]) -> float:
+    def highest_load(self, vms: Iterable[str]) -> float:
         """Return the highest load, 0 to 1, that any of these VMs has reported, or 0."""
         known = [self.table.get(vm) for vm in vms]
-        return max((member.busy_tenths for member in known if member is not None), default=0) / 10
+        return max((member.load_tenths for member in known if member is not None), default=0) / 10
 
     @property
     def version(self) -> int:
@@ -108,9 +108,9 @@
         return self.table.version
 
     @property
-    def doubtful(self) -> bool:
+    def has_unconfirmed_members(self) -> bool:
         """Whether answers to callers rest on information from before a pause of this process."""
-        return self.table.doubted
+        return self.table.has_unconfirmed
 
     def neighbours(self) -> tuple[str, ...]:
         """Return the VMs adjacent to this one in the overlay."""
@@ -155,19 +155,19 @@
         raise TypeError(f"not an event: {event!r}")
 
     @_apply_event.register
-    def _(self, event: ListRead, now_ms: float) -> tuple[MemberAction, ...]:
-        self.table.listed(event.vms, now_ms)
+    def _(self, event: VmListRead, now_ms: float) -> tuple[MemberAction, ...]:
+        self.table.apply_vm_list(event.vms, now_ms)
         return ()
 
     @_apply_event.register
     def _(self, event: LinkOpened, now_ms: float) -> tuple[MemberAction, ...]:
         hello = event.hello
         self.linked.add(hello.vm)
-        self._gossip.take_word(_member_of(hello, now_ms))
+        self._gossip.apply_self_report(_member_of(hello, now_ms))
         return (
-            *self._detector.heard(hello.vm, now_ms),
+            *self._detector.record_message(hello.vm, now_ms),
             *self._prompt_refutation(hello.vm, hello.incarnation, hello.sequence),
-            Send(hello.vm, self._heartbeat()),
+            SendMessage(hello.vm, self._heartbeat()),
         )
 
     @_apply_event.register
@@ -176,13 +176,13 @@
         self._gossip.forget(event.vm)
         if event.vm not in self.neighbours():
             return ()
-        return self._detector.check(event.vm, self.linked, now_ms)
+        return self._detector.start_check(event.vm, self.linked, now_ms)
 
     @_apply_event.register
-    def _(self, event: CallerReport, now_ms: float) -> tuple[MemberAction, ...]:
+    def _(self, event: CallerConnectFailed, now_ms: float) -> tuple[MemberAction, ...]:
         for member in self.table.serving():
             if member.caller_address == event.caller_address:
-                return self._detector.check(member.vm, self.linked, now_ms)
+                return self._detector.start_check(member.vm, self.linked, now_ms)
         return ()
 
     @_apply_event.register
@@ -193,13 +193,13 @@
         return self._send_heartbeats(now_ms)
 
     @_apply_event.register
-    def _(self, event: Leave, now_ms: float) -> tuple[MemberAction, ...]:
+    def _(self, event: ShutdownStarted, now_ms: float) -> tuple[MemberAction, ...]:
         self._update_own(leaving=True)
         return self._send_heartbeats(now_ms)
 
     @_apply_event.register
     def _(self, event: LoadChanged, now_ms: float) -> tuple[MemberAction, ...]:
-        self._update_own(busy_tenths=event.busy_tenths)
+        self._update_own(load_tenths=event.load_tenths)
         return ()
 
     @_apply_event.register
@@ -208,18 +208,18 @@
         return ()
 
     @_apply_event.register
-    def _(self, event: Woke, now_ms: float) -> tuple[MemberAction, ...]:
+    def _(self, event: ProcessResumed, now_ms: float) -> tuple[MemberAction, ...]:
         self.linked.clear()
         self._last_dial_ms.clear()
-        self.table.doubt_all(now_ms)
-        self._detector.woke(now_ms)
+        self.table.mark_all_unconfirmed(now_ms)
+        self._detector.reset_after_pause(now_ms)
         self._confirm_until_ms = None
         return ()
 
     @_apply_event.register
-    def _(self, event: MessageHeard, now_ms: float) -> tuple[MemberAction, ...]:
-        probe_answers = self._detector.heard(event.vm, now_ms)
-        if self.table.doubted and self._confirm_until_ms is None:
+    def _(self, event: MessageReceived, now_ms: float) -> tuple[MemberAction, ...]:
+        probe_answers = self._detector.record_message(event.vm, now_ms)
+        if self.table.has_unconfirmed and self._confirm_until_ms is None:
             self._confirm_until_ms = now_ms + CONFIRM_TIMEOUT_MS
         return (*probe_answers, *self._apply_message(event.vm, event.message, now_ms))
 
@@ -229,11 +229,11 @@
             return ()
         actions, changed = self._detector.tick(self.neighbours(), self.linked, now_ms)
         for member in changed:
-            self._gossip.take(member)
-        notices = [Send(item.vm, MemberUpdates((item.to_update(),))) for item in changed]
+            self._gossip.apply(member)
+        notices = [SendMessage(item.vm, MemberUpdates((item.to_update(),))) for item in changed]
         if self._confirm_until_ms is not None and now_ms >= self._confirm_until_ms:
             self._confirm_until_ms = None
-            self.table.drop_doubted()
+            self.table.drop_unconfirmed()
         if now_ms >= self._next_forget_ms:
             self._next_forget_ms = now_ms + FORGET_INTERVAL_MS
             self.table.forget_lost(now_ms)
@@ -247,13 +247,13 @@
             case MemberUpdates(updates):
                 return self._apply_updates(vm, updates, now_ms)
             case MemberDigests(buckets):
-                return self._gossip.compared(vm, buckets)
+                return self._gossip.reply_to_digests(vm, buckets)
             case Ping():
-                return (Send(vm, self._heartbeat()),)
+                return (SendMessage(vm, self._heartbeat()),)
             case ProbeRequest(target):
-                return self._detector.asked(vm, target, now_ms)
-            case Seen():
-                self._detector.seen(message, now_ms)
+                return self._detector.handle_probe_request(vm, target, now_ms)
+            case ProbeSuccess():
+                self._detector.record_probe_success(message, now_ms)
         return ()
 
     def _apply_heartbeat(
@@ -270,10 +270,10 @@
                 since_ms=now_ms,
                 unconfirmed=False,
             )
-            self._gossip.take_word(refreshed)
+            self._gossip.apply_self_report(refreshed)
         return (
             *self._prompt_refutation(vm, heartbeat.incarnation, heartbeat.sequence),
-            *self._gossip.digest_heard(vm, heartbeat.digest, now_ms),
+            *self._gossip.handle_digest(vm, heartbeat.digest, now_ms),
         )
 
     def _apply_updates(
@@ -282,7 +282,7 @@
         own_vm = self.table.own.vm
         about_own = [update for update in updates if update.vm == own_vm]
         others = [update for update in updates if update.vm != own_vm]
-        actions = list(self._gossip.updated(vm, others, now_ms))
+        actions = list(self._gossip.handle_updates(vm, others, now_ms))
         for update in about_own:
             actions.extend(self._refute(update, now_ms))
         return tuple(actions)
@@ -306,7 +306,7 @@
     def _update_own(self, **changes: object) -> None:
         """Change this daemon's own entry, with a new sequence number, and spread the change."""
         own = self.table.own
-        self._gossip.take(replace(own, **{"sequence": own.sequence + 1, **changes}))
+        self._gossip.apply(replace(own, **{"sequence": own.sequence + 1, **changes}))
 
     def _prompt_refutation(
         self, vm: str, incarnation: int, sequence: int
@@ -321,7 +321,7 @@
             return ()
         if (known.incarnation, known.sequence) < (incarnation, sequence):
             return ()
-        return (Send(vm, MemberUpdates((known.to_update(),))),)
+        return (SendMessage(vm, MemberUpdates((known.to_update(),))),)
 
     def _heartbeat(self) -> Heartbeat:
         own = self.table.own
@@ -337,13 +337,13 @@
     def _send_heartbeats(self, now_ms: float) -> tuple[MemberAction, ...]:
         self._next_heartbeat_ms = now_ms + self._heartbeat_ms
         heartbeat = self._heartbeat()
-        return tuple(Send(vm, heartbeat) for vm in sorted(self.linked))
+        return tuple(SendMessage(vm, heartbeat) for vm in sorted(self.linked))
 
     def _dial_peers(self, now_ms: float) -> tuple[MemberAction, ...]:
         self.neighbours()
         wanted = [vm for vm in self._successors if vm not in self.linked]
         if now_ms >= self._next_search_ms:
-            self._next_search_ms = now_ms + (SEARCH_MS if self.linked else REDIAL_INTERVAL_MS)
+            self._next_search_ms = now_ms + (SEARCH_INTERVAL_MS if self.linked else REDIAL_INTERVAL_MS)
             wanted += self._pick_absent()
         due = [
             vm
--- a/cloverhook/replica.py
+++ b/cloverhook/replica.py
@@ -91,7 +91,7 @@
         self.at_end = False
 
     @property
-    def lost(self) -> bool:
+    def records_lost(self) -> bool:
         """Whether records between this replica's position and the log's head are missing."""
         return self._search is not None and self._search.lost and self._search.at_end
 
@@ -109,12 +109,12 @@
             return Read(offset - 1, wait=False)
         return Read(offset, self.at_end)
 
-    def read_failed(self) -> None:
+    def record_read_failure(self) -> None:
         """Record that a read failed; the log may have been replaced when it is available again."""
         self._verify_last = bool(self._recent_records)
         self.at_end = False
 
-    def take_slice(self, read: LogSlice) -> int:
+    def apply_read(self, read: LogSlice) -> int:
         """Process records that were read from the log and return how many were folded."""
         self.first_offset = read.first_offset
         if self._search is not None:
@@ -135,11 +135,11 @@
             self._begin_search(lost=True, restarts=restarts)
             return 0
         self._verify_last = False
-        folded = self.take(position_of(restarts, read.from_offset), read.records)
+        folded = self.fold_records(position_of(restarts, read.from_offset), read.records)
         self.at_end = offset_of(self.state.next_offset) >= read.next_offset
         return folded
 
-    def take(self, from_offset: int, records: tuple[Mapping[str, Any], ...]) -> int:
+    def fold_records(self, from_offset: int, records: tuple[Mapping[str, Any], ...]) -> int:
         """Fold records that start at a position and return how many were new.
 
         Records are ignored if there is a gap between the replica's position and the first of them.
--- a/cloverhook/snapshots.py
+++ b/cloverhook/snapshots.py
@@ -10,7 +10,7 @@
 
 from cloverhook.state import offset_of, restarts_of
 
-__all__ = ["LogFacts", "SnapshotLimits", "SnapshotPolicy"]
+__all__ = ["LogStatus", "SnapshotLimits", "SnapshotPolicy"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LogFacts:
+class LogStatus:
     """What a replica knows about the log.
 
     `position` is the replica's next position, `first_offset` is the oldest offset that the log
@@ -43,8 +43,8 @@
     position: int
     first_offset: int
     snapshot_position: int | None
-    lost: bool
-    bare: bool
+    records_lost: bool
+    replica_is_empty: bool
 
 
 class SnapshotPolicy:
@@ -59,7 +59,7 @@
         self._due_ms: float | None = None
         self._earliest_append_ms = 0.0
 
-    def decide(self, facts: LogFacts, now_ms: float) -> bool:
+    def decide(self, facts: LogStatus, now_ms: float) -> bool:
         """Return whether to append a snapshot now."""
         self._observe(facts, now_ms)
         if not self._is_needed(facts, now_ms):
@@ -74,22 +74,22 @@
         self._earliest_append_ms = now_ms + self._limits.min_interval_ms
         return True
 
-    def _observe(self, facts: LogFacts, now_ms: float) -> None:
+    def _observe(self, facts: LogStatus, now_ms: float) -> None:
         if facts.snapshot_position != self._seen_position:
             self._seen_position = facts.snapshot_position
             self._seen_ms = now_ms
             self._due_ms = None
-        if not facts.lost:
+        if not facts.records_lost:
             self._lost_ms = None
         elif self._lost_ms is None:
             self._lost_ms = now_ms
 
-    def _is_needed(self, facts: LogFacts, now_ms: float) -> bool:
+    def _is_needed(self, facts: LogStatus, now_ms: float) -> bool:
         limits = self._limits
         if self._lost_ms is not None:
-            loss_wait_ms = limits.empty_loss_wait_ms if facts.bare else limits.loss_wait_ms
+            loss_wait_ms = limits.empty_loss_wait_ms if facts.replica_is_empty else limits.loss_wait_ms
             return now_ms - self._lost_ms >= loss_wait_ms
-        if facts.bare:
+        if facts.replica_is_empty:
             return False
         seen = facts.snapshot_position
         if seen is None or restarts_of(seen) < restarts_of(facts.position):
--- a/cloverhook/state.py
+++ b/cloverhook/state.py
@@ -110,15 +110,15 @@
         entry = self.entry(brand)
         return entry.version if entry else 0
 
-    def recent(self, brand: str) -> tuple[Accepted, ...]:
+    def recent_changes(self, brand: str) -> tuple[Accepted, ...]:
         """Return the last accepted changes of a brand, oldest first."""
         entry = self.entry(brand)
         return entry.recent if entry else ()
 
-    def accepted(self, change_id: str) -> tuple[str, Accepted] | None:
+    def find_accepted(self, change_id: str) -> tuple[str, Accepted] | None:
         """Return the brand and the accepted change with this identifier, if still retained."""
         for brand in (*self.brands, *self.removed):
-            for change in self.recent(brand):
+            for change in self.recent_changes(brand):
                 if change.change_id == change_id:
                     return brand, change
         return None
