--- a/cloverhook/catch_up.py
+++ b/cloverhook/catch_up.py
@@ -7,9 +7,9 @@
 needed there.
 
 >>> catch_up = CatchUp()
->>> catch_up.record_offset("vm-2", 5, 0.0)
->>> catch_up.next_peer(4, 10.0)
->>> catch_up.next_peer(4, 30.0)
+>>> catch_up.offered("vm-2", 5, 0.0)
+>>> catch_up.due(4, 10.0)
+>>> catch_up.due(4, 30.0)
 'vm-2'
 """
 
--- a/cloverhook/claims.py
+++ b/cloverhook/claims.py
@@ -10,7 +10,7 @@
 holds the key.  A daemon that has missed records can't know who holds a key until a whole window
 has passed.
 
->>> book = ClaimTable("vm-1", window_ms=60_000)
+>>> book = ClaimBook("vm-1", window_ms=60_000)
 >>> book.claim("key", "c1", 0.0)
 >>> batch = book.take_batch(0.0)
 >>> book.fold(0, (batch.to_document(),), 0.0)
