--- a/cloverhook/at_most_once.py
+++ b/cloverhook/at_most_once.py
@@ -1,8 +1,8 @@
-"""Runs requests with an idempotency key at most once, even if their caller repeats them.
+"""Runs requests with an idempotency key at most once, even if their caller retries them.
 
 Layer: transport.  A request runs only while its claim holds the key.  If this daemon has the first
-request's answer, a repeat gets that answer; if the first request is in progress here, the repeat
-waits for it.  Otherwise the repeat gets an error that says what is known: that the first request
+request's answer, a retry gets that answer; if the first request is in progress here, the retry
+waits for it.  Otherwise the retry gets an error that says what is known: that the first request
 has run, or that it is unknown whether it has.
 """
 
@@ -49,16 +49,17 @@
 class AtMostOnceRunner:
     """Runs requests with an idempotency key at most once."""
 
-    def __init__(self, claims: ClaimLog, store: AnswerCache, clock_ms: Callable[[], float]) -> None:
+    def __init__(self, claims: ClaimLog, cache: AnswerCache, clock_ms: Callable[[], float]) -> None:
         self._claims = claims
-        self._store = store
+        self._cache = cache
         self._clock_ms = clock_ms
         self._running: dict[str, asyncio.Event] = {}
 
     async def run(self, exchange: Exchange, key: bytes, forward: Forward) -> None:
-        """Forward a request, or answer it as a repeat if an earlier request holds its key.
+        """Forward a request, or answer it as a retry if an earlier request holds its key.
 
-        Raises `RequestError` if a repeat has no stored answer, or if the key can't be claimed.
+        Raises `RequestError` if there is no stored answer to a retry, or if the key can't be
+        claimed.
         """
         if not key or len(key) > MAX_KEY_BYTES:
             raise RequestError(ErrorKind.BAD_REQUEST, "the idempotency key is empty or too long")
@@ -73,7 +74,7 @@
                     ErrorKind.REPEAT_UNSETTLED,
                     "claim records were missed; an earlier request may hold the key",
                 )
-            if await self._answer_repeat(exchange, decision):
+            if await self._answer_retry(exchange, decision):
                 return
 
     async def _run_claimed(
@@ -89,11 +90,11 @@
             elif capture.ran:
                 self._claims.mark_ran(name, claim_id)
             if capture.answer is not None:
-                self._store.put(claim_id, capture.answer)
+                self._cache.put(claim_id, capture.answer)
             self._running.pop(claim_id).set()
 
-    async def _answer_repeat(self, exchange: Exchange, denied: Denied) -> bool:
-        """Answer a repeat; return False if the key has to be claimed again.
+    async def _answer_retry(self, exchange: Exchange, denied: Denied) -> bool:
+        """Answer a retry; return False if the key has to be claimed again.
 
         That is the case if the first request ended here without an answer to replay, for example
         because it did not run after all.
@@ -101,7 +102,7 @@
         running = self._running.get(denied.holder_id)
         if running is not None:
             await self._wait(exchange, running)
-        answer = self._store.get(denied.holder_id)
+        answer = self._cache.get(denied.holder_id)
         if answer is not None:
             await self._replay(exchange, answer)
             return True
--- a/cloverhook/catch_up.py
+++ b/cloverhook/catch_up.py
@@ -7,9 +7,9 @@
 needed there.
 
 >>> catch_up = CatchUp()
->>> catch_up.offered("vm-2", 5, 0.0)
->>> catch_up.due(4, 10.0)
->>> catch_up.due(4, 30.0)
+>>> catch_up.record_offset("vm-2", 5, 0.0)
+>>> catch_up.next_peer(4, 10.0)
+>>> catch_up.next_peer(4, 30.0)
 'vm-2'
 """
 
@@ -48,7 +48,7 @@
             self._request_deadline_ms = 0.0
 
     def next_wake_ms(self, next_offset: int, now_ms: float) -> float:
-        """Return when `due` may next return a peer, unless a peer reports a new offset before."""
+        """Return when `next_peer` may next return a peer, unless a peer reports a new offset before."""
         if all(offset <= next_offset for offset in self._peer_offsets.values()):
             return math.inf
         return max(now_ms + REQUEST_DELAY_MS, self._request_deadline_ms)
--- a/cloverhook/claim_log.py
+++ b/cloverhook/claim_log.py
@@ -31,13 +31,13 @@
     def __init__(
         self,
         platform: Platform,
-        book: ClaimTable,
+        table: ClaimTable,
         clock_ms: Callable[[], float],
         wait_ms: float,
         appends_per_s: float,
     ) -> None:
         self._platform = platform
-        self._book = book
+        self._table = table
         self._clock_ms = clock_ms
         self._wait_ms = wait_ms
         self._appends_per_s = appends_per_s
@@ -55,7 +55,7 @@
         future: asyncio.Future[Decision] = asyncio.get_running_loop().create_future()
         self._futures[claim_id] = future
         started_ms = self._clock_ms()
-        self._book.claim(key, claim_id, started_ms)
+        self._table.claim(key, claim_id, started_ms)
         self._has_work.set()
         decision: Decision | None = None
         try:
@@ -78,12 +78,12 @@
 
     def release(self, key: str, claim_id: str) -> None:
         """Release a key whose request certainly did not run."""
-        self._book.release(key, claim_id)
+        self._table.release(key, claim_id)
         self._has_work.set()
 
     def mark_ran(self, key: str, claim_id: str) -> None:
         """Report to the other daemons, with the next record, that a request has run."""
-        self._book.mark_ran(key, claim_id)
+        self._table.mark_ran(key, claim_id)
 
     async def run(self) -> None:
         """Append batches and read the log until cancelled."""
@@ -103,37 +103,37 @@
                 await self._append_and_read()
         except (PlatformError, TimeoutError) as error:
             logging.warning(
-                "claims: the last records could not be appended before the stop: %s.", error
+                "claims: the last records could not be appended at shutdown: %s.", error
             )
 
     async def _append_and_read(self) -> None:
         await self._wait_for_token()
-        batch = self._book.take_batch(self._clock_ms())
+        batch = self._table.take_batch(self._clock_ms())
         if batch is not None:
             try:
                 await self._platform.append(STREAM, batch.to_document())
             except PlatformSilentError:
-                self._book.append_failed(batch)
+                self._table.append_failed(batch)
                 await self._read()
                 raise
             except PlatformError:
-                self._book.append_failed(batch)
+                self._table.append_failed(batch)
                 raise
         await self._read()
 
     async def _read(self) -> None:
         more = True
         while more:
-            wait_ms = RETRY_MS if self._book.undecided else 0
-            read = await self._platform.read(STREAM, self._book.next_offset, wait_ms)
+            wait_ms = RETRY_MS if self._table.undecided else 0
+            read = await self._platform.read(STREAM, self._table.next_offset, wait_ms)
             now_ms = self._clock_ms()
-            if read.next_offset < self._book.next_offset:
+            if read.next_offset < self._table.next_offset:
                 logging.warning("claims: the log has started over.")
-                self._book.record_gap(read.first_offset, now_ms)
+                self._table.record_gap(read.first_offset, now_ms)
                 continue
-            for decision in self._book.fold(read.from_offset, read.records, now_ms):
+            for decision in self._table.fold(read.from_offset, read.records, now_ms):
                 self._resolve(decision)
-            more = self._book.next_offset < read.next_offset
+            more = self._table.next_offset < read.next_offset
 
     def _resolve(self, decision: Decision) -> None:
         future = self._futures.get(decision.claim_id)
@@ -145,7 +145,7 @@
             )
 
     async def _wait_for_work(self) -> None:
-        if self._book.undecided:
+        if self._table.undecided:
             return
         try:
             async with asyncio.timeout(READ_INTERVAL_MS / 1000):
@@ -157,7 +157,7 @@
 
     async def _wait_for_token(self) -> None:
         """Wait until another append is within this daemon's share of the log's append rate."""
-        while self._book.has_batch:
+        while self._table.has_batch:
             now_ms = self._clock_ms()
             refill = max(0.0, now_ms - self._last_refill_ms) / 1000 * self._appends_per_s
             self._tokens = min(self._appends_per_s, self._tokens + refill)
--- a/cloverhook/claims.py
+++ b/cloverhook/claims.py
@@ -10,10 +10,10 @@
 holds the key.  A daemon that has missed records can't know who holds a key until a whole window
 has passed.
 
->>> book = ClaimBook("vm-1", window_ms=60_000)
->>> book.claim("key", "c1", 0.0)
->>> batch = book.take_batch(0.0)
->>> book.fold(0, (batch.to_document(),), 0.0)
+>>> table = ClaimTable("vm-1", window_ms=60_000)
+>>> table.claim("key", "c1", 0.0)
+>>> batch = table.take_batch(0.0)
+>>> table.fold(0, (batch.to_document(),), 0.0)
 (Granted(claim_id='c1'),)
 """
 
--- a/cloverhook/failure_detector.py
+++ b/cloverhook/failure_detector.py
@@ -26,7 +26,7 @@
     """How long a neighbour may be silent, how long its check takes, and how long it is suspect.
 
     A daemon that receives nothing from any of its neighbours is probably isolated itself, so it
-    multiplies the last two by `alone_factor`.
+    multiplies the last two by `isolated_factor`.
     """
 
     silence_timeout_ms: float = 800
@@ -38,10 +38,12 @@
 class FailureDetector:
     """The evidence about each member, and the checks in progress."""
 
-    def __init__(self, table: MemberTable, source: random.Random, times: DetectorTimeouts) -> None:
+    def __init__(
+        self, table: MemberTable, source: random.Random, timeouts: DetectorTimeouts
+    ) -> None:
         self._table = table
         self._random = source
-        self._times = times
+        self._timeouts = timeouts
         self._last_message_ms: dict[str, float] = {}
         self._watched_since_ms: dict[str, float] = {}
         self._check_deadlines_ms: dict[str, float] = {}
@@ -69,12 +71,14 @@
             self._last_message_ms[message.target] = now_ms
             self._check_deadlines_ms.pop(message.target, None)
 
-    def handle_probe_request(self, requester: str, target: str, now_ms: float) -> tuple[MemberAction, ...]:
+    def handle_probe_request(
+        self, requester: str, target: str, now_ms: float
+    ) -> tuple[MemberAction, ...]:
         """Ping a VM at a peer's request; the peer gets an answer when the VM sends a message."""
         member = self._table.get(target)
         if member is None or target == self._table.own.vm:
             return ()
-        until_ms = now_ms + 2 * self._times.check_timeout_ms
+        until_ms = now_ms + 2 * self._timeouts.check_timeout_ms
         self._probe_requesters.setdefault(target, {})[requester] = until_ms
         return (SendMessage(target, Ping()),)
 
@@ -87,8 +91,8 @@
             return ()
         if vm == self._table.own.vm:
             return ()
-        factor = self._times.isolated_factor if isolated else 1
-        self._check_deadlines_ms[vm] = now_ms + factor * self._times.check_timeout_ms
+        factor = self._timeouts.isolated_factor if isolated else 1
+        self._check_deadlines_ms[vm] = now_ms + factor * self._timeouts.check_timeout_ms
         others = sorted(set(linked) - {vm})
         helpers = self._random.sample(others, min(INDIRECT_PROBES, len(others)))
         return (SendMessage(vm, Ping()), *(SendMessage(peer, ProbeRequest(vm)) for peer in helpers))
@@ -114,7 +118,7 @@
             for vm in watched
             if (member := self._table.get(vm)) is not None and member.status is Status.ALIVE
         ]
-        wake_ms = min(last_seen_ms, default=now_ms) + self._times.silence_timeout_ms + 1
+        wake_ms = min(last_seen_ms, default=now_ms) + self._timeouts.silence_timeout_ms + 1
         return wake_ms if wake_ms > now_ms else now_ms + BUSY_TICK_MS
 
     def reset_after_pause(self, now_ms: float) -> None:
@@ -132,7 +136,7 @@
 
     def _is_silent(self, vm: str, now_ms: float) -> bool:
         last_seen_ms = max(self._last_message_ms.get(vm, 0.0), self._watched_since_ms.get(vm, 0.0))
-        return now_ms - last_seen_ms > self._times.silence_timeout_ms
+        return now_ms - last_seen_ms > self._timeouts.silence_timeout_ms
 
     def _new_suspects(self, now_ms: float) -> list[Member]:
         expired = [vm for vm, until_ms in self._check_deadlines_ms.items() if now_ms >= until_ms]
@@ -145,7 +149,9 @@
         return found
 
     def _newly_lost(self, now_ms: float, isolated: bool) -> list[Member]:
-        limit_ms = self._times.suspicion_timeout_ms * (self._times.isolated_factor if isolated else 1)
+        limit_ms = self._timeouts.suspicion_timeout_ms * (
+            self._timeouts.isolated_factor if isolated else 1
+        )
         return [
             replace(member, status=Status.LOST, since_ms=now_ms)
             for member in self._table.suspects()
--- a/cloverhook/follower.py
+++ b/cloverhook/follower.py
@@ -112,14 +112,14 @@
 
     async def append_snapshot_if_due(self) -> bool:
         """Append a snapshot if one is due, and return whether one was appended."""
-        facts = LogStatus(
+        log_status = LogStatus(
             self.state.next_offset,
             self._replica.first_offset,
             self._replica.snapshot_position,
             self._replica.records_lost,
             replica_is_empty=not self.state.brands and not self.state.removed,
         )
-        if self._failures or not self._snapshots.decide(facts, self._clock_ms()):
+        if self._failures or not self._snapshots.decide(log_status, self._clock_ms()):
             return False
         try:
             await self._platform.append(CONFIG_STREAM, encode_record(self._replica.snapshot()))
--- a/cloverhook/greeting.py
+++ b/cloverhook/greeting.py
@@ -60,19 +60,19 @@
         return secrets.token_bytes(NONCE_BYTES)
 
     def prove(self, hello: Hello) -> Hello:
-        """Return this side's greeting with its proof."""
+        """Return this side's `Hello` with its proof."""
         return replace(hello, proof=self._proof(hello, self.role))
 
     def check(self, hello: object, own_vm: str) -> Hello:
-        """Return the peer's greeting.  Raises `AuthenticationError` if it is invalid."""
+        """Return the peer's `Hello`.  Raises `AuthenticationError` if it is invalid."""
         if not isinstance(hello, Hello):
-            raise AuthenticationError("the peer sent no greeting")
+            raise AuthenticationError("the peer sent no hello message")
         if not hmac.compare_digest(hello.proof, self._proof(hello, self.role.other)):
-            raise AuthenticationError("the proof in the peer's greeting is wrong")
+            raise AuthenticationError("the proof in the peer's hello message is wrong")
         if hello.target not in ("", own_vm):
-            raise AuthenticationError(f"the peer's greeting is addressed to {hello.target}")
+            raise AuthenticationError(f"the peer's hello message is addressed to {hello.target}")
         if hello.vm == own_vm:
-            raise AuthenticationError("the peer's greeting has this VM's own name")
+            raise AuthenticationError("the peer's hello message has this VM's own name")
         return hello
 
     def _proof(self, hello: Hello, role: Role) -> bytes:
--- a/cloverhook/member_events.py
+++ b/cloverhook/member_events.py
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ShutdownStarted:
-    """This daemon starts a planned stop."""
+    """This daemon starts its planned shutdown."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stopped:
-    """This daemon has completed its planned stop and is about to exit."""
+    """This daemon has completed its planned shutdown and is about to exit."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -130,7 +130,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Replaced:
-    """Another process has taken this VM's name, so this daemon has to leave."""
+    """Another process has taken this VM's name, so this daemon has to shut down."""
 
 
 MemberAction = SendMessage | Dial | Replaced
--- a/cloverhook/members.py
+++ b/cloverhook/members.py
@@ -199,7 +199,7 @@
                 self._replace(replace(member, status=Status.LISTED, unconfirmed=False))
 
     def apply_vm_list(self, vms: Iterable[ListedVm], now_ms: float) -> None:
-        """Apply the platform's list: add VMs not known yet, and record which ones are leaving."""
+        """Apply the platform's list: add VMs that are new, and record which ones are leaving."""
         phases = {item.vm: item.phase for item in vms}
         for item in vms:
             if item.vm not in self._members:
--- a/cloverhook/membership.py
+++ b/cloverhook/membership.py
@@ -73,12 +73,12 @@
         source: random.Random,
         now_ms: float,
         heartbeat_ms: float = 250,
-        times: DetectorTimeouts | None = None,
+        timeouts: DetectorTimeouts | None = None,
     ) -> None:
         self.table = MemberTable(own)
         self.linked: set[str] = set()
         self._random = source
-        self._detector = FailureDetector(self.table, source, times or DetectorTimeouts())
+        self._detector = FailureDetector(self.table, source, timeouts or DetectorTimeouts())
         self._gossip = Gossip(self.table, source)
         self._heartbeat_ms = heartbeat_ms
         self._started_ms = now_ms
@@ -343,7 +343,9 @@
         self.neighbours()
         wanted = [vm for vm in self._successors if vm not in self.linked]
         if now_ms >= self._next_search_ms:
-            self._next_search_ms = now_ms + (SEARCH_INTERVAL_MS if self.linked else REDIAL_INTERVAL_MS)
+            self._next_search_ms = now_ms + (
+                SEARCH_INTERVAL_MS if self.linked else REDIAL_INTERVAL_MS
+            )
             wanted += self._pick_absent()
         due = [
             vm
--- a/cloverhook/replica.py
+++ b/cloverhook/replica.py
@@ -1,9 +1,9 @@
 """A replica of the configuration in force, maintained by folding the log's records in order.
 
 Layer: coordination, free of input and output.  `next_read` returns what to read next from the log
-and `take_slice` processes what was read; `take` and `adopt` process records and states from peers.
-If a read shows that the log ends before the replica's position, the replica concludes that the log
-has started over only after a second read shows the same.
+and `apply_read` processes what was read.  `fold_records` and `adopt` process records and states
+from peers.  If a read shows that the log ends before the replica's position, the replica concludes
+that the log has started over only after a second read shows the same.
 
 A replica searches the log for the newest snapshot when it starts, when the log has lost records
 that the replica has not folded, and when the log has started over.  It continues to fold from that
--- a/cloverhook/snapshots.py
+++ b/cloverhook/snapshots.py
@@ -36,8 +36,8 @@
 
     `position` is the replica's next position, `first_offset` is the oldest offset that the log
     retains and `snapshot_position` is the position of the last snapshot, None if none was seen.
-    `lost` means that records which the replica has not folded are missing from the log, and `bare`
-    that the replica has no brands, neither in force nor removed.
+    `records_lost` means that records which the replica has not folded are missing from the log, and
+    `replica_is_empty` that the replica has no brands, neither in force nor removed.
     """
 
     position: int
@@ -59,10 +59,10 @@
         self._due_ms: float | None = None
         self._earliest_append_ms = 0.0
 
-    def decide(self, facts: LogStatus, now_ms: float) -> bool:
+    def decide(self, log_status: LogStatus, now_ms: float) -> bool:
         """Return whether to append a snapshot now."""
-        self._observe(facts, now_ms)
-        if not self._is_needed(facts, now_ms):
+        self._observe(log_status, now_ms)
+        if not self._is_needed(log_status, now_ms):
             self._due_ms = None
             return False
         if self._due_ms is None:
@@ -74,28 +74,30 @@
         self._earliest_append_ms = now_ms + self._limits.min_interval_ms
         return True
 
-    def _observe(self, facts: LogStatus, now_ms: float) -> None:
-        if facts.snapshot_position != self._seen_position:
-            self._seen_position = facts.snapshot_position
+    def _observe(self, log_status: LogStatus, now_ms: float) -> None:
+        if log_status.snapshot_position != self._seen_position:
+            self._seen_position = log_status.snapshot_position
             self._seen_ms = now_ms
             self._due_ms = None
-        if not facts.records_lost:
+        if not log_status.records_lost:
             self._lost_ms = None
         elif self._lost_ms is None:
             self._lost_ms = now_ms
 
-    def _is_needed(self, facts: LogStatus, now_ms: float) -> bool:
+    def _is_needed(self, log_status: LogStatus, now_ms: float) -> bool:
         limits = self._limits
         if self._lost_ms is not None:
-            loss_wait_ms = limits.empty_loss_wait_ms if facts.replica_is_empty else limits.loss_wait_ms
+            loss_wait_ms = (
+                limits.empty_loss_wait_ms if log_status.replica_is_empty else limits.loss_wait_ms
+            )
             return now_ms - self._lost_ms >= loss_wait_ms
-        if facts.replica_is_empty:
+        if log_status.replica_is_empty:
             return False
-        seen = facts.snapshot_position
-        if seen is None or restarts_of(seen) < restarts_of(facts.position):
+        seen = log_status.snapshot_position
+        if seen is None or restarts_of(seen) < restarts_of(log_status.position):
             return True
-        if offset_of(seen) < facts.first_offset:
+        if offset_of(seen) < log_status.first_offset:
             return True
         if now_ms - self._seen_ms >= limits.every_ms:
             return True
-        return facts.position - seen >= limits.every_records
+        return log_status.position - seen >= limits.every_records
