--- a/cloverhook/catch_up.py
+++ b/cloverhook/catch_up.py
@@ -48,7 +48,7 @@
             self._request_deadline_ms = 0.0
 
     def next_wake_ms(self, next_offset: int, now_ms: float) -> float:
-        """Return when `next_peer` may next return a peer, unless a peer reports a new offset before."""
+        """Return when `next_peer` may next return one, unless a new offset is reported before."""
         if all(offset <= next_offset for offset in self._peer_offsets.values()):
             return math.inf
         return max(now_ms + REQUEST_DELAY_MS, self._request_deadline_ms)
