--- a/cloverhook/replica.py
+++ b/cloverhook/replica.py
@@ -181,7 +181,7 @@
         return tuple(data for position, data in self._recent_records if position >= offset)
 
     def snapshot(self) -> Snapshot:
-        """Return a snapshot for the log; it replaces lost records by the state in force."""
+        """Return a snapshot for the log; the state in force stands in for any lost records."""
         position = self.state.next_offset
         if self._search is not None and self._search.lost:
             position = position_of(self._search.restarts, self._search.first_offset)
