--- a/cloverhook/at_most_once.py
+++ b/cloverhook/at_most_once.py
@@ -1,8 +1,9 @@
-"""Requests with an idempotency key run once, also when their caller repeats them.
+"""Runs requests with an idempotency key at most once, even if their caller retries them.
 
-Layer: transport.  A request runs only while its claim holds the key.  A repeat gets the first
-request's answer where this daemon has it, waits for it where it is under way here, and else is told
-what is known: that the first request ran, or that nobody can tell.
+Layer: transport.  A request runs only while its claim holds the key.  If this daemon has the first
+request's answer, a retry gets that answer; if the first request is in progress here, the retry
+waits for it.  Otherwise the retry gets an error that says what is known: that the first request
+has run, or that it is unknown whether it has.
 """
 
 import asyncio
@@ -18,18 +19,18 @@
 __all__ = ["AnswerCache", "AtMostOnceRunner"]
 
 ANSWER_LIMIT_BYTES = 65_536
-ENTRY_BYTES = 1_024
+ENTRY_OVERHEAD_BYTES = 1_024
 MAX_KEY_BYTES = 255
 
 Forward = Callable[[Exchange], Awaitable[None]]
 
 
 class AnswerCache:
-    """Answers by claim, the latest within a number of bytes."""
+    """The latest answers, by claim, up to a total size in bytes."""
 
     def __init__(self, limit_bytes: int) -> None:
         self._limit_bytes = limit_bytes
-        self._held_bytes = 0
+        self._stored_bytes = 0
         self._answers: OrderedDict[str, CapturedAnswer] = OrderedDict()
 
     def get(self, claim_id: str) -> CapturedAnswer | None:
@@ -37,27 +38,28 @@
         return self._answers.get(claim_id)
 
     def put(self, claim_id: str, answer: CapturedAnswer) -> None:
-        """Keep an answer; the oldest make room for it."""
+        """Store an answer; the oldest answers are evicted to stay within the limit."""
         self._answers[claim_id] = answer
-        self._held_bytes += _weight(answer)
-        while self._held_bytes > self._limit_bytes:
+        self._stored_bytes += _size_bytes(answer)
+        while self._stored_bytes > self._limit_bytes:
             _, oldest = self._answers.popitem(last=False)
-            self._held_bytes -= _weight(oldest)
+            self._stored_bytes -= _size_bytes(oldest)
 
 
 class AtMostOnceRunner:
-    """Runs keyed requests at most once."""
+    """Runs requests with an idempotency key at most once."""
 
-    def __init__(self, claims: ClaimLog, store: AnswerCache, clock_ms: Callable[[], float]) -> None:
+    def __init__(self, claims: ClaimLog, cache: AnswerCache, clock_ms: Callable[[], float]) -> None:
         self._claims = claims
-        self._store = store
+        self._cache = cache
         self._clock_ms = clock_ms
         self._running: dict[str, asyncio.Event] = {}
 
     async def run(self, exchange: Exchange, key: bytes, forward: Forward) -> None:
-        """Forward a request unless an earlier one holds its key, and answer it else.
+        """Forward a request, or answer it as a retry if an earlier request holds its key.
 
-        Raises `RequestError` with the answer to a repeat, or when the key can't be claimed.
+        Raises `RequestError` if there is no stored answer to a retry, or if the key can't be
+        claimed.
         """
         if not key or len(key) > MAX_KEY_BYTES:
             raise RequestError(ErrorKind.BAD_REQUEST, "the idempotency key is empty or too long")
@@ -68,8 +70,11 @@
                 await self._run_claimed(exchange, name, decision.claim_id, forward)
                 return
             if not isinstance(decision, Denied):
-                raise RequestError(ErrorKind.REPEAT_UNSETTLED, "records of claims were missed")
-            if await self._answer_repeat(exchange, decision):
+                raise RequestError(
+                    ErrorKind.REPEAT_UNSETTLED,
+                    "claim records were missed; an earlier request may hold the key",
+                )
+            if await self._answer_retry(exchange, decision):
                 return
 
     async def _run_claimed(
@@ -85,15 +90,19 @@
             elif capture.ran:
                 self._claims.mark_ran(name, claim_id)
             if capture.answer is not None:
-                self._store.put(claim_id, capture.answer)
+                self._cache.put(claim_id, capture.answer)
             self._running.pop(claim_id).set()
 
-    async def _answer_repeat(self, exchange: Exchange, denied: Denied) -> bool:
-        """Answer a repeat; return False when the first request did not run after all."""
+    async def _answer_retry(self, exchange: Exchange, denied: Denied) -> bool:
+        """Answer a retry; return False if the key has to be claimed again.
+
+        That is the case if the first request ended here without an answer to replay, for example
+        because it did not run after all.
+        """
         running = self._running.get(denied.holder_id)
         if running is not None:
             await self._wait(exchange, running)
-        answer = self._store.get(denied.holder_id)
+        answer = self._cache.get(denied.holder_id)
         if answer is not None:
             await self._replay(exchange, answer)
             return True
@@ -111,11 +120,14 @@
             async with asyncio.timeout(remaining_ms / 1000):
                 await running.wait()
         except TimeoutError as error:
-            raise RequestError(ErrorKind.REPEAT_UNSETTLED, "the first request goes on") from error
+            raise RequestError(
+                ErrorKind.REPEAT_UNSETTLED,
+                "the first request with this idempotency key is still running",
+            ) from error
 
     async def _replay(self, exchange: Exchange, answer: CapturedAnswer) -> None:
-        own = (h.REQUEST_ID, exchange.request_id.encode())
-        headers = [own if pair[0] == h.REQUEST_ID else pair for pair in answer.headers]
+        own_id = (h.REQUEST_ID, exchange.request_id.encode())
+        headers = [own_id if pair[0] == h.REQUEST_ID else pair for pair in answer.headers]
         headers.append((h.REPLAYED, b"1"))
         exchange.answer_started = True
         start = {"type": "http.response.start", "status": answer.status, "headers": headers}
@@ -123,6 +135,6 @@
         await exchange.send({"type": "http.response.body", "body": answer.body})
 
 
-def _weight(answer: CapturedAnswer) -> int:
+def _size_bytes(answer: CapturedAnswer) -> int:
     headers = sum(len(name) + len(value) for name, value in answer.headers)
-    return ENTRY_BYTES + headers + len(answer.body)
+    return ENTRY_OVERHEAD_BYTES + headers + len(answer.body)
--- a/cloverhook/catch_up.py
+++ b/cloverhook/catch_up.py
@@ -1,9 +1,10 @@
-"""Gets the configuration records from peers that have them when the log is slow or out of reach.
+"""Requests configuration records from peers when the log is slow or unreachable.
 
-Layer: coordination, free of input and output.  A daemon that folds a record tells its linked peers
-its new offset at once.  A peer that is still behind after a moment, in which its own read of the
-log may bring the record, asks one of those that offer it, and another one if no answer comes.  So
-a record crosses a link only when it is needed there.
+Layer: coordination, free of input and output.  A daemon that folds a record sends its new offset to
+its linked peers at once.  Each of them first waits a short time, in which its own read of the log
+may return the record.  A daemon that is still behind then asks one of the peers that have the
+record, and another one if no answer arrives in time.  So a record is sent over a link only if it is
+needed there.
 
 >>> catch_up = CatchUp()
 >>> catch_up.record_offset("vm-2", 5, 0.0)
@@ -21,49 +22,49 @@
 
 
 class CatchUp:
-    """The offsets that linked peers offer, and the request under way."""
+    """The offsets that linked peers have reached, and the request in progress."""
 
     def __init__(self) -> None:
-        self._offers: dict[str, int] = {}
-        self._behind_ms: float | None = None
-        self._asked: list[str] = []
-        self._asked_until_ms = 0.0
+        self._peer_offsets: dict[str, int] = {}
+        self._behind_since_ms: float | None = None
+        self._requested: list[str] = []
+        self._request_deadline_ms = 0.0
 
     def record_offset(self, vm: str, next_offset: int, now_ms: float) -> None:
-        """Note the offset up to which a peer has folded."""
-        self._offers[vm] = next_offset
-        if self._behind_ms is None:
-            self._behind_ms = now_ms
+        """Record the offset up to which a peer has folded the log."""
+        self._peer_offsets[vm] = next_offset
+        if self._behind_since_ms is None:
+            self._behind_since_ms = now_ms
 
     def remove_peer(self, vm: str) -> None:
-        """Note that a peer is linked no more."""
-        self._offers.pop(vm, None)
-        if vm in self._asked:
-            self._asked_until_ms = 0.0
+        """Record that a peer is no longer linked."""
+        self._peer_offsets.pop(vm, None)
+        if vm in self._requested:
+            self._request_deadline_ms = 0.0
 
     def record_answer(self, vm: str) -> None:
-        """Note that the peer asked has answered, so that another request may follow."""
-        if self._asked and self._asked[-1] == vm:
-            self._asked_until_ms = 0.0
+        """Record an answer from the peer that was asked, so that another request may follow."""
+        if self._requested and self._requested[-1] == vm:
+            self._request_deadline_ms = 0.0
 
     def next_wake_ms(self, next_offset: int, now_ms: float) -> float:
-        """Return when `next_peer` may next name a peer, if no peer offers more until then."""
-        if all(offset <= next_offset for offset in self._offers.values()):
+        """Return when `next_peer` may next return one, unless a new offset is reported before."""
+        if all(offset <= next_offset for offset in self._peer_offsets.values()):
             return math.inf
-        return max(now_ms + REQUEST_DELAY_MS, self._asked_until_ms)
+        return max(now_ms + REQUEST_DELAY_MS, self._request_deadline_ms)
 
     def next_peer(self, next_offset: int, now_ms: float) -> str | None:
-        """Return the peer to ask now for the records from an offset on, if any."""
-        ahead = sorted(vm for vm, offset in self._offers.items() if offset > next_offset)
+        """Return the peer to ask now for the records from an offset on, or None."""
+        ahead = sorted(vm for vm, offset in self._peer_offsets.items() if offset > next_offset)
         if not ahead:
-            self._behind_ms = None
-            self._asked.clear()
+            self._behind_since_ms = None
+            self._requested.clear()
             return None
-        if self._behind_ms is None:
-            self._behind_ms = now_ms
-        if now_ms - self._behind_ms < REQUEST_DELAY_MS or now_ms < self._asked_until_ms:
+        if self._behind_since_ms is None:
+            self._behind_since_ms = now_ms
+        if now_ms - self._behind_since_ms < REQUEST_DELAY_MS or now_ms < self._request_deadline_ms:
             return None
-        vm = min(ahead, key=lambda name: (self._asked.count(name), -self._offers[name]))
-        self._asked.append(vm)
-        self._asked_until_ms = now_ms + ANSWER_TIMEOUT_MS
+        vm = min(ahead, key=lambda name: (self._requested.count(name), -self._peer_offsets[name]))
+        self._requested.append(vm)
+        self._request_deadline_ms = now_ms + ANSWER_TIMEOUT_MS
         return vm
--- a/cloverhook/member_watch.py
+++ b/cloverhook/member_watch.py
@@ -1,7 +1,7 @@
-"""Notices which daemons have come, gone or fallen silent, for the time line.
+"""Detects which daemons have joined, left or become silent, for the time line.
 
-Layer: coordination, free of input and output.  `MemberWatch.update` compares what is known now with
-what was known before, so membership itself needs to tell nobody of its changes.
+Layer: coordination, free of input and output.  `MemberWatch.update` compares the current members
+with those of the previous update, so membership itself doesn't have to report its changes.
 """
 
 from collections.abc import Iterable
@@ -15,25 +15,25 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChange:
-    """A daemon that has joined, left, fallen silent or been given up."""
+    """A daemon that has joined, left, become suspect or been lost."""
 
     name: EventName
     vm: str
 
 
 class MemberWatch:
-    """The members as they were at the last update."""
+    """The members as of the last update."""
 
     def __init__(self) -> None:
-        self._seen: dict[str, EventName] = {}
+        self._last_events: dict[str, EventName] = {}
 
     def update(self, members: Iterable[Member]) -> tuple[MemberChange, ...]:
         """Return what has changed since the last update."""
         changes: list[MemberChange] = []
         for member in members:
             name = _event_of(member)
-            if name is not None and self._seen.get(member.vm) is not name:
-                self._seen[member.vm] = name
+            if name is not None and self._last_events.get(member.vm) is not name:
+                self._last_events[member.vm] = name
                 changes.append(MemberChange(name, member.vm))
         return tuple(changes)
 
