--- a/cloverhook/address_answers.py
+++ b/cloverhook/address_answers.py
@@ -18,7 +18,7 @@
 __all__ = ["AddressAnswers"]
 
 ADDRESSES_LIMIT = 16
-DOUBTFUL_LIFETIME_MS = 500
+UNCONFIRMED_LIFETIME_MS = 500
 
 
 class AddressAnswers:
@@ -28,7 +28,7 @@
         self._homes = HomeTable()
         self._order = AnswerOrder(source)
         self._serving: Sequence[Member] = ()
-        self._others: dict[str, tuple[Member, ...]] = {}
+        self._other_members: dict[str, tuple[Member, ...]] = {}
         self._changed_ms: dict[str, float] = {}
         self._weights: dict[str, tuple[Sequence[Endpoint], dict[str, float]]] = {}
 
@@ -37,7 +37,7 @@
     ) -> tuple[str, ...]:
         """Take who serves; return the services whose home VMs have changed."""
         self._serving = serving
-        self._others.clear()
+        self._other_members.clear()
         changed = self._homes.update(counts, serving)
         for key in changed:
             self._changed_ms[key] = now_ms
@@ -68,12 +68,12 @@
         """
         homes = self._homes.homes(key)
         weights = self._weights_of(key, service.endpoints)
-        ordered = _nearest_first(self._order.next(key, homes, weights), data_center)
-        ordered += _nearest_first(self._ranked_others(key), data_center)
+        ordered = _local_first(self._order.next(key, homes, weights), data_center)
+        ordered += _local_first(self._ranked_other_members(key), data_center)
         lifetime_ms = answer_lifetime_ms(lifetime_ms, self._changed_ms.get(key, now_ms), now_ms)
         return {
             "service": service.name,
-            "lifetime_ms": min(lifetime_ms, DOUBTFUL_LIFETIME_MS) if doubtful else lifetime_ms,
+            "lifetime_ms": min(lifetime_ms, UNCONFIRMED_LIFETIME_MS) if doubtful else lifetime_ms,
             "homes": len(homes),
             "addresses": [member.caller_address for member in ordered[:ADDRESSES_LIMIT]],
         }
@@ -86,13 +86,13 @@
             self._weights[key] = known
         return known[1]
 
-    def _ranked_others(self, key: str) -> tuple[Member, ...]:
-        if key not in self._others:
+    def _ranked_other_members(self, key: str) -> tuple[Member, ...]:
+        if key not in self._other_members:
             homes = set(self._homes.names(key))
             order = ranked(key, self._serving)
-            self._others[key] = tuple(member for member in order if member.vm not in homes)
-        return self._others[key]
+            self._other_members[key] = tuple(member for member in order if member.vm not in homes)
+        return self._other_members[key]
 
 
-def _nearest_first(members: Sequence[Member], data_center: str) -> list[Member]:
+def _local_first(members: Sequence[Member], data_center: str) -> list[Member]:
     return sorted(members, key=lambda member: member.data_center != data_center)
--- a/cloverhook/caller_app.py
+++ b/cloverhook/caller_app.py
@@ -56,7 +56,7 @@
         self._time_line = time_line
         self._clock_ms = clock_ms
         self._addresses = addresses
-        self._once = once
+        self._at_most_once = once
         self._admission = Admission(settings.requests_limit)
         self._in_progress: set[str] = set()
         self.leaving = False
@@ -64,7 +64,7 @@
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         """Serve one request."""
         seen = Observation.of(scope)
-        seen.request_id = request_id = self._take_id(scope["headers"])
+        seen.request_id = request_id = self._assign_id(scope["headers"])
         self._note(EventName.REQUEST_ARRIVED, request_id, detail=scope["method"])
         try:
             await self._serve(scope, receive, send, seen)
@@ -80,7 +80,7 @@
         finally:
             self._in_progress.discard(request_id)
 
-    def _take_id(self, received: h.Headers) -> str:
+    def _assign_id(self, received: h.Headers) -> str:
         """Return the request's identifier, made unique among the requests in progress here."""
         request_id = h.request_id_of(received)
         if request_id in self._in_progress:
@@ -98,8 +98,8 @@
             if scope["path"] == ADDRESSES_PATH:
                 await self._send_addresses(scope, send, target)
                 return
-            exchange = self._open(scope, receive, send, seen, target)
-            await self._take(exchange, h.find(scope["headers"], h.IDEMPOTENCY_KEY))
+            exchange = self._open_exchange(scope, receive, send, seen, target)
+            await self._serve_within_share(exchange, h.find(scope["headers"], h.IDEMPOTENCY_KEY))
         except RequestError as error:
             if exchange is not None and exchange.answer_started:
                 raise UpstreamError(f"after the answer's head: {error}", sent=True) from error
@@ -113,7 +113,7 @@
         document = self._addresses(target, data_center, unreachable)
         await self._send_json(send, document, extra=close)
 
-    def _open(
+    def _open_exchange(
         self,
         scope: dict[str, Any],
         receive: Receive,
@@ -144,7 +144,7 @@
             h.attempt_of(received),
         )
 
-    async def _take(self, exchange: Exchange, key: bytes | None) -> None:
+    async def _serve_within_share(self, exchange: Exchange, key: bytes | None) -> None:
         """Serve a request within its brand's share of this daemon."""
         brand = exchange.target.brand
         if not self._admission.enter(brand):
@@ -153,7 +153,7 @@
             if key is None or exchange.idempotent:
                 await self._forward(exchange)
             else:
-                await self._once.run(exchange, key, self._forward)
+                await self._at_most_once.run(exchange, key, self._forward)
         finally:
             self._admission.leave(brand)
 
@@ -199,7 +199,7 @@
             result = AttemptResult.REFUSED
         finally:
             exchange.maybe_ran |= exchange.sent and result not in NOT_RUN_RESULTS
-            again = failure is not None and self._may_repeat(exchange, result)
+            again = failure is not None and self._may_retry(exchange, result)
             latency_ms = self._clock_ms() - started_ms
             ended = AttemptEnded(
                 exchange.request_id, address, result, latency_ms, load, again, leaving
@@ -214,7 +214,7 @@
             raise self._final_error(exchange, result) from failure
         return None
 
-    def _may_repeat(self, exchange: Exchange, result: AttemptResult) -> bool:
+    def _may_retry(self, exchange: Exchange, result: AttemptResult) -> bool:
         """Return whether another attempt is allowed: non-idempotent requests run at most once."""
         if not exchange.repeatable or self._clock_ms() >= exchange.deadline_ms:
             return False
--- a/cloverhook/caller_protocol.py
+++ b/cloverhook/caller_protocol.py
@@ -49,7 +49,7 @@
     body_timeout_ms: float = 30_000
 
 
-class _MalformedError(Exception):
+class _ParsingStoppedError(Exception):
     """Stops the parser; the protocol has noted the error kind."""
 
 
@@ -66,9 +66,9 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         CALLER_LIVENESS.apply(sock)
         self._task: asyncio.Task[None] | None = None
-        self._running: RequestCycle | None = None
-        self._refusal: ErrorKind | None = None
-        self._deaf = False
+        self._running_cycle: RequestCycle | None = None
+        self._rejection: ErrorKind | None = None
+        self._ignoring_input = False
         self._in_head = False
         self._head_bytes = 0
         self._body_framing_bytes = 0
@@ -80,7 +80,7 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Cancel the request that runs: its caller has gone."""
-        running = self._running
+        running = self._running_cycle
         super().connection_lost(exc)
         self._unset_keepalive_if_required()
         for timer in (self._head_timer, self._linger_timer):
@@ -93,20 +93,20 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse what has come; after a refusal nothing is read any more."""
-        if self._deaf:
+        if self._ignoring_input:
             return
         self._unset_keepalive_if_required()
         earlier = self.cycle
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._deaf = True
+            self._ignoring_input = True
         except httptools.HttpParserError:
-            self._refuse(self._refusal or ErrorKind.BAD_REQUEST)
+            self._reject(self._rejection or ErrorKind.BAD_REQUEST)
         else:
             if earlier is self.cycle and earlier is not None and earlier.more_body:
                 self._check_framing(len(data))
-        self._watch_head(bool(data))
+        self._update_head_timer(bool(data))
 
     @property
     def body_timeout_ms(self) -> float:
@@ -126,18 +126,18 @@
         """Take a part of the request's target."""
         super().on_url(url)
         if len(self.url) > self.limits.url_bytes:
-            self._stop(ErrorKind.HEADERS_TOO_LARGE)
+            self._stop_parsing(ErrorKind.HEADERS_TOO_LARGE)
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take a header; those after the body (trailers) are dropped."""
         self._head_bytes += len(name) + len(value) + HEADER_FRAMING_BYTES
         if self._head_bytes > self.limits.header_bytes:
-            self._stop(ErrorKind.HEADERS_TOO_LARGE)
+            self._stop_parsing(ErrorKind.HEADERS_TOO_LARGE)
         if not self._in_head:
             return
         super().on_header(name, value)
         if len(self.headers) > self.limits.header_count:
-            self._stop(ErrorKind.HEADERS_TOO_LARGE)
+            self._stop_parsing(ErrorKind.HEADERS_TOO_LARGE)
 
     def on_headers_complete(self) -> None:
         """Check the head and start the request, or queue it behind an earlier one."""
@@ -164,7 +164,7 @@
             return
         cycle.body_bytes += len(body)
         if cycle.body_bytes > self.limits.body_bytes:
-            self._stop(ErrorKind.BODY_TOO_LARGE_IN_RUN)
+            self._stop_parsing(ErrorKind.BODY_TOO_LARGE_IN_RUN)
         cycle.body += body
         if len(cycle.body) > HIGH_WATER_LIMIT:
             self.flow.pause_reading()
@@ -179,12 +179,12 @@
 
     def on_response_complete(self) -> None:
         """Go on with the next request, or with the refusal that waits behind the answers."""
-        self._running = None
+        self._running_cycle = None
         if self.transport.is_closing() or self._linger_timer is not None:
             return
         super().on_response_complete()
-        if self._refusal is not None and self._running is None:
-            self._write_refusal()
+        if self._rejection is not None and self._running_cycle is None:
+            self._write_rejection()
 
     def close_after_answer(self, drain: bool) -> None:
         """Close once the answer is out; with `drain`, let the caller read it before the end.
@@ -195,7 +195,7 @@
         if not drain:
             self.transport.close()
             return
-        self._deaf = True
+        self._ignoring_input = True
         self.flow.resume_reading()
         with contextlib.suppress(OSError):
             self.transport.write_eof()
@@ -210,7 +210,7 @@
         self.transport.abort()
 
     def _start_asgi_task(self, cycle: RequestCycle, app: Any) -> None:
-        self._running = cycle
+        self._running_cycle = cycle
         self._task = self.loop.create_task(cycle.run(app))
         self.tasks.add(self._task)
         self._task.add_done_callback(self.tasks.discard)
@@ -222,21 +222,21 @@
                 hosts += 1
             elif name == b"transfer-encoding":
                 if version != "1.1" or upgrade or value.lower() != b"chunked":
-                    self._stop(ErrorKind.BAD_REQUEST)
+                    self._stop_parsing(ErrorKind.BAD_REQUEST)
             elif name == b"content-length":
                 if upgrade and value != b"0":
-                    self._stop(ErrorKind.BAD_REQUEST)
+                    self._stop_parsing(ErrorKind.BAD_REQUEST)
                 if int(value) > self.limits.body_bytes:
-                    self._stop(ErrorKind.BODY_TOO_LARGE)
+                    self._stop_parsing(ErrorKind.BODY_TOO_LARGE)
         if version not in VERSIONS or hosts != 1:
-            self._stop(ErrorKind.BAD_REQUEST)
+            self._stop_parsing(ErrorKind.BAD_REQUEST)
 
     def _set_target(self) -> None:
         target = self.url
         if not target.startswith(b"/"):
             target = self._origin_form(target)
         if b"#" in target:
-            self._stop(ErrorKind.BAD_REQUEST)
+            self._stop_parsing(ErrorKind.BAD_REQUEST)
         path, _, query = target.partition(b"?")
         text = path.decode("ascii")
         self.scope["path"] = urllib.parse.unquote(text) if "%" in text else text
@@ -251,48 +251,48 @@
         authority, mark, query = authority.partition(b"?")
         known = scheme.lower().decode("ascii", "replace") in SCHEMES
         if not (known and separator and authority) or b"@" in authority:
-            self._stop(ErrorKind.BAD_REQUEST)
+            self._stop_parsing(ErrorKind.BAD_REQUEST)
         for index, (name, _) in enumerate(self.headers):
             if name == b"host":
                 self.headers[index] = (name, authority)
         return b"/" + (mark + query if mark else b"") + (slash + path)[1:]
 
-    def _stop(self, kind: ErrorKind) -> None:
-        self._refusal = kind
-        raise _MalformedError(kind.value)
+    def _stop_parsing(self, kind: ErrorKind) -> None:
+        self._rejection = kind
+        raise _ParsingStoppedError(kind.value)
 
     def _check_framing(self, received_bytes: int) -> None:
         """Refuse a body whose chunk sizes and extensions weigh far more than its content."""
         self._body_framing_bytes += received_bytes
         if self._body_framing_bytes > FRAMING_ALLOWANCE_BYTES:
-            self._refuse(ErrorKind.BAD_REQUEST)
+            self._reject(ErrorKind.BAD_REQUEST)
 
-    def _refuse(self, kind: ErrorKind) -> None:
+    def _reject(self, kind: ErrorKind) -> None:
         """Read no more, and answer with an error after the requests that came before."""
-        self._deaf = True
+        self._ignoring_input = True
         cycle = self.cycle
         if not self._in_head and cycle is not None and cycle.more_body:
             if kind is ErrorKind.BAD_REQUEST:
                 kind = ErrorKind.BAD_REQUEST_IN_RUN
-            self._refusal = None
+            self._rejection = None
             cycle.fail(kind)
             return
-        self._refusal = kind
-        if self._running is None and not self.pipeline:
-            self._write_refusal()
+        self._rejection = kind
+        if self._running_cycle is None and not self.pipeline:
+            self._write_rejection()
 
-    def _write_refusal(self) -> None:
-        status, headers, body = error_answer(self._refusal)
+    def _write_rejection(self) -> None:
+        status, headers, body = error_answer(self._rejection)
         lines = [STATUS_LINE[status]]
         for name, value in (*headers, (b"connection", b"close")):
             lines += (name, b": ", value, b"\r\n")
-        self._refusal = None
+        self._rejection = None
         self._unset_keepalive_if_required()
         self.transport.write(b"".join((*lines, b"\r\n", body)))
         self.close_after_answer(drain=True)
 
-    def _watch_head(self, received: bool) -> None:
-        waiting = received and self._in_head and not self._deaf
+    def _update_head_timer(self, received: bool) -> None:
+        waiting = received and self._in_head and not self._ignoring_input
         if waiting and self._head_timer is None:
             delay_s = self.limits.header_timeout_ms / 1000
             self._head_timer = self.loop.call_later(delay_s, self._head_timed_out)
@@ -302,5 +302,5 @@
 
     def _head_timed_out(self) -> None:
         self._head_timer = None
-        if not self._deaf:
-            self._refuse(ErrorKind.HEADERS_TIMED_OUT)
+        if not self._ignoring_input:
+            self._reject(ErrorKind.HEADERS_TIMED_OUT)
--- a/cloverhook/clock.py
+++ b/cloverhook/clock.py
@@ -8,7 +8,7 @@
 
 __all__ = ["PauseWatch", "monotonic_ms", "wall_ms"]
 
-PAUSE_MS = 1_500
+PAUSE_THRESHOLD_MS = 1_500
 
 
 def monotonic_ms() -> float:
@@ -27,7 +27,7 @@
     `observe` has to be called often, and before anything that arrived in the meantime is used.
     """
 
-    def __init__(self, now_ms: float, pause_ms: float = PAUSE_MS) -> None:
+    def __init__(self, now_ms: float, pause_ms: float = PAUSE_THRESHOLD_MS) -> None:
         self._last_ms = now_ms
         self._pause_ms = pause_ms
 
--- a/cloverhook/cluster.py
+++ b/cloverhook/cluster.py
@@ -55,12 +55,12 @@
 
 __all__ = ["Cluster"]
 
-LONGEST_SLEEP_MS = 500
-SHORTEST_SLEEP_MS = 5
-DEMAND_EVERY_MS = 1_000
-LIST_EVERY_MS = 1_000
-SEED_EVERY_MS = 1_000
-RECORDS_IN_MESSAGE = 64
+MAX_SLEEP_MS = 500
+MIN_SLEEP_MS = 5
+DEMAND_INTERVAL_MS = 1_000
+VM_LIST_INTERVAL_MS = 1_000
+SEED_DIAL_INTERVAL_MS = 1_000
+RECORDS_PER_MESSAGE = 64
 
 
 class Cluster:
@@ -85,18 +85,18 @@
         self._on_replaced = on_replaced
         self._random = random.Random()
         self._catch_up = CatchUp()
-        self._answers = AddressAnswers(self._random)
-        self._answered: tuple[int, tuple[Target, ...]] = (-1, ())
-        self._pauses = PauseWatch(monotonic_ms())
+        self._address_answers = AddressAnswers(self._random)
+        self._homes_computed_for: tuple[int, tuple[Target, ...]] = (-1, ())
+        self._pause_detector = PauseWatch(monotonic_ms())
         self._next_seed_ms = 0.0
         self._next_demand_ms = 0.0
-        self._demand = HomeDemand()
+        self._home_demand = HomeDemand()
         self._tasks: list[asyncio.Task[None]] = []
-        self._timer = LoopTimer(monotonic_ms, self._on_time)
+        self._timer = LoopTimer(monotonic_ms, self._on_timer)
         self._closing = False
         self.pauses = 0
         clock = observer.time_line.clock
-        self.links = PeerLinks(self._greeting, settings.peer_key(), self, monotonic_ms, clock)
+        self.links = PeerLinks(self._make_hello, settings.peer_key(), self, monotonic_ms, clock)
         observer.watch(self.links.samples)
         observer.watch(self._samples)
 
@@ -114,8 +114,8 @@
             since_ms=now_ms,
         )
         self.membership = Membership(own, self._random, now_ms, settings.heartbeat_ms)
-        self._tasks = [asyncio.create_task(self._watch_list())]
-        self._sleep()
+        self._tasks = [asyncio.create_task(self._poll_vm_list())]
+        self._schedule_wake()
 
     async def close(self) -> None:
         """Say that this daemon is gone and close the links."""
@@ -143,11 +143,11 @@
 
         The caller may name its data centre, and an address that it could not connect to.
         """
-        self._observe_pause()
+        self._check_for_pause()
         if unreachable:
             self._handle(CallerReport(unreachable))
         self._update_homes()
-        return self._answers.answer(
+        return self._address_answers.answer(
             target.key,
             target.service,
             target.policy.lifetime_ms,
@@ -190,20 +190,20 @@
 
     def message_heard(self, vm: str, message: Message) -> None:
         """Take a peer's message, unless it has waited through a pause of this process."""
-        if self._observe_pause():
+        if self._check_for_pause():
             return
         now_ms = monotonic_ms()
-        self._carry_out(MessageHeard(vm, message))
-        self._take(vm, message, now_ms)
+        self._process_event(MessageHeard(vm, message))
+        self._handle_message(vm, message, now_ms)
         if not hasattr(message, "service"):
-            self._sleep()
+            self._schedule_wake()
 
-    def _take(self, vm: str, message: Message, now_ms: float) -> None:
+    def _handle_message(self, vm: str, message: Message, now_ms: float) -> None:
         match message:
             case Heartbeat():
                 self._catch_up.offered(vm, message.config_offset, now_ms)
             case RecordsWanted(from_offset):
-                self._pass_on(vm, from_offset)
+                self._send_records(vm, from_offset)
             case RecordsPassedOn(from_offset, records):
                 self._catch_up.answered(vm)
                 if from_offset <= self._follower.state.next_offset:
@@ -212,7 +212,7 @@
                     self._observer.records_from = FROM_LOG
             case StatePassedOn(document):
                 self._catch_up.answered(vm)
-                self._adopt(vm, document)
+                self._adopt_state(vm, document)
             case _ if hasattr(message, "service"):
                 self._dispatcher.peer_said(message.service, vm, message, now_ms)
 
@@ -222,7 +222,7 @@
             Sample(Metric.PAUSES, self.pauses),
         ]
 
-    def _greeting(self) -> Hello:
+    def _make_hello(self) -> Hello:
         own = self.membership.table.own
         return Hello(
             own.vm,
@@ -235,10 +235,10 @@
         )
 
     def _handle(self, event: MemberEvent) -> None:
-        self._carry_out(event)
-        self._sleep()
+        self._process_event(event)
+        self._schedule_wake()
 
-    def _carry_out(self, event: MemberEvent) -> None:
+    def _process_event(self, event: MemberEvent) -> None:
         for action in self.membership.handle(event, monotonic_ms()):
             match action:
                 case Send(vm, message):
@@ -251,22 +251,22 @@
                     logging.warning("cluster: another process has taken this VM's name.")
                     self._on_replaced()
 
-    def _pass_on(self, vm: str, from_offset: int) -> None:
+    def _send_records(self, vm: str, from_offset: int) -> None:
         records = self._follower.records_from(from_offset)
         if records is None:
             self.tell(vm, StatePassedOn(self._follower.state.to_document()))
         elif records:
-            self.tell(vm, RecordsPassedOn(from_offset, records[:RECORDS_IN_MESSAGE]))
+            self.tell(vm, RecordsPassedOn(from_offset, records[:RECORDS_PER_MESSAGE]))
 
-    def _adopt(self, vm: str, document: dict[str, Any]) -> None:
+    def _adopt_state(self, vm: str, document: dict[str, Any]) -> None:
         try:
             self._follower.adopt(State.from_document(document))
         except ConfigError as error:
             logging.warning("cluster: dropped a state of %s: %s.", vm, error)
 
-    def _observe_pause(self) -> bool:
+    def _check_for_pause(self) -> bool:
         """Notice a pause before anything that dates from before it is used."""
-        if not self._pauses.observe(monotonic_ms()):
+        if not self._pause_detector.observe(monotonic_ms()):
             return False
         logging.warning("cluster: this process was paused; what it knows has to be confirmed.")
         self.pauses += 1
@@ -279,54 +279,56 @@
         """Tell the routers whose home VMs have changed."""
         targets = self._dispatcher.targets()
         now_ms = monotonic_ms()
-        same = self._answered == (self.membership.version, targets)
+        same = self._homes_computed_for == (self.membership.version, targets)
         if same and not self._demand_due(now_ms):
             return
-        self._answered = (self.membership.version, targets)
+        self._homes_computed_for = (self.membership.version, targets)
         counts = self._home_counts(targets, now_ms)
         own = {self._settings.vm: self._settings.data_center}
-        for key in self._answers.update(counts, self.membership.serving(), now_ms):
-            homes = self._answers.home_names(key)
-            centers = self._answers.home_data_centers(key) | own
+        for key in self._address_answers.update(counts, self.membership.serving(), now_ms):
+            homes = self._address_answers.home_names(key)
+            centers = self._address_answers.home_data_centers(key) | own
             self._dispatcher.homes_changed(key, self._settings.vm, homes, now_ms, centers)
 
     def _demand_due(self, now_ms: float) -> bool:
         """Return whether the number of homes has to be looked at again because of load."""
         if now_ms < self._next_demand_ms:
             return False
-        self._next_demand_ms = now_ms + DEMAND_EVERY_MS
-        return self._demand.active or self._busiest_of_all() > GROW_AT
+        self._next_demand_ms = now_ms + DEMAND_INTERVAL_MS
+        return self._home_demand.active or self._highest_load() > GROW_AT
 
-    def _busiest_of_all(self) -> float:
+    def _highest_load(self) -> float:
         return self.membership.busiest(member.vm for member in self.membership.serving())
 
     def _home_counts(self, targets: Sequence[Target], now_ms: float) -> dict[str, int]:
         least = {target.key: target.policy.home_vms for target in targets}
-        busy = {key: self.membership.busiest(self._answers.home_names(key)) for key in least}
+        busy = {
+            key: self.membership.busiest(self._address_answers.home_names(key)) for key in least
+        }
         most = len(self.membership.serving())
-        return self._demand.update(least, busy, most, now_ms)
+        return self._home_demand.update(least, busy, most, now_ms)
 
-    def _on_time(self) -> None:
+    def _on_timer(self) -> None:
         """Do what the time has made due, and sleep until the next of it."""
-        self._observe_pause()
+        self._check_for_pause()
         self._tick(monotonic_ms())
-        self._sleep()
+        self._schedule_wake()
 
-    def _sleep(self) -> None:
+    def _schedule_wake(self) -> None:
         """Wake up no later than a part next needs the time; pauses have to be noticed as well."""
         if self._closing:
             return
         now_ms = monotonic_ms()
         wake_ms = min(
-            now_ms + LONGEST_SLEEP_MS,
+            now_ms + MAX_SLEEP_MS,
             self.membership.next_wake_ms(now_ms),
             self._catch_up.next_wake_ms(self._follower.state.next_offset, now_ms),
         )
-        self._timer.by(max(wake_ms, now_ms + SHORTEST_SLEEP_MS))
+        self._timer.by(max(wake_ms, now_ms + MIN_SLEEP_MS))
 
     def _tick(self, now_ms: float) -> None:
-        self._carry_out(ConfigFolded(self._follower.state.next_offset))
-        self._carry_out(Tick())
+        self._process_event(ConfigFolded(self._follower.state.next_offset))
+        self._process_event(Tick())
         self.links.tick(self.membership.neighbours(), now_ms)
         self._update_homes()
         self._observer.members_are(self.membership.version, self.membership.table.all())
@@ -334,7 +336,7 @@
         if vm is not None:
             self.tell(vm, RecordsWanted(self._follower.state.next_offset))
         if not self.membership.linked and now_ms >= self._next_seed_ms:
-            self._next_seed_ms = now_ms + SEED_EVERY_MS
+            self._next_seed_ms = now_ms + SEED_DIAL_INTERVAL_MS
             self._dial_seeds()
 
     def _dial_seeds(self) -> None:
@@ -343,10 +345,10 @@
             if address.strip() and address.strip() != self.links.address:
                 self.links.open("", address.strip())
 
-    async def _watch_list(self) -> None:
+    async def _poll_vm_list(self) -> None:
         while True:
             try:
                 self._handle(ListRead(await self._platform.list_vms()))
             except PlatformError as error:
                 logging.warning("cluster: the list of VMs can't be read: %s.", error)
-            await asyncio.sleep(LIST_EVERY_MS / 1000)
+            await asyncio.sleep(VM_LIST_INTERVAL_MS / 1000)
--- a/cloverhook/daemon.py
+++ b/cloverhook/daemon.py
@@ -48,7 +48,7 @@
 __all__ = ["Daemon", "run"]
 
 SNAPSHOT_CHECK_MS = 500
-EXIT_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 FLAGS = flags.FLAGS
@@ -84,9 +84,9 @@
             self._observer,
             self.drain,
         )
-        self._stopping = asyncio.Event()
+        self._stop_requested = asyncio.Event()
         self._drain_plan = DrainPlan(0.0, 0.0)
-        self._leaving = False
+        self._draining = False
         self._tasks: list[asyncio.Task[None]] = []
 
     @classmethod
@@ -112,7 +112,7 @@
             self._observer.operator_refused,
         )
         settings = self._settings
-        self._callers = Listener(
+        self._caller_listener = Listener(
             ObservedApp(self._caller_app, self._observer),
             settings.caller_address,
             settings.caller_idle_ms,
@@ -125,12 +125,12 @@
                 settings.body_timeout_ms,
             ),
         )
-        self._operators = Listener(operators, settings.operator_address)
-        await self._cluster.start(self._callers.address)
-        await self._callers.start()
-        await self._operators.start()
+        self._operator_listener = Listener(operators, settings.operator_address)
+        await self._cluster.start(self._caller_listener.address)
+        await self._caller_listener.start()
+        await self._operator_listener.start()
         self._dispatcher.start_timer(monotonic_ms)
-        loops = (self._follow(), self._keep_snapshots(), self._claims.run())
+        loops = (self._follow_log(), self._append_snapshots(), self._claims.run())
         watch = LoadWatch(
             self._dispatcher.own_limit, self._cluster.load_changed, self._observer.loop_lagged
         )
@@ -141,15 +141,15 @@
     def announce(self) -> None:
         """Print the addresses that this daemon listens on."""
         for name, address in (
-            ("callers", self._callers.address),
-            ("operators", self._operators.address),
+            ("callers", self._caller_listener.address),
+            ("operators", self._operator_listener.address),
             ("peers", self._cluster.links.address),
         ):
             print(f"{name}: listening on {address}", flush=True)
 
     async def run_until_stopped(self) -> None:
         """Serve until a planned stop has ended."""
-        await self._stopping.wait()
+        await self._stop_requested.wait()
         logging.info("daemon: %s is leaving.", self._settings.vm)
         await asyncio.sleep(self._drain_plan.remaining_ms(monotonic_ms()) / 1000)
         await self._finish_requests()
@@ -158,7 +158,7 @@
         self._dispatcher.stop_timer()
         await self._claims.flush()
         await self._cluster.close()
-        await self._operators.stop()
+        await self._operator_listener.stop()
         self._probes.close()
         self._pool.close()
         await self._platform.close()
@@ -169,9 +169,9 @@
 
         A second call changes nothing, so a second signal cuts no request either.
         """
-        if self._leaving:
+        if self._draining:
             return
-        self._leaving = True
+        self._draining = True
         self._observer.note(EventName.DRAIN_STARTED)
         self._caller_app.leaving = True
         self._cluster.leave()
@@ -179,31 +179,31 @@
         self._drain_plan = DrainPlan.from_lifetimes(
             monotonic_ms(), lifetimes, self._settings.drain_ms
         )
-        self._stopping.set()
+        self._stop_requested.set()
 
     async def _finish_requests(self) -> None:
         """Let the requests in flight end; report those that take longer than the limit."""
-        stop = asyncio.create_task(self._callers.stop())
+        stop = asyncio.create_task(self._caller_listener.stop())
         limit_s = self._settings.drain_in_flight_ms / 1000
         while not (await asyncio.wait({stop}, timeout=limit_s))[0]:
             logging.warning(
                 "daemon: %s still has %d requests in flight.",
                 self._settings.vm,
-                self._callers.in_flight(),
+                self._caller_listener.in_flight(),
             )
         await stop
 
     def ready(self) -> bool:
         """Return whether the daemon has a configuration and takes requests."""
-        return bool(self._follower.state.brands) and not self._leaving
+        return bool(self._follower.state.brands) and not self._draining
 
     def status(self) -> dict[str, Any]:
         """Return what operators see of this daemon."""
         return {
             "vm": self._settings.vm,
             "data_center": self._settings.data_center,
-            "caller_address": self._callers.address,
-            "leaving": self._leaving,
+            "caller_address": self._caller_listener.address,
+            "leaving": self._draining,
             **self._follower.status(),
             "brands": {
                 name: {"version": item.version, "preset": item.preset.value}
@@ -237,24 +237,24 @@
             return
         self._observer.change_folded(record, result)
         if result.verdict is Verdict.ACCEPTED:
-            self._put_in_force(result.state)
+            self._apply_config(result.state)
 
     def _on_adopted(self, state: State) -> None:
         self._observer.note(EventName.STATE_ADOPTED, f"up to offset {state.next_offset}")
-        self._put_in_force(state)
+        self._apply_config(state)
 
-    def _put_in_force(self, state: State) -> None:
+    def _apply_config(self, state: State) -> None:
         self._dispatcher.configure(state, monotonic_ms())
         self._cluster.config_changed()
 
-    async def _follow(self) -> None:
+    async def _follow_log(self) -> None:
         while True:
             answered = await self._follower.poll()
             self._observer.log_read(answered)
             if not answered:
                 await asyncio.sleep(self._follower.retry_ms() / 1000)
 
-    async def _keep_snapshots(self) -> None:
+    async def _append_snapshots(self) -> None:
         while True:
             await asyncio.sleep(SNAPSHOT_CHECK_MS / 1000)
             await self._follower.maintain()
@@ -263,7 +263,7 @@
         return [
             Sample(Metric.WAITING, self._dispatcher.waiting()),
             Sample(Metric.OFFSET, self._follower.state.next_offset),
-            Sample(Metric.LEAVING, int(self._leaving)),
+            Sample(Metric.LEAVING, int(self._draining)),
         ]
 
 
@@ -286,7 +286,7 @@
     del arguments
     if FLAGS.settings is None:
         print("cloverhookd: --settings names no file", file=sys.stderr)
-        sys.exit(EXIT_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     try:
         settings = DaemonSettings.from_file(FLAGS.settings)
         settings.peer_key()
@@ -294,7 +294,7 @@
         configure_logs(settings.log_format, settings.vm)
     except SettingsError as error:
         print(f"cloverhookd: the settings are not valid:\n{error}", file=sys.stderr)
-        sys.exit(EXIT_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     asyncio.run(_main(settings))
 
 
--- a/cloverhook/exchange.py
+++ b/cloverhook/exchange.py
@@ -25,8 +25,8 @@
     "Send",
 ]
 
-REFUSAL_STATUS = 503
-FAILURE_STATUSES = 500
+REJECTION_STATUS = 503
+MIN_FAILURE_STATUS = 500
 
 Receive = Callable[[], Awaitable[dict[str, Any]]]
 Send = Callable[[dict[str, Any]], Awaitable[None]]
@@ -58,14 +58,14 @@
         """Return what is at hand for a new attempt; wait where that is nothing."""
         if self._kept or self.ended:
             return b"".join(self._kept)
-        return await self._take()
+        return await self._receive_part()
 
     async def rest(self) -> AsyncIterator[bytes]:
         """Yield what the caller still has to send."""
         while not self.ended:
-            yield await self._take()
+            yield await self._receive_part()
 
-    async def _take(self) -> bytes:
+    async def _receive_part(self) -> bytes:
         message = await self._receive()
         if message["type"] == "http.disconnect":
             raise RequestError(ErrorKind.CALLER_GONE)
@@ -96,7 +96,7 @@
     """Keeps a copy of an answer on its way to the caller; `answer` is None for a large one."""
 
     def __init__(self, limit_bytes: int) -> None:
-        self._room_bytes = limit_bytes
+        self._remaining_bytes = limit_bytes
         self._status = 0
         self._headers: h.Headers = []
         self._parts: list[bytes] = []
@@ -110,11 +110,11 @@
 
     def add(self, part: bytes, more: bool) -> None:
         """Take a part of the body; without `more` the answer is whole."""
-        self._room_bytes -= len(part)
-        if self._room_bytes >= 0:
+        self._remaining_bytes -= len(part)
+        if self._remaining_bytes >= 0:
             self._parts.append(part)
         self.whole = not more
-        if self.whole and self._room_bytes >= 0:
+        if self.whole and self._remaining_bytes >= 0:
             self.answer = CapturedAnswer(self._status, self._headers, b"".join(self._parts))
 
     @property
@@ -167,7 +167,7 @@
         started_ms = now_ms()
         try:
             answer = await self._send_request(connection, now_ms)
-            if _is_refusal(answer):
+            if _is_rejection(answer):
                 raise RefusedError(h.is_leaving(answer.headers))
             await self._send_answer(answer, connection, closing)
         except RefusedError:
@@ -235,17 +235,17 @@
 
 def _outcome(answer: AnswerHead) -> Outcome:
     """Return what an answer shows of its request: a failure may stand for a gateway's guess."""
-    if answer.status < FAILURE_STATUSES:
+    if answer.status < MIN_FAILURE_STATUS:
         return Outcome.RAN
     told = h.outcome_of(answer.headers)
     return Outcome.RAN if told is Outcome.RAN else Outcome.UNKNOWN
 
 
-def _is_refusal(answer: AnswerHead) -> bool:
+def _is_rejection(answer: AnswerHead) -> bool:
     """Return whether this backend server itself refused the request before any work.
 
     An answer with an error kind comes from a daemon further down a chain of calls, which a backend
     server passed on: it says nothing of the backend server's own work.
     """
-    refused = answer.status == REFUSAL_STATUS and h.outcome_of(answer.headers) is Outcome.NOT_RUN
+    refused = answer.status == REJECTION_STATUS and h.outcome_of(answer.headers) is Outcome.NOT_RUN
     return refused and h.find(answer.headers, h.ERROR) is None
--- a/cloverhook/headers.py
+++ b/cloverhook/headers.py
@@ -47,8 +47,8 @@
 REPLAYED = b"cloverhook-replayed"
 
 CONTROL_PREFIX = b"cloverhook-"
-NEVER_PASSED_ON = HOP_BY_HOP | {REQUEST_ID}
-USABLE_REQUEST_ID = re.compile(rb"[\x21-\x7e]{1,128}")
+NEVER_FORWARDED = HOP_BY_HOP | {REQUEST_ID}
+VALID_REQUEST_ID = re.compile(rb"[\x21-\x7e]{1,128}")
 MAX_TIMEOUT_DIGITS = 9
 REQUEST_ID_BYTES = 16
 OUTCOMES = {outcome.value.encode(): outcome for outcome in Outcome}
@@ -67,7 +67,7 @@
         name = pair[0]
         if name == b"connection":
             named.update(token.strip().lower() for token in pair[1].split(b","))
-        elif name not in NEVER_PASSED_ON and not name.startswith(CONTROL_PREFIX):
+        elif name not in NEVER_FORWARDED and not name.startswith(CONTROL_PREFIX):
             kept.append(pair)
     named -= KEPT_ALWAYS
     return [pair for pair in kept if pair[0] not in named] if named else kept
@@ -76,7 +76,7 @@
 def request_id_of(headers: Iterable[tuple[bytes, bytes]]) -> str:
     """Return the caller's request identifier, or a new one where it sent none that is usable."""
     values = [value for key, value in headers if key == REQUEST_ID]
-    if len(values) == 1 and USABLE_REQUEST_ID.fullmatch(values[0]):
+    if len(values) == 1 and VALID_REQUEST_ID.fullmatch(values[0]):
         return values[0].decode("ascii")
     return os.urandom(REQUEST_ID_BYTES).hex()
 
--- a/cloverhook/log_reading.py
+++ b/cloverhook/log_reading.py
@@ -58,12 +58,12 @@
         """Return what became of each change, or of those with an identifier, oldest first."""
         found: list[Ruling] = []
         for offset, data in sorted(self._data.items()):
-            change = _change(data)
+            change = _decode_change(data)
             if change is not None and change_id in (None, change.change_id):
-                found.append(self._ruling(offset, change))
+                found.append(self._outcome_of(offset, change))
         return tuple(found)
 
-    def _ruling(self, offset: int, change: Change) -> Ruling:
+    def _outcome_of(self, offset: int, change: Change) -> Ruling:
         result = self._results.get(offset)
         if result is not None:
             return Ruling(offset, change, result.verdict, result.reason, result.winner)
@@ -81,7 +81,7 @@
             self._results[offset_of(result.state.next_offset) - 1] = result
 
 
-def _change(data: Mapping[str, Any]) -> Change | None:
+def _decode_change(data: Mapping[str, Any]) -> Change | None:
     try:
         record = decode_record(data)
     except MessageError:
--- a/cloverhook/outbox.py
+++ b/cloverhook/outbox.py
@@ -20,7 +20,7 @@
     def __init__(self, limit: int = OUTBOX_LIMIT) -> None:
         self._limit = limit
         self._messages: deque[Message] = deque()
-        self._filled = asyncio.Event()
+        self._not_empty = asyncio.Event()
         self.dropped = 0
 
     def __len__(self) -> int:
@@ -34,14 +34,14 @@
             self.dropped += 1
             return False
         self._messages.append(message)
-        self._filled.set()
+        self._not_empty.set()
         return True
 
     async def get(self) -> Message:
         """Wait for the next message and remove it."""
         while not self._messages:
-            self._filled.clear()
-            await self._filled.wait()
+            self._not_empty.clear()
+            await self._not_empty.wait()
         return self._messages.popleft()
 
     def _drop_heartbeat(self) -> bool:
--- a/cloverhook/peering.py
+++ b/cloverhook/peering.py
@@ -39,14 +39,14 @@
 
 __all__ = ["LinkEvents", "PeerLinks", "Traffic"]
 
-GREETING_TIMEOUT_MS = 3_000
+HANDSHAKE_TIMEOUT_MS = 3_000
 CLOSE_TIMEOUT_MS = 500
 FLUSH_TIMEOUT_MS = 500
 SILENT_LINK_MS = 1_500
 IDLE_LINK_MS = 10_000
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
-UPKEEP = (Heartbeat, MemberDigests, MemberUpdates, Ping, ProbeRequest, Seen)
-OPTIONS: dict[str, Any] = {
+MAINTENANCE_MESSAGES = (Heartbeat, MemberDigests, MemberUpdates, Ping, ProbeRequest, Seen)
+WEBSOCKET_OPTIONS: dict[str, Any] = {
     "compression": None,
     "max_size": MAX_MESSAGE_BYTES,
     "ping_interval": None,
@@ -81,7 +81,7 @@
         self.received_ms = now_ms
         self.used_ms = now_ms
 
-    def silent(self, now_ms: float) -> bool:
+    def is_silent(self, now_ms: float) -> bool:
         """Return whether nothing has come for too long."""
         return now_ms - self.received_ms > SILENT_LINK_MS
 
@@ -118,11 +118,11 @@
         clock_ms: Callable[[], float],
         stamps: HybridClock | None = None,
     ) -> None:
-        self._greeting = greeting
+        self._make_hello = greeting
         self._key = key
         self._events = events
         self._clock_ms = clock_ms
-        self._stamps = stamps or HybridClock()
+        self._hybrid_clock = stamps or HybridClock()
         self._links: dict[str, _Link] = {}
         self._outboxes: dict[str, Outbox] = {}
         self._dialling: set[str] = set()
@@ -138,7 +138,7 @@
         """Listen for peers."""
         std_logging.getLogger("websockets").setLevel(std_logging.WARNING)
         host, _, port = address.rpartition(":")
-        self._server = await serve(self._accept, host, int(port), **OPTIONS)
+        self._server = await serve(self._accept, host, int(port), **WEBSOCKET_OPTIONS)
         self.address = "{}:{}".format(*self._server.sockets[0].getsockname())
 
     async def close(self) -> None:
@@ -189,7 +189,7 @@
         kept = outbox.put(message)
         self.dropped_messages += outbox.dropped - before
         if vm in self._links:
-            if not isinstance(message, UPKEEP):
+            if not isinstance(message, MAINTENANCE_MESSAGES):
                 self._links[vm].used_ms = self._clock_ms()
         else:
             self.open(vm, address)
@@ -198,7 +198,7 @@
     def tick(self, kept: Collection[str], now_ms: float) -> None:
         """Abort silent links; close idle ones that this side opened and `kept` does not name."""
         for vm, link in tuple(self._links.items()):
-            if link.silent(now_ms):
+            if link.is_silent(now_ms):
                 logging.info("peering: the link to %s has gone silent.", vm)
                 link.abort()
                 self._remove(vm, link)
@@ -218,10 +218,10 @@
             async with connect(
                 f"ws://{address}/",
                 proxy=None,
-                open_timeout=GREETING_TIMEOUT_MS / 1000,
-                **OPTIONS,
+                open_timeout=HANDSHAKE_TIMEOUT_MS / 1000,
+                **WEBSOCKET_OPTIONS,
             ) as connection:
-                await self._converse(connection, Role.CLIENT, vm, address)
+                await self._authenticate_and_serve(connection, Role.CLIENT, vm, address)
         except (OSError, TimeoutError, websockets.WebSocketException) as error:
             logging.debug("peering: no link to %s: %r.", vm or address, error)
         finally:
@@ -231,14 +231,14 @@
 
     async def _accept(self, connection: ServerConnection) -> None:
         with contextlib.suppress(websockets.ConnectionClosed):
-            await self._converse(connection, Role.SERVER)
+            await self._authenticate_and_serve(connection, Role.SERVER)
 
-    async def _converse(
+    async def _authenticate_and_serve(
         self, connection: Connection, role: Role, target: str = "", address: str = ""
     ) -> None:
         try:
-            async with asyncio.timeout(GREETING_TIMEOUT_MS / 1000):
-                peer = await self._greet(connection, role, target)
+            async with asyncio.timeout(HANDSHAKE_TIMEOUT_MS / 1000):
+                peer = await self._handshake(connection, role, target)
         except (AuthenticationError, MessageError, TimeoutError) as error:
             self.refused_strangers += 1
             self._events.stranger_refused()
@@ -246,9 +246,9 @@
             await connection.close()
             return
         self._dialling.discard(address)
-        dialler = self._greeting().vm if role is Role.CLIENT else peer.vm
+        dialler = self._make_hello().vm if role is Role.CLIENT else peer.vm
         link = _Link(connection, dialler, self._clock_ms())
-        if not self._prefers(peer.vm, link):
+        if not self._should_replace(peer.vm, link):
             await connection.close()
             return
         await self._serve(peer, link)
@@ -267,7 +267,7 @@
             writer.cancel()
             self._remove(peer.vm, link)
 
-    def _prefers(self, vm: str, link: _Link) -> bool:
+    def _should_replace(self, vm: str, link: _Link) -> bool:
         """Return whether a new link takes the place of the one there is.
 
         When both sides dial at once, both keep the link that the lower name has dialled.
@@ -275,29 +275,29 @@
         present = self._links.get(vm)
         if present is None or present.dialler == link.dialler:
             return True
-        if present.silent(self._clock_ms()):
+        if present.is_silent(self._clock_ms()):
             return True
         return link.dialler < present.dialler
 
-    async def _greet(self, connection: Connection, role: Role, target: str) -> Hello:
+    async def _handshake(self, connection: Connection, role: Role, target: str) -> Hello:
         nonce = Greeting.new_nonce()
         if role is Role.CLIENT:
             await connection.send(nonce)
             greeting = Greeting.from_nonces(self._key, role, nonce, await connection.recv())
-            await self._send_greeting(connection, greeting, target)
-            return await self._receive_greeting(connection, greeting)
+            await self._send_hello(connection, greeting, target)
+            return await self._receive_hello(connection, greeting)
         peer_nonce = await connection.recv()
         await connection.send(nonce)
         greeting = Greeting.from_nonces(self._key, role, nonce, peer_nonce)
-        peer = await self._receive_greeting(connection, greeting)
-        await self._send_greeting(connection, greeting, peer.vm)
+        peer = await self._receive_hello(connection, greeting)
+        await self._send_hello(connection, greeting, peer.vm)
         return peer
 
-    async def _send_greeting(self, connection: Connection, greeting: Greeting, vm: str) -> None:
-        await connection.send(encode(greeting.prove(replace(self._greeting(), target=vm))))
+    async def _send_hello(self, connection: Connection, greeting: Greeting, vm: str) -> None:
+        await connection.send(encode(greeting.prove(replace(self._make_hello(), target=vm))))
 
-    async def _receive_greeting(self, connection: Connection, greeting: Greeting) -> Hello:
-        return greeting.check(decode(await connection.recv()), self._greeting().vm)
+    async def _receive_hello(self, connection: Connection, greeting: Greeting) -> Hello:
+        return greeting.check(decode(await connection.recv()), self._make_hello().vm)
 
     async def _receive(self, vm: str, link: _Link) -> None:
         with contextlib.suppress(websockets.ConnectionClosed):
@@ -309,17 +309,17 @@
                 except MessageError as error:
                     logging.warning("peering: dropped a message of %s: %s.", vm, error)
                     continue
-                if not isinstance(message, UPKEEP):
+                if not isinstance(message, MAINTENANCE_MESSAGES):
                     link.used_ms = link.received_ms
                 if self._links.get(vm) is link:
-                    self._stamps.witness(stamp)
+                    self._hybrid_clock.witness(stamp)
                     self._events.message_heard(vm, message)
 
     async def _write(self, link: _Link, outbox: Outbox) -> None:
         with contextlib.suppress(websockets.ConnectionClosed):
             while True:
                 message = await outbox.get()
-                data = encode(message, self._stamps.stamp(wall_ms()))
+                data = encode(message, self._hybrid_clock.stamp(wall_ms()))
                 self.sent.add(len(data))
                 await link.connection.send(data)
 
--- a/cloverhook/request_cycle.py
+++ b/cloverhook/request_cycle.py
@@ -54,7 +54,7 @@
         self._scope = scope
         self._head = b""
         self._chunked = False
-        self._bodiless = False
+        self._has_no_body = False
         self._remaining_bytes: int | None = None
         self.keep_alive = keep_alive
         self.waiting_for_continue = connection.expect_100_continue
@@ -72,10 +72,10 @@
         try:
             await app(self._scope, self.receive, self.send)
         except CloverhookError:
-            await self._give_up()
+            await self._send_internal_error()
         except Exception:
             logging.exception("listener: a request met a fault of ours.")
-            await self._give_up()
+            await self._send_internal_error()
         finally:
             if not self.response_complete:
                 self._connection.break_off()
@@ -88,7 +88,7 @@
         while not (self.body or self.failure or self.disconnected or self.response_complete):
             if not self.more_body and self.message_event.is_set():
                 break
-            await self._wait()
+            await self._wait_for_body()
         if self.failure is not None:
             raise RequestError(self.failure)
         if self.disconnected or self.response_complete:
@@ -105,12 +105,12 @@
             return
         if not self.response_started:
             self.response_started = True
-            self._start(message["status"], message["headers"])
+            self._build_head(message["status"], message["headers"])
             return
         if self.response_complete or message["type"] != "http.response.body":
             raise RuntimeError("only one answer to one request")
         more = message.get("more_body", False)
-        data = self._framed(message.get("body", b""), more)
+        data = self._encode_body_part(message.get("body", b""), more)
         head, self._head = self._head, b""
         if head or data:
             self._transport.write(head + data)
@@ -123,7 +123,7 @@
         self.keep_alive = False
         self.message_event.set()
 
-    async def _wait(self) -> None:
+    async def _wait_for_body(self) -> None:
         self._flow.resume_reading()
         self.message_event.clear()
         if not self.more_body:
@@ -136,18 +136,18 @@
         finally:
             timer.cancel()
 
-    async def _give_up(self) -> None:
+    async def _send_internal_error(self) -> None:
         if not self.response_started:
             status, headers, body = error_answer(ErrorKind.INTERNAL)
             await self.send({"type": "http.response.start", "status": status, "headers": headers})
             await self.send({"type": "http.response.body", "body": body})
 
-    def _start(self, status: int, headers: h.Headers) -> None:
+    def _build_head(self, status: int, headers: h.Headers) -> None:
         lines = [STATUS_LINE[status]]
         closes = False
         if self.more_body or self.waiting_for_continue:
             self.keep_alive = False
-        self._bodiless = self._scope["method"] == "HEAD" or status in BODILESS_STATUSES
+        self._has_no_body = self._scope["method"] == "HEAD" or status in BODILESS_STATUSES
         for name, value in headers:
             if name == b"content-length":
                 if status == 204:
@@ -157,7 +157,7 @@
                 self.keep_alive = False
                 closes = True
             lines += (name, b": ", value, b"\r\n")
-        if not self._bodiless and self._remaining_bytes is None:
+        if not self._has_no_body and self._remaining_bytes is None:
             if self._scope["http_version"] == "1.1":
                 self._chunked = True
                 lines.append(b"transfer-encoding: chunked\r\n")
@@ -168,8 +168,8 @@
         lines.append(b"\r\n")
         self._head = b"".join(lines)
 
-    def _framed(self, body: bytes, more: bool) -> bytes:
-        if self._bodiless:
+    def _encode_body_part(self, body: bytes, more: bool) -> bytes:
+        if self._has_no_body:
             return b""
         if self._chunked:
             chunk = b"%x\r\n%b\r\n" % (len(body), body) if body else b""
--- a/cloverhook/server.py
+++ b/cloverhook/server.py
@@ -56,7 +56,7 @@
         config = uvicorn.Config(
             app,
             loop="asyncio",
-            http=_protocol(limits or Limits()),
+            http=_protocol_class(limits or Limits()),
             ws="none",
             lifespan="off",
             access_log=False,
@@ -88,5 +88,5 @@
             await self._task
 
 
-def _protocol(limits: Limits) -> type[CallerProtocol]:
+def _protocol_class(limits: Limits) -> type[CallerProtocol]:
     return type("LimitedCallerProtocol", (CallerProtocol,), {"limits": limits})
--- a/cloverhook/upstream.py
+++ b/cloverhook/upstream.py
@@ -27,12 +27,12 @@
 
 CONNECT_TIMEOUT_MS = 1_000
 CONNECTION_LIMIT = 200
-FRESH_MS = 250
+NON_IDEMPOTENT_IDLE_LIMIT_MS = 250
 IDLE_LIMIT_MS = 3_000
-SWEEP_MS = 1_000
+SWEEP_INTERVAL_MS = 1_000
 
 
-class _Place:
+class _AddressPool:
     """The connections to one address: `open_count` has those in use and those being made too."""
 
     def __init__(self) -> None:
@@ -72,7 +72,7 @@
     ) -> None:
         self._header_limit_bytes = header_limit_bytes
         self._limit_of = limit_of
-        self._places: dict[str, _Place] = {}
+        self._address_pools: dict[str, _AddressPool] = {}
         self._sweeper: asyncio.TimerHandle | None = None
 
     async def acquire(self, address: str, idempotent: bool = True) -> UpstreamConnection:
@@ -80,18 +80,18 @@
 
         Raises `UpstreamError` with `sent` False when none can be made.
         """
-        place = self._places.get(address)
+        place = self._address_pools.get(address)
         if place is None:
-            place = self._places[address] = _Place()
-        idle_ms = IDLE_LIMIT_MS if idempotent else FRESH_MS
+            place = self._address_pools[address] = _AddressPool()
+        idle_ms = IDLE_LIMIT_MS if idempotent else NON_IDEMPOTENT_IDLE_LIMIT_MS
         return place.take(_now_ms(), idle_ms) or await self._open(address, place, idle_ms)
 
     def release(self, address: str, connection: UpstreamConnection) -> None:
         """Give a connection back; it is kept only if its exchange was whole."""
         connection.stop_sending()
-        place = self._places.get(address)
+        place = self._address_pools.get(address)
         if place is not None and connection.usable:
-            self._keep(place, connection)
+            self._add_idle(place, connection)
         else:
             connection.close()
 
@@ -100,13 +100,13 @@
 
         `since_ms` is the time at which that request was sent, on the loop's clock.
         """
-        place = self._places.get(address)
+        place = self._address_pools.get(address)
         if place is not None:
             place.close_idle_before(since_ms)
 
     def open_count(self, address: str) -> int:
         """Return how many connections to an address there are, with those being made."""
-        place = self._places.get(address)
+        place = self._address_pools.get(address)
         return 0 if place is None else place.open_count
 
     def close(self) -> None:
@@ -114,21 +114,21 @@
         if self._sweeper is not None:
             self._sweeper.cancel()
             self._sweeper = None
-        for place in self._places.values():
+        for place in self._address_pools.values():
             if place.spare is not None:
                 place.spare.cancel()
             for connection in place.idle:
                 connection.close()
-        self._places.clear()
+        self._address_pools.clear()
 
-    def _keep(self, place: _Place, connection: UpstreamConnection) -> None:
+    def _add_idle(self, place: _AddressPool, connection: UpstreamConnection) -> None:
         connection.idle_since_ms = _now_ms()
         place.idle.append(connection)
         if self._sweeper is None:
             loop = asyncio.get_running_loop()
-            self._sweeper = loop.call_later(SWEEP_MS / 1000, self._sweep)
+            self._sweeper = loop.call_later(SWEEP_INTERVAL_MS / 1000, self._sweep)
 
-    async def _open(self, address: str, place: _Place, idle_ms: float) -> UpstreamConnection:
+    async def _open(self, address: str, place: _AddressPool, idle_ms: float) -> UpstreamConnection:
         limit = self._limit_of(address)
         if place.open_count >= limit and place.spare is not None:
             await asyncio.wait({place.spare})
@@ -143,7 +143,7 @@
         self._open_spare(address, place, limit)
         return connection
 
-    async def _connect(self, address: str, place: _Place) -> UpstreamConnection:
+    async def _connect(self, address: str, place: _AddressPool) -> UpstreamConnection:
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         place.open_count += 1
@@ -159,15 +159,15 @@
             raise
         return connection
 
-    def _open_spare(self, address: str, place: _Place, limit: int) -> None:
+    def _open_spare(self, address: str, place: _AddressPool, limit: int) -> None:
         """Make a connection ahead of its use: that none was idle says that load grows."""
         if place.spare is None and not place.idle and place.open_count < limit:
             task = asyncio.get_running_loop().create_task(self._add_spare(address, place))
             place.spare = task
 
-    async def _add_spare(self, address: str, place: _Place) -> None:
+    async def _add_spare(self, address: str, place: _AddressPool) -> None:
         try:
-            self._keep(place, await self._connect(address, place))
+            self._add_idle(place, await self._connect(address, place))
         except UpstreamError:
             return
         finally:
@@ -177,13 +177,13 @@
         """Close connections that have been idle for long, and forget places without any."""
         self._sweeper = None
         oldest_ms = _now_ms() - IDLE_LIMIT_MS
-        for address, place in tuple(self._places.items()):
+        for address, place in tuple(self._address_pools.items()):
             place.close_idle_before(oldest_ms)
             if not place.open_count:
-                del self._places[address]
-        if any(place.idle for place in self._places.values()):
+                del self._address_pools[address]
+        if any(place.idle for place in self._address_pools.values()):
             loop = asyncio.get_running_loop()
-            self._sweeper = loop.call_later(SWEEP_MS / 1000, self._sweep)
+            self._sweeper = loop.call_later(SWEEP_INTERVAL_MS / 1000, self._sweep)
 
 
 def _now_ms() -> float:
--- a/cloverhook/upstream_connection.py
+++ b/cloverhook/upstream_connection.py
@@ -99,7 +99,7 @@
     @property
     def silent(self) -> bool:
         """Whether no byte of an answer has come for the latest request."""
-        return self._exchange is not None and not self._exchange.heard
+        return self._exchange is not None and not self._exchange.has_received
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
@@ -155,7 +155,7 @@
         exchange = _Exchange(self, head.method == b"HEAD", self._header_limit_bytes, is_own)
         self._exchange = exchange
         self._open = True
-        body = _framed(first, head.chunked, last=rest is None and head.has_body)
+        body = _encode_body_part(first, head.chunked, last=rest is None and head.has_body)
         self._transport.write(head.to_bytes() + body)
         if rest is not None:
             exchange.sender = self._loop.create_task(self._send_rest(rest, head.chunked))
@@ -181,7 +181,7 @@
             if self.closed:
                 return
             if part:
-                self._transport.write(_framed(part, chunked))
+                self._transport.write(_encode_body_part(part, chunked))
         if chunked and not self.closed:
             self._transport.write(LAST_CHUNK)
 
@@ -218,9 +218,9 @@
     ) -> None:
         self._connection = connection
         self._head_only = head_only
-        self._is_own = is_own
+        self._matches_request = is_own
         self._skipping = False
-        self._header_room_bytes = header_limit_bytes
+        self._header_bytes_left = header_limit_bytes
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self._answer: AnswerHead | None = None
         self._headers: Headers = []
@@ -229,10 +229,10 @@
         self._paused = False
         self._wakeup: asyncio.Future[None] | None = None
         self._error: BaseException | None = None
-        self._until_close = False
+        self._body_until_close = False
         self._complete = False
-        self._surplus = False
-        self.heard = False
+        self._has_extra_data = False
+        self.has_received = False
         self.sender: asyncio.Task[None] | None = None
         self.head: asyncio.Future[AnswerHead] = connection._loop.create_future()
 
@@ -241,29 +241,29 @@
         return bool(self._parts) or self._complete or self._error is not None
 
     def feed(self, data: bytes) -> None:
-        self.heard = True
+        self.has_received = True
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._surplus = True
+            self._has_extra_data = True
             if not self._complete and not (self._head_only and self._answer is not None):
                 self._fail(UpstreamError(f"the answer is not HTTP: {error!r}", True, True))
         if self._head_only and self._answer is not None and not self._complete:
             self._end(reusable=data.endswith(END_OF_HEAD) and self._parser.should_keep_alive())
-        if self._surplus:
+        if self._has_extra_data:
             self._connection.close()
         if self._complete:
             self._drop_parser()
 
     def on_message_begin(self) -> None:
         if self._answer is not None:
-            self._surplus = True
+            self._has_extra_data = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self._answer is not None:
             return
-        self._header_room_bytes -= len(name) + len(value) + HEADER_FRAMING_BYTES
-        if self._header_room_bytes < 0:
+        self._header_bytes_left -= len(name) + len(value) + HEADER_FRAMING_BYTES
+        if self._header_bytes_left < 0:
             raise ValueError("the head is too long")
         self._headers.append((name.lower(), value.strip(b" \t")))
 
@@ -276,20 +276,20 @@
             return
         self._check_framing()
         answer = AnswerHead(status, self._headers)
-        if self._is_own is not None and not self._is_own(answer):
+        if self._matches_request is not None and not self._matches_request(answer):
             self._skipping = True
             self._headers = []
             return
         self._answer = answer
-        self._until_close = self._ends_at_close(status)
+        self._body_until_close = self._ends_at_close(status)
         if not self.head.done():
             self.head.set_result(self._answer)
 
     def on_body(self, body: bytes) -> None:
         if self._skipping:
             return
-        if self._complete or self._head_only or self._surplus:
-            self._surplus = True
+        if self._complete or self._head_only or self._has_extra_data:
+            self._has_extra_data = True
             return
         self._parts.append(body)
         self._buffered_bytes += len(body)
@@ -307,7 +307,7 @@
         self._drop_parser()
         if self._complete:
             return
-        if whole and self._until_close and self._answer is not None:
+        if whole and self._body_until_close and self._answer is not None:
             self._complete = True
             self._wake()
             return
@@ -374,7 +374,7 @@
             self._wakeup.set_result(None)
 
 
-def _framed(part: bytes, chunked: bool, last: bool = False) -> bytes:
+def _encode_body_part(part: bytes, chunked: bool, last: bool = False) -> bytes:
     if not chunked:
         return part
     chunk = b"%x\r\n%b\r\n" % (len(part), part) if part else b""
--- a/cloverhook/wake_times.py
+++ b/cloverhook/wake_times.py
@@ -22,26 +22,26 @@
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, str]] = []
-        self._wanted: dict[str, float] = {}
+        self._requested: dict[str, float] = {}
 
     def want(self, key: str, wake_ms: float | None) -> None:
         """Take when a part needs the clock; a time that it asked for before stands if earlier."""
         if wake_ms is None:
             return
-        known_ms = self._wanted.get(key)
+        known_ms = self._requested.get(key)
         if known_ms is None or wake_ms < known_ms:
-            self._wanted[key] = wake_ms
+            self._requested[key] = wake_ms
             heapq.heappush(self._heap, (wake_ms, key))
 
     def drop(self, key: str) -> None:
         """Forget a part."""
-        self._wanted.pop(key, None)
+        self._requested.pop(key, None)
 
     def next_ms(self) -> float | None:
         """Return the earliest time that is wanted."""
         while self._heap:
             wake_ms, key = self._heap[0]
-            if self._wanted.get(key) == wake_ms:
+            if self._requested.get(key) == wake_ms:
                 return wake_ms
             heapq.heappop(self._heap)
         return None
@@ -51,7 +51,7 @@
         found: list[str] = []
         while (wake_ms := self.next_ms()) is not None and wake_ms <= now_ms:
             _, key = heapq.heappop(self._heap)
-            del self._wanted[key]
+            del self._requested[key]
             found.append(key)
         return found
 
@@ -59,9 +59,9 @@
 class LoopTimer:
     """One timer of the running event loop, which calls back at the earliest time asked for."""
 
-    def __init__(self, clock_ms: Callable[[], float], call_back: Callable[[], None]) -> None:
+    def __init__(self, clock_ms: Callable[[], float], callback: Callable[[], None]) -> None:
         self._clock_ms = clock_ms
-        self._call_back = call_back
+        self._callback = callback
         self._handle: asyncio.TimerHandle | None = None
         self._wake_ms = 0.0
 
@@ -85,4 +85,4 @@
 
     def _fire(self) -> None:
         self._handle = None
-        self._call_back()
+        self._callback()
