--- a/cloverhook/cluster.py
+++ b/cloverhook/cluster.py
@@ -1,7 +1,8 @@
-"""A daemon's place among its peers: links, membership, records passed on, and home VMs.
+"""A daemon's part in the cluster: links, membership, configuration records for peers, home VMs.
 
-Layer: transport.  `Cluster` carries out what the sans-I/O parts decide: messages and links become
-events of `Membership`, and its actions become messages and links.
+Layer: transport.  `Cluster` carries out the decisions of the parts that do no input or output: it
+turns messages and link changes into events of `Membership`, and the actions that `Membership`
+returns into messages and links.
 """
 
 import asyncio
@@ -64,7 +65,7 @@
 
 
 class Cluster:
-    """The links to the peers and what is known of them."""
+    """The links to the peers, the state of the membership, and what depends on it."""
 
     def __init__(
         self,
@@ -101,7 +102,7 @@
         observer.watch(self._samples)
 
     async def start(self, caller_address: str) -> None:
-        """Listen for peers and begin to talk."""
+        """Listen for peers and start to exchange messages with them."""
         settings = self._settings
         await self.links.start(settings.peer_address)
         now_ms = monotonic_ms()
@@ -118,7 +119,7 @@
         self._schedule_wake()
 
     async def close(self) -> None:
-        """Say that this daemon is gone and close the links."""
+        """Notify the peers that this daemon has stopped and close the links."""
         for task in self._tasks:
             task.cancel()
         self._closing = True
@@ -127,21 +128,21 @@
         await self.links.close()
 
     def leave(self) -> None:
-        """Tell the peers that this daemon is leaving."""
+        """Notify the peers that this daemon is shutting down."""
         self._handle(Leave())
         self._update_homes()
 
     def tell(self, vm: str, message: Message) -> None:
-        """Send a message to another VM; it may be lost."""
+        """Send a message to another VM.  Delivery is not guaranteed."""
         member = self.membership.table.get(vm)
         self.links.send(vm, message, "" if member is None else member.peer_address)
 
     def addresses(
         self, target: Target, data_center: str = "", unreachable: str = ""
     ) -> dict[str, Any]:
-        """Return what a caller is told of a service's addresses.
+        """Return the document that answers a caller's request for a service's addresses.
 
-        The caller may name its data centre, and an address that it could not connect to.
+        The caller may give its data centre, and an address that it could not connect to.
         """
         self._check_for_pause()
         if unreachable:
@@ -157,16 +158,16 @@
         )
 
     def load_changed(self, busy_tenths: int) -> None:
-        """Tell the peers how busy this process is."""
+        """Report the load of this process to the peers, in tenths of a core."""
         self._handle(LoadChanged(busy_tenths))
 
     def config_changed(self) -> None:
-        """Offer what has just been folded to the linked peers."""
+        """Announce the new configuration offset to the linked peers."""
         self._handle(ConfigFolded(self._follower.state.next_offset))
         self._update_homes()
 
     def status(self) -> dict[str, Any]:
-        """Return what operators see of the peers."""
+        """Return the state of the peers for the operators' status document."""
         return {
             "members": [member.vm for member in self.membership.serving()],
             "linked": self.links.linked(),
@@ -177,19 +178,19 @@
         }
 
     def link_opened(self, hello: Hello) -> None:
-        """Take the greeting of a peer that has proved itself."""
+        """Handle a new link to an authenticated peer."""
         self._handle(LinkOpened(hello))
 
     def link_lost(self, vm: str) -> None:
-        """Note that there is no link to a VM any more."""
+        """Handle the loss of the link to a VM."""
         self._catch_up.lost(vm)
         self._handle(LinkLost(vm))
 
     def stranger_refused(self) -> None:
-        """Do nothing: the links count the strangers."""
+        """Do nothing: `PeerLinks` counts the links that failed authentication."""
 
     def message_heard(self, vm: str, message: Message) -> None:
-        """Take a peer's message, unless it has waited through a pause of this process."""
+        """Handle a peer's message, unless it has waited through a pause of this process."""
         if self._check_for_pause():
             return
         now_ms = monotonic_ms()
@@ -248,7 +249,7 @@
                     if member is not None:
                         self.links.open(vm, member.peer_address)
                 case Replaced():
-                    logging.warning("cluster: another process has taken this VM's name.")
+                    logging.warning("cluster: another process has taken over this VM's name.")
                     self._on_replaced()
 
     def _send_records(self, vm: str, from_offset: int) -> None:
@@ -262,13 +263,16 @@
         try:
             self._follower.adopt(State.from_document(document))
         except ConfigError as error:
-            logging.warning("cluster: dropped a state of %s: %s.", vm, error)
+            logging.warning("cluster: dropped an invalid state from %s: %s.", vm, error)
 
     def _check_for_pause(self) -> bool:
-        """Notice a pause before anything that dates from before it is used."""
+        """Return whether this process was paused, and if so reset what may be out of date.
+
+        This has to run before anything that dates from before the pause is used.
+        """
         if not self._pause_detector.observe(monotonic_ms()):
             return False
-        logging.warning("cluster: this process was paused; what it knows has to be confirmed.")
+        logging.warning("cluster: this process was paused; its member table must be confirmed.")
         self.pauses += 1
         self.links.reset()
         self._catch_up = CatchUp()
@@ -276,22 +280,22 @@
         return True
 
     def _update_homes(self) -> None:
-        """Tell the routers whose home VMs have changed."""
+        """Pass changed home VMs to the routers of their services."""
         targets = self._dispatcher.targets()
         now_ms = monotonic_ms()
-        same = self._homes_computed_for == (self.membership.version, targets)
-        if same and not self._demand_due(now_ms):
+        unchanged = self._homes_computed_for == (self.membership.version, targets)
+        if unchanged and not self._demand_due(now_ms):
             return
         self._homes_computed_for = (self.membership.version, targets)
         counts = self._home_counts(targets, now_ms)
-        own = {self._settings.vm: self._settings.data_center}
+        own_data_center = {self._settings.vm: self._settings.data_center}
         for key in self._address_answers.update(counts, self.membership.serving(), now_ms):
             homes = self._address_answers.home_names(key)
-            centers = self._address_answers.home_data_centers(key) | own
+            centers = self._address_answers.home_data_centers(key) | own_data_center
             self._dispatcher.homes_changed(key, self._settings.vm, homes, now_ms, centers)
 
     def _demand_due(self, now_ms: float) -> bool:
-        """Return whether the number of homes has to be looked at again because of load."""
+        """Return whether the load may change the number of homes, so that it must be recomputed."""
         if now_ms < self._next_demand_ms:
             return False
         self._next_demand_ms = now_ms + DEMAND_INTERVAL_MS
@@ -301,21 +305,25 @@
         return self.membership.busiest(member.vm for member in self.membership.serving())
 
     def _home_counts(self, targets: Sequence[Target], now_ms: float) -> dict[str, int]:
-        least = {target.key: target.policy.home_vms for target in targets}
-        busy = {
-            key: self.membership.busiest(self._address_answers.home_names(key)) for key in least
+        minimum_counts = {target.key: target.policy.home_vms for target in targets}
+        loads = {
+            key: self.membership.busiest(self._address_answers.home_names(key))
+            for key in minimum_counts
         }
-        most = len(self.membership.serving())
-        return self._home_demand.update(least, busy, most, now_ms)
+        maximum_count = len(self.membership.serving())
+        return self._home_demand.update(minimum_counts, loads, maximum_count, now_ms)
 
     def _on_timer(self) -> None:
-        """Do what the time has made due, and sleep until the next of it."""
+        """Do the work that is due and schedule the next wake-up."""
         self._check_for_pause()
         self._tick(monotonic_ms())
         self._schedule_wake()
 
     def _schedule_wake(self) -> None:
-        """Wake up no later than a part next needs the time; pauses have to be noticed as well."""
+        """Schedule the next wake-up for the earliest time that a part needs.
+
+        It is at most `MAX_SLEEP_MS` away, so that process pauses are detected.
+        """
         if self._closing:
             return
         now_ms = monotonic_ms()
@@ -340,7 +348,7 @@
             self._dial_seeds()
 
     def _dial_seeds(self) -> None:
-        """Open links to the peers that the settings name, for want of any other."""
+        """Open links to the peers in the settings; used while there is no link to any peer."""
         for address in self._settings.peer_addresses.split(","):
             if address.strip() and address.strip() != self.links.address:
                 self.links.open("", address.strip())
@@ -350,5 +358,5 @@
             try:
                 self._handle(ListRead(await self._platform.list_vms()))
             except PlatformError as error:
-                logging.warning("cluster: the list of VMs can't be read: %s.", error)
+                logging.warning("cluster: can't read the platform's list of VMs: %s.", error)
             await asyncio.sleep(VM_LIST_INTERVAL_MS / 1000)
--- a/cloverhook/exchange.py
+++ b/cloverhook/exchange.py
@@ -1,7 +1,7 @@
-"""One caller's request on its way through this daemon, and its attempts at backend servers.
+"""A caller's request while this daemon forwards it, and its attempts at backend servers.
 
-Layer: transport.  A request's body is taken from its caller once.  While it is small it is kept,
-so that another attempt can send it again.
+Layer: transport.  A request's body is read from its caller once.  While it is small it is kept in
+memory, so that another attempt can send it again.
 """
 
 import asyncio
@@ -33,18 +33,18 @@
 
 
 class RefusedError(Exception):
-    """The backend server refused the request before it did any work.
+    """The backend server rejected the request before it did any work.
 
-    `leaving` is whether it said that it takes no new work at all.
+    `leaving` is whether the backend server reported that it accepts no new requests at all.
     """
 
     def __init__(self, leaving: bool) -> None:
-        super().__init__("the backend server refused the request")
+        super().__init__("the backend server rejected the request")
         self.leaving = leaving
 
 
 class RequestBody:
-    """The body of a caller's request; its first `limit_bytes` are kept."""
+    """The body of a caller's request, which is kept while it has at most `limit_bytes`."""
 
     def __init__(self, receive: Receive, limit_bytes: int) -> None:
         self._receive = receive
@@ -55,13 +55,16 @@
         self.repeatable = True
 
     async def begin(self) -> bytes:
-        """Return what is at hand for a new attempt; wait where that is nothing."""
+        """Return the start of the body for a new attempt.
+
+        This is all that has been kept, or else the next part, for which it waits.
+        """
         if self._kept or self.ended:
             return b"".join(self._kept)
         return await self._receive_part()
 
     async def rest(self) -> AsyncIterator[bytes]:
-        """Yield what the caller still has to send."""
+        """Yield the parts of the body that the caller has not sent yet."""
         while not self.ended:
             yield await self._receive_part()
 
@@ -85,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CapturedAnswer:
-    """A whole answer as its caller got it."""
+    """A complete answer as it was sent to its caller."""
 
     status: int
     headers: h.Headers
@@ -93,7 +96,11 @@
 
 
 class AnswerCapture:
-    """Keeps a copy of an answer on its way to the caller; `answer` is None for a large one."""
+    """Keeps a copy of an answer while it is sent to the caller.
+
+    `answer` is None until the answer is complete, and stays None when its body is larger than the
+    limit.
+    """
 
     def __init__(self, limit_bytes: int) -> None:
         self._remaining_bytes = limit_bytes
@@ -104,12 +111,12 @@
         self.whole = False
 
     def begin(self, status: int, headers: h.Headers) -> None:
-        """Take the head of the answer."""
+        """Record the head of the answer."""
         self._status = status
         self._headers = [pair for pair in headers if pair[0] != b"connection"]
 
     def add(self, part: bytes, more: bool) -> None:
-        """Take a part of the body; without `more` the answer is whole."""
+        """Record a part of the body; without `more` the answer is complete."""
         self._remaining_bytes -= len(part)
         if self._remaining_bytes >= 0:
             self._parts.append(part)
@@ -119,17 +126,18 @@
 
     @property
     def ran(self) -> bool:
-        """Whether the whole answer says that its request ran."""
+        """Whether the answer is complete and reports that its request ran."""
         return self.whole and h.outcome_of(self._headers) is Outcome.RAN
 
 
 @dataclass(slots=True)
 class Exchange:
-    """A request with what is known of its attempts.
+    """A request and the state of its attempts.
 
-    `sent` says whether a byte of the attempt under way may have left this process, and
-    `maybe_ran` whether an earlier attempt may have run.  `told_attempt` is which attempt of the
-    layer above the request is: with more than 1, that layer retries, and this one does not.
+    `sent` is whether a byte of the current attempt may have left this process, and `maybe_ran`
+    whether an earlier attempt may have run.  `told_attempt` is the number of the attempt that this
+    request is for the layer above: when it is more than 1, that layer retries, and this one does
+    not.
     """
 
     request_id: str
@@ -151,7 +159,10 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether another attempt could send the same request and its answer would be the first."""
+        """Whether another attempt can send the same request.
+
+        It can while no part of an answer has been sent to the caller and the body is still kept.
+        """
         return not self.answer_started and (self.body is None or self.body.repeatable)
 
     async def attempt(
@@ -160,7 +171,8 @@
         """Send the request to an endpoint and its answer to the caller.
 
         Raises `UpstreamError` when the exchange with the backend server fails, `RefusedError`
-        when it refuses the request, and `RequestError` when the request's body fails.
+        when the backend server rejects the request, and `RequestError` when the request's body
+        can't be read.
         """
         self.sent = False
         connection = await pool.acquire(address, self.idempotent)
@@ -187,17 +199,17 @@
     async def _send_request(
         self, connection: UpstreamConnection, now_ms: Callable[[], float]
     ) -> AnswerHead:
-        first = b"" if self.body is None else await self.body.begin()
-        rest = None if self.body is None or self.body.ended else self.body.rest()
+        initial_body = b"" if self.body is None else await self.body.begin()
+        remaining_body = None if self.body is None or self.body.ended else self.body.rest()
         remaining_ms = self.deadline_ms - now_ms()
         if remaining_ms <= 0:
             raise TimeoutError
-        head = self._head(remaining_ms)
+        head = self._build_head(remaining_ms)
         if connection.usable:
             self.sent = True
-        return await connection.send(head, first, rest)
+        return await connection.send(head, initial_body, remaining_body)
 
-    def _head(self, remaining_ms: float) -> RequestHead:
+    def _build_head(self, remaining_ms: float) -> RequestHead:
         headers = [
             *self.head.headers,
             (h.REQUEST_ID, self.request_id.encode()),
@@ -234,18 +246,22 @@
 
 
 def _outcome(answer: AnswerHead) -> Outcome:
-    """Return what an answer shows of its request: a failure may stand for a gateway's guess."""
+    """Return the outcome of a request according to its answer.
+
+    A failure counts as `RAN` only if the answer says so: the status may come from a gateway that
+    does not know whether the request ran.
+    """
     if answer.status < MIN_FAILURE_STATUS:
         return Outcome.RAN
-    told = h.outcome_of(answer.headers)
-    return Outcome.RAN if told is Outcome.RAN else Outcome.UNKNOWN
+    reported = h.outcome_of(answer.headers)
+    return Outcome.RAN if reported is Outcome.RAN else Outcome.UNKNOWN
 
 
 def _is_rejection(answer: AnswerHead) -> bool:
-    """Return whether this backend server itself refused the request before any work.
+    """Return whether this backend server itself rejected the request before any work.
 
-    An answer with an error kind comes from a daemon further down a chain of calls, which a backend
-    server passed on: it says nothing of the backend server's own work.
+    An answer with an error kind comes from a daemon further down a chain of calls, and the backend
+    server only forwarded it: it says nothing about the backend server's own work.
     """
     refused = answer.status == REJECTION_STATUS and h.outcome_of(answer.headers) is Outcome.NOT_RUN
     return refused and h.find(answer.headers, h.ERROR) is None
--- a/cloverhook/messages.py
+++ b/cloverhook/messages.py
@@ -1,15 +1,15 @@
 """The messages that daemons send each other, and their CBOR form.
 
 Layer: protocol.  Each message is a frozen data class; `encode` writes it as a CBOR array of the
-protocol version, the sender's stamp of the time line, the message's tag and its fields in order.  A
-field that a newer version adds goes to the end and has a default, so that older and newer daemons
-understand each other during a rolling replacement.
+protocol version, the sender's hybrid logical clock timestamp, the message's tag and its fields in
+order.  A field that a newer version adds goes to the end and has a default, so that older and newer
+daemons understand each other during a rolling replacement.
 
 >>> decode(encode(RecordsWanted(12)))
 RecordsWanted(from_offset=12)
 
-A message about one service has a field `service`, the service's key across brands; the daemon
-passes it to that service's router.
+A message about one service has a field `service`, the service's key, which is unique across brands;
+the daemon passes the message to that service's router.
 """
 
 from dataclasses import dataclass, fields
@@ -48,10 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """The first message on a link: who speaks, and the proof that it holds the shared key.
+    """The first message on a link: the sender's identity and the proof that it has the shared key.
 
-    `target` is the VM that the speaker means to reach; the side that dials may leave it empty
-    when it knows only an address.
+    `target` is the VM that the sender intends to reach; the side that opens the link may leave it
+    empty when it has only an address.
     """
 
     vm: str
@@ -67,11 +67,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A daemon is alive.
+    """A periodic sign that a daemon is alive.
 
-    `incarnation` grows with each start; `config_offset` is the offset of the record it takes next.
-    `sequence` counts what the daemon has said of itself in this incarnation, and `digest` sums up
-    the members it knows, so that two daemons notice when they differ.
+    `incarnation` grows with each start of the daemon; `config_offset` is the offset of the next
+    configuration record that the daemon needs.  `sequence` counts the updates that the daemon has
+    published about itself in this incarnation.  `digest` summarises its member table, so that two
+    daemons can detect that their tables differ.
     """
 
     vm: str
@@ -84,9 +85,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """What a daemon knows of a member; `status` is a value of `members.Status`.
+    """What a daemon has recorded about a member; `status` is a value of `members.Status`.
 
-    `busy_tenths` is the load that the member's process told, in tenths of a core.
+    `busy_tenths` is the load that the member's process reported, in tenths of a core.
     """
 
     vm: str
@@ -102,33 +103,33 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdates:
-    """Members that have changed, or that the receiver lacks."""
+    """Updates of members that have changed or that the receiver lacks."""
 
     updates: tuple[MemberUpdate, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class MemberDigests:
-    """One digest for each bucket of members; the receiver sends the buckets that differ."""
+    """One digest for each bucket of members; the receiver replies with the buckets that differ."""
 
     buckets: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Asks for a heartbeat at once."""
+    """Requests an immediate heartbeat."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeRequest:
-    """Asks whether the receiver can reach a VM that the sender no longer hears."""
+    """Asks the receiver for an indirect probe of a VM from which the sender receives nothing."""
 
     target: str
 
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """Answers a probe request: the sender has heard from the VM itself."""
+    """Reply to a probe request: the sender has received a message from the target VM itself."""
 
     target: str
     incarnation: int
@@ -136,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordsWanted:
-    """Asks for the configuration records from an offset on."""
+    """Requests the configuration records from an offset on."""
 
     from_offset: int
 
@@ -151,10 +152,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotAsk:
-    """The sender has requests waiting and would use slots that the receiver owns.
+    """Asks for slots that the receiver owns, because the sender has queued requests.
 
-    `oldest_ms` is how long the first of the `waiting` requests has waited, and `priority` the most
-    important priority among them.  It stands for a short time; `waiting` 0 takes it back.
+    `waiting` is the number of queued requests, `oldest_ms` how long the first of them has waited,
+    and `priority` the highest priority among them.  The message is valid for a short time; one with
+    `waiting` 0 withdraws the earlier one.
     """
 
     service: str
@@ -165,10 +167,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotGrant:
-    """The receiver may use one slot of each address until it returns it; the answer to an ask.
+    """Reply to a slot request: the receiver may use one slot of each address until it returns it.
 
-    An address may stand twice.  With none, the sender has no slot to spare now; `working` is False
-    when none of the endpoints it owns can be reached.
+    An address may occur more than once.  Without any address, the sender has no slot to lend now;
+    `working` is False when none of the endpoints that the sender owns can be reached.
     """
 
     service: str
@@ -178,9 +180,9 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotReturn:
-    """Slots that were granted are no longer used.
+    """Returns slots that were granted and are no longer used.
 
-    `suspicion` tells for each address how much evidence of trouble the sender has seen there.
+    `suspicion` gives, for each address, how much evidence of failures the sender has seen there.
     """
 
     service: str
@@ -190,7 +192,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StatePassedOn:
-    """The whole folded state, as `fold.State.to_document` gives it, for a peer far behind."""
+    """The whole configuration state, in the form of `state.State.to_document`.
+
+    It is for a peer that is too far behind to catch up with single records.
+    """
 
     state: dict[str, Any]
 
@@ -232,7 +237,7 @@
 
 
 def encode(message: Message, stamp: Stamp = NO_STAMP) -> bytes:
-    """Return the CBOR form of a message that is sent at a point of the time line."""
+    """Return the CBOR form of a message with the timestamp at which it is sent."""
     kind = type(message)
     head = [PROTOCOL_VERSION, (stamp.wall_us, stamp.counter), TAG_OF[kind]]
     if kind is MemberUpdates:
@@ -242,29 +247,29 @@
 
 
 def decode(data: bytes) -> Message:
-    """Return the message for its CBOR form.  Raises `MessageError` for anything else.
+    """Return the message for its CBOR form.  Raises `MessageError` for invalid input.
 
-    Fields that this version does not know are dropped.
+    Additional fields that this version does not define are ignored.
     """
     return decode_stamped(data)[1]
 
 
 def decode_stamped(data: bytes) -> tuple[Stamp, Message]:
-    """Return a message and its sender's stamp.  Raises `MessageError` as `decode` does."""
+    """Return a message and its sender's timestamp.  Raises `MessageError` as `decode` does."""
     try:
         _version, (wall_us, counter), tag, *values = cbor2.loads(data)
         return Stamp(int(wall_us), int(counter)), _decode_fields(TAGS[tag], values)
     except (cbor2.CBORDecodeError, IndexError, KeyError, TypeError, ValueError) as error:
-        raise MessageError(f"message: {error!r}") from error
+        raise MessageError(f"the message can't be decoded: {error!r}") from error
 
 
 def _decode_fields(kind: type, values: list[Any]) -> Message:
     if kind is MemberUpdates:
         return _decode_updates(values[0])
-    known = values[: len(FIELDS[kind])]
-    return kind(*(tuple(value) if isinstance(value, list) else value for value in known))
+    field_values = values[: len(FIELDS[kind])]
+    return kind(*(tuple(value) if isinstance(value, list) else value for value in field_values))
 
 
 def _decode_updates(rows: list[list[Any]]) -> MemberUpdates:
-    known = len(UPDATE_FIELDS)
-    return MemberUpdates(tuple(MemberUpdate(*row[:known]) for row in rows))
+    field_count = len(UPDATE_FIELDS)
+    return MemberUpdates(tuple(MemberUpdate(*row[:field_count]) for row in rows))
--- a/cloverhook/peering.py
+++ b/cloverhook/peering.py
@@ -1,8 +1,9 @@
 """Links between daemons: websockets that carry CBOR messages.
 
-Layer: transport.  A link is opened by whichever side needs it.  Each side proves with its greeting
-that it holds the shared key; a stranger's link is closed and counted.  A link that goes silent is
-aborted, and one that was opened on demand is closed when it is idle.
+Layer: transport.  A link is opened by whichever side needs it.  In the handshake each side proves
+that it has the shared key; a link whose other side fails to do so is closed and counted.  A link on
+which nothing is received for too long is aborted, and one that was opened on demand is closed when
+it is idle.
 """
 
 import asyncio
@@ -57,23 +58,23 @@
 
 
 class LinkEvents(Protocol):
-    """What the links tell the daemon."""
+    """The callbacks by which the links notify the daemon."""
 
     def link_opened(self, hello: Hello) -> None:
-        """Take the greeting of a peer that has proved itself."""
+        """Handle a new link to an authenticated peer."""
 
     def link_lost(self, vm: str) -> None:
-        """Note that there is no link to a VM any more."""
+        """Handle the loss of the link to a VM."""
 
     def message_heard(self, vm: str, message: Message) -> None:
-        """Take a peer's message."""
+        """Handle a peer's message."""
 
     def stranger_refused(self) -> None:
-        """Count a link whose other side did not prove itself."""
+        """Handle a link whose other side failed authentication."""
 
 
 class _Link:
-    """An open link: `dialler` is the VM that opened it."""
+    """An open link; `dialler` is the VM that opened it."""
 
     def __init__(self, connection: Connection, dialler: str, now_ms: float) -> None:
         self.connection = connection
@@ -82,17 +83,17 @@
         self.used_ms = now_ms
 
     def is_silent(self, now_ms: float) -> bool:
-        """Return whether nothing has come for too long."""
+        """Return whether nothing has been received for longer than `SILENT_LINK_MS`."""
         return now_ms - self.received_ms > SILENT_LINK_MS
 
     def abort(self) -> None:
-        """Close the connection without a word."""
+        """Close the connection at once, without a closing handshake."""
         self.connection.transport.abort()
 
 
 @dataclass(slots=True)
 class Traffic:
-    """Messages and their bytes in one direction, all links together."""
+    """The number of messages and bytes in one direction, over all links."""
 
     messages: int = 0
     size_bytes: int = 0
@@ -106,8 +107,8 @@
 class PeerLinks:
     """This daemon's links to its peers, by VM name.
 
-    `greeting` gives what this daemon says of itself when a link opens; `stamps` is the clock of
-    the time line, whose stamps go with each message.
+    `greeting` returns the `Hello` that this daemon sends when a link opens; `stamps` is the hybrid
+    logical clock whose timestamps go with each message.
     """
 
     def __init__(
@@ -142,7 +143,7 @@
         self.address = "{}:{}".format(*self._server.sockets[0].getsockname())
 
     async def close(self) -> None:
-        """Send what waits, as far as that goes quickly; then close every link."""
+        """Send the queued messages for at most `FLUSH_TIMEOUT_MS`, then close every link."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(FLUSH_TIMEOUT_MS / 1000):
                 while any(len(self._outboxes[vm]) for vm in self._links):
@@ -157,11 +158,11 @@
             await self._server.wait_closed()
 
     def linked(self) -> tuple[str, ...]:
-        """Return the names of the VMs with an open link."""
+        """Return the names of the VMs to which a link is open."""
         return tuple(sorted(self._links))
 
     def samples(self) -> list[Sample]:
-        """Return the counts of links and messages for the metrics page."""
+        """Return the metrics of links and messages."""
         return [
             Sample(Metric.LINKS, len(self._links)),
             Sample(Metric.REFUSED_STRANGERS, self.refused_strangers),
@@ -173,40 +174,40 @@
         ]
 
     def open(self, vm: str, address: str) -> None:
-        """Open a link to a peer unless there is one or one is being opened."""
+        """Open a link to a peer, unless one is open or being opened."""
         if vm not in self._links and address not in self._dialling:
             self._spawn(self._dial(vm, address))
 
     def send(self, vm: str, message: Message, address: str = "") -> bool:
         """Queue a message; return False when it was dropped.
 
-        With no link to the VM, one is opened to `address` if that is given.
+        Without a link to the VM, one is opened to `address` if that is given.
         """
         if vm not in self._links and not address:
             return False
         outbox = self._outboxes.setdefault(vm, Outbox())
-        before = outbox.dropped
-        kept = outbox.put(message)
-        self.dropped_messages += outbox.dropped - before
+        dropped_before = outbox.dropped
+        queued = outbox.put(message)
+        self.dropped_messages += outbox.dropped - dropped_before
         if vm in self._links:
             if not isinstance(message, MAINTENANCE_MESSAGES):
                 self._links[vm].used_ms = self._clock_ms()
         else:
             self.open(vm, address)
-        return kept
+        return queued
 
     def tick(self, kept: Collection[str], now_ms: float) -> None:
-        """Abort silent links; close idle ones that this side opened and `kept` does not name."""
+        """Abort silent links; close idle ones that this side opened and that `kept` lacks."""
         for vm, link in tuple(self._links.items()):
             if link.is_silent(now_ms):
-                logging.info("peering: the link to %s has gone silent.", vm)
+                logging.info("peering: aborted the link to %s: nothing was received.", vm)
                 link.abort()
                 self._remove(vm, link)
             elif link.dialler != vm and vm not in kept and now_ms - link.used_ms > IDLE_LINK_MS:
                 self._spawn(self._close(link))
 
     def reset(self) -> None:
-        """Abort every link and drop what waits: all of it dates from before a pause."""
+        """Abort every link and drop the queued messages: they date from before a process pause."""
         self._outboxes.clear()
         for vm, link in tuple(self._links.items()):
             link.abort()
@@ -223,7 +224,7 @@
             ) as connection:
                 await self._authenticate_and_serve(connection, Role.CLIENT, vm, address)
         except (OSError, TimeoutError, websockets.WebSocketException) as error:
-            logging.debug("peering: no link to %s: %r.", vm or address, error)
+            logging.debug("peering: can't open a link to %s: %r.", vm or address, error)
         finally:
             self._dialling.discard(address)
             if vm not in self._links:
@@ -242,7 +243,7 @@
         except (AuthenticationError, MessageError, TimeoutError) as error:
             self.refused_strangers += 1
             self._events.stranger_refused()
-            logging.warning("peering: refused a stranger: %s.", error)
+            logging.warning("peering: closed a link that failed authentication: %s.", error)
             await connection.close()
             return
         self._dialling.discard(address)
@@ -268,9 +269,10 @@
             self._remove(peer.vm, link)
 
     def _should_replace(self, vm: str, link: _Link) -> bool:
-        """Return whether a new link takes the place of the one there is.
+        """Return whether a new link replaces the present one to the same VM.
 
-        When both sides dial at once, both keep the link that the lower name has dialled.
+        When both sides dial at the same time, both keep the link that was dialled by the VM whose
+        name sorts first.
         """
         present = self._links.get(vm)
         if present is None or present.dialler == link.dialler:
@@ -283,21 +285,21 @@
         nonce = Greeting.new_nonce()
         if role is Role.CLIENT:
             await connection.send(nonce)
-            greeting = Greeting.from_nonces(self._key, role, nonce, await connection.recv())
-            await self._send_hello(connection, greeting, target)
-            return await self._receive_hello(connection, greeting)
+            handshake = Greeting.from_nonces(self._key, role, nonce, await connection.recv())
+            await self._send_hello(connection, handshake, target)
+            return await self._receive_hello(connection, handshake)
         peer_nonce = await connection.recv()
         await connection.send(nonce)
-        greeting = Greeting.from_nonces(self._key, role, nonce, peer_nonce)
-        peer = await self._receive_hello(connection, greeting)
-        await self._send_hello(connection, greeting, peer.vm)
+        handshake = Greeting.from_nonces(self._key, role, nonce, peer_nonce)
+        peer = await self._receive_hello(connection, handshake)
+        await self._send_hello(connection, handshake, peer.vm)
         return peer
 
-    async def _send_hello(self, connection: Connection, greeting: Greeting, vm: str) -> None:
-        await connection.send(encode(greeting.prove(replace(self._make_hello(), target=vm))))
+    async def _send_hello(self, connection: Connection, handshake: Greeting, vm: str) -> None:
+        await connection.send(encode(handshake.prove(replace(self._make_hello(), target=vm))))
 
-    async def _receive_hello(self, connection: Connection, greeting: Greeting) -> Hello:
-        return greeting.check(decode(await connection.recv()), self._make_hello().vm)
+    async def _receive_hello(self, connection: Connection, handshake: Greeting) -> Hello:
+        return handshake.check(decode(await connection.recv()), self._make_hello().vm)
 
     async def _receive(self, vm: str, link: _Link) -> None:
         with contextlib.suppress(websockets.ConnectionClosed):
@@ -307,7 +309,7 @@
                 try:
                     stamp, message = decode_stamped(data)
                 except MessageError as error:
-                    logging.warning("peering: dropped a message of %s: %s.", vm, error)
+                    logging.warning("peering: dropped an invalid message from %s: %s.", vm, error)
                     continue
                 if not isinstance(message, MAINTENANCE_MESSAGES):
                     link.used_ms = link.received_ms
--- a/cloverhook/upstream.py
+++ b/cloverhook/upstream.py
@@ -38,7 +38,7 @@
     def __init__(self) -> None:
         self.idle: deque[UpstreamConnection] = deque()
         self.open_count = 0
-        self.spare: asyncio.Task[None] | None = None
+        self.spare_task: asyncio.Task[None] | None = None
 
     def count_closed(self) -> None:
         """Count a connection that is of no more use."""
@@ -80,18 +80,18 @@
 
         Raises `UpstreamError` with `sent` False when none can be made.
         """
-        place = self._address_pools.get(address)
-        if place is None:
-            place = self._address_pools[address] = _AddressPool()
+        address_pool = self._address_pools.get(address)
+        if address_pool is None:
+            address_pool = self._address_pools[address] = _AddressPool()
         idle_ms = IDLE_LIMIT_MS if idempotent else NON_IDEMPOTENT_IDLE_LIMIT_MS
-        return place.take(_now_ms(), idle_ms) or await self._open(address, place, idle_ms)
+        return address_pool.take(_now_ms(), idle_ms) or await self._open(address, address_pool, idle_ms)
 
     def release(self, address: str, connection: UpstreamConnection) -> None:
         """Give a connection back; it is kept only if its exchange was whole."""
         connection.stop_sending()
-        place = self._address_pools.get(address)
-        if place is not None and connection.usable:
-            self._add_idle(place, connection)
+        address_pool = self._address_pools.get(address)
+        if address_pool is not None and connection.usable:
+            self._add_idle(address_pool, connection)
         else:
             connection.close()
 
@@ -100,54 +100,54 @@
 
         `since_ms` is the time at which that request was sent, on the loop's clock.
         """
-        place = self._address_pools.get(address)
-        if place is not None:
-            place.close_idle_before(since_ms)
+        address_pool = self._address_pools.get(address)
+        if address_pool is not None:
+            address_pool.close_idle_before(since_ms)
 
     def open_count(self, address: str) -> int:
         """Return how many connections to an address there are, with those being made."""
-        place = self._address_pools.get(address)
-        return 0 if place is None else place.open_count
+        address_pool = self._address_pools.get(address)
+        return 0 if address_pool is None else address_pool.open_count
 
     def close(self) -> None:
         """Close all idle connections."""
         if self._sweeper is not None:
             self._sweeper.cancel()
             self._sweeper = None
-        for place in self._address_pools.values():
-            if place.spare is not None:
-                place.spare.cancel()
-            for connection in place.idle:
+        for address_pool in self._address_pools.values():
+            if address_pool.spare_task is not None:
+                address_pool.spare_task.cancel()
+            for connection in address_pool.idle:
                 connection.close()
         self._address_pools.clear()
 
-    def _add_idle(self, place: _AddressPool, connection: UpstreamConnection) -> None:
+    def _add_idle(self, address_pool: _AddressPool, connection: UpstreamConnection) -> None:
         connection.idle_since_ms = _now_ms()
-        place.idle.append(connection)
+        address_pool.idle.append(connection)
         if self._sweeper is None:
             loop = asyncio.get_running_loop()
             self._sweeper = loop.call_later(SWEEP_INTERVAL_MS / 1000, self._sweep)
 
-    async def _open(self, address: str, place: _AddressPool, idle_ms: float) -> UpstreamConnection:
+    async def _open(self, address: str, address_pool: _AddressPool, idle_ms: float) -> UpstreamConnection:
         limit = self._limit_of(address)
-        if place.open_count >= limit and place.spare is not None:
-            await asyncio.wait({place.spare})
-            spare = place.take(_now_ms(), idle_ms)
+        if address_pool.open_count >= limit and address_pool.spare_task is not None:
+            await asyncio.wait({address_pool.spare_task})
+            spare = address_pool.take(_now_ms(), idle_ms)
             if spare is not None:
                 return spare
-        while place.open_count >= limit and place.idle:
-            place.idle.popleft().close()
-        if place.open_count >= limit:
+        while address_pool.open_count >= limit and address_pool.idle:
+            address_pool.idle.popleft().close()
+        if address_pool.open_count >= limit:
             raise UpstreamError(f"{limit} connections to {address} are in use", sent=False)
-        connection = await self._connect(address, place)
-        self._open_spare(address, place, limit)
+        connection = await self._connect(address, address_pool)
+        self._open_spare(address, address_pool, limit)
         return connection
 
-    async def _connect(self, address: str, place: _AddressPool) -> UpstreamConnection:
+    async def _connect(self, address: str, address_pool: _AddressPool) -> UpstreamConnection:
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
-        place.open_count += 1
-        connection = UpstreamConnection(self._header_limit_bytes, place.count_closed)
+        address_pool.open_count += 1
+        connection = UpstreamConnection(self._header_limit_bytes, address_pool.count_closed)
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_MS / 1000):
                 await loop.create_connection(lambda: connection, host, int(port))
@@ -159,29 +159,29 @@
             raise
         return connection
 
-    def _open_spare(self, address: str, place: _AddressPool, limit: int) -> None:
+    def _open_spare(self, address: str, address_pool: _AddressPool, limit: int) -> None:
         """Make a connection ahead of its use: that none was idle says that load grows."""
-        if place.spare is None and not place.idle and place.open_count < limit:
-            task = asyncio.get_running_loop().create_task(self._add_spare(address, place))
-            place.spare = task
+        if address_pool.spare_task is None and not address_pool.idle and address_pool.open_count < limit:
+            task = asyncio.get_running_loop().create_task(self._add_spare(address, address_pool))
+            address_pool.spare_task = task
 
-    async def _add_spare(self, address: str, place: _AddressPool) -> None:
+    async def _add_spare(self, address: str, address_pool: _AddressPool) -> None:
         try:
-            self._add_idle(place, await self._connect(address, place))
+            self._add_idle(address_pool, await self._connect(address, address_pool))
         except UpstreamError:
             return
         finally:
-            place.spare = None
+            address_pool.spare_task = None
 
     def _sweep(self) -> None:
         """Close connections that have been idle for long, and forget places without any."""
         self._sweeper = None
         oldest_ms = _now_ms() - IDLE_LIMIT_MS
-        for address, place in tuple(self._address_pools.items()):
-            place.close_idle_before(oldest_ms)
-            if not place.open_count:
+        for address, address_pool in tuple(self._address_pools.items()):
+            address_pool.close_idle_before(oldest_ms)
+            if not address_pool.open_count:
                 del self._address_pools[address]
-        if any(place.idle for place in self._address_pools.values()):
+        if any(address_pool.idle for address_pool in self._address_pools.values()):
             loop = asyncio.get_running_loop()
             self._sweeper = loop.call_later(SWEEP_INTERVAL_MS / 1000, self._sweep)
 
