--- a/cloverhook/caller_app.py
+++ b/cloverhook/caller_app.py
@@ -1,8 +1,8 @@
 """The callers' listener: an ASGI application that forwards requests to backend servers.
 
-Layer: transport.  One request takes this way: its host name gives the brand and the service, the
-dispatcher gives an endpoint, the request goes there, and the answer comes back as it arrives.  A
-caller that goes away cancels the task that serves its request (see `caller_protocol`).
+Layer: transport.  The host name of a request determines the brand and the service; the dispatcher
+chooses an endpoint, the request is sent there, and the answer is streamed back as it arrives.  When
+a caller disconnects, the task that serves its request is cancelled (see `caller_protocol`).
 """
 
 import asyncio
@@ -63,47 +63,52 @@
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         """Serve one request."""
-        seen = Observation.of(scope)
-        seen.request_id = request_id = self._assign_id(scope["headers"])
+        observation = Observation.of(scope)
+        observation.request_id = request_id = self._assign_id(scope["headers"])
         self._note(EventName.REQUEST_ARRIVED, request_id, detail=scope["method"])
         try:
-            await self._serve(scope, receive, send, seen)
+            await self._serve(scope, receive, send, observation)
         except UpstreamError as error:
-            logging.info("callers: request %s was cut: %s.", request_id, error)
+            logging.info("callers: the answer to request %s broke off: %s.", request_id, error)
             raise
         except asyncio.CancelledError:
-            seen.kind = ErrorKind.CALLER_GONE
+            observation.kind = ErrorKind.CALLER_GONE
             raise
         except Exception as error:
-            logging.exception("callers: request %s met a fault of ours.", request_id)
+            logging.exception("callers: request %s failed with an internal error.", request_id)
             raise RequestError(ErrorKind.INTERNAL) from error
         finally:
             self._in_progress.discard(request_id)
 
-    def _assign_id(self, received: h.Headers) -> str:
-        """Return the request's identifier, made unique among the requests in progress here."""
-        request_id = h.request_id_of(received)
+    def _assign_id(self, caller_headers: h.Headers) -> str:
+        """Return the request's identifier, made unique among the requests in progress here.
+
+        An identifier that another request in progress already has gets a random suffix.
+        """
+        request_id = h.request_id_of(caller_headers)
         if request_id in self._in_progress:
             request_id = f"{request_id}~{uuid.uuid4().hex}"
         self._in_progress.add(request_id)
         return request_id
 
     async def _serve(
-        self, scope: dict[str, Any], receive: Receive, send: Send, seen: Observation
+        self, scope: dict[str, Any], receive: Receive, send: Send, observation: Observation
     ) -> None:
         exchange = None
         try:
             target = self._dispatcher.target_for(h.find(scope["headers"], b"host") or b"")
-            seen.brand, seen.service = target.brand, target.service.name
+            observation.brand, observation.service = target.brand, target.service.name
             if scope["path"] == ADDRESSES_PATH:
                 await self._send_addresses(scope, send, target)
                 return
-            exchange = self._open_exchange(scope, receive, send, seen, target)
+            exchange = self._open_exchange(scope, receive, send, observation, target)
             await self._serve_within_share(exchange, h.find(scope["headers"], h.IDEMPOTENCY_KEY))
         except RequestError as error:
             if exchange is not None and exchange.answer_started:
-                raise UpstreamError(f"after the answer's head: {error}", sent=True) from error
-            await self._send_error(send, error, seen, exchange)
+                raise UpstreamError(
+                    f"failed after the answer's head was sent: {error}", sent=True
+                ) from error
+            await self._send_error(send, error, observation, exchange)
 
     async def _send_addresses(self, scope: dict[str, Any], send: Send, target: Target) -> None:
         query = parse_qs(scope["query_string"].decode("latin-1"))
@@ -118,21 +123,25 @@
         scope: dict[str, Any],
         receive: Receive,
         send: Send,
-        seen: Observation,
+        observation: Observation,
         target: Target,
     ) -> Exchange:
-        received: h.Headers = scope["headers"]
-        timeout_ms = h.timeout_ms_of(received, target.policy.timeout_ms)
+        caller_headers: h.Headers = scope["headers"]
+        timeout_ms = h.timeout_ms_of(caller_headers, target.policy.timeout_ms)
         if timeout_ms <= 0:
             raise RequestError(ErrorKind.DEADLINE_BEFORE_RUN)
-        length = h.find(received, b"content-length")
-        chunked = h.find(received, b"transfer-encoding") is not None
+        length = h.find(caller_headers, b"content-length")
+        chunked = h.find(caller_headers, b"transfer-encoding") is not None
         has_body = chunked or length not in (None, b"0")
         head = RequestHead(
-            scope["method"].encode(), scope["target"], h.end_to_end(received), has_body, chunked
+            scope["method"].encode(),
+            scope["target"],
+            h.end_to_end(caller_headers),
+            has_body,
+            chunked,
         )
         return Exchange(
-            seen.request_id,
+            observation.request_id,
             target,
             scope["path"],
             head,
@@ -140,12 +149,16 @@
             scope["method"] in IDEMPOTENT_METHODS,
             RequestBody(receive, self._settings.kept_body_bytes) if has_body else None,
             send,
-            seen,
-            h.attempt_of(received),
+            observation,
+            h.attempt_of(caller_headers),
         )
 
     async def _serve_within_share(self, exchange: Exchange, key: bytes | None) -> None:
-        """Serve a request within its brand's share of this daemon."""
+        """Serve a request within its brand's share of this daemon's request limit.
+
+        Raises `RequestError` with `OVERLOADED` when the share is in use.  Only a request that has
+        an idempotency key and a method that is not idempotent goes through the at-most-once check.
+        """
         brand = exchange.target.brand
         if not self._admission.enter(brand):
             raise RequestError(ErrorKind.OVERLOADED, "the brand's share of this VM is in use")
@@ -173,20 +186,20 @@
             address = await self._dispatcher.retry(exchange.target, ended, self._clock_ms())
 
     async def _attempt(self, exchange: Exchange, address: str) -> AttemptEnded | None:
-        """Make one attempt; return its end when another one is wanted, else None."""
+        """Make one attempt; return how it ended if the request should be retried, else None."""
         started_ms = self._clock_ms()
         self._note(EventName.ATTEMPT_STARTED, exchange.request_id, address)
         result = AttemptResult.CANCELLED
         load: int | None = None
-        leaving = False
+        server_draining = False
         failure: Exception | None = None
         try:
             async with asyncio.timeout((exchange.deadline_ms - started_ms) / 1000):
-                head = await exchange.attempt(
+                answer = await exchange.attempt(
                     address, self._pool, self._clock_ms, closing=self.leaving
                 )
-            load, leaving = h.load_of(head.headers), h.is_leaving(head.headers)
-            result = AttemptResult.FAILED if head.status >= 500 else AttemptResult.ANSWERED
+            load, server_draining = h.load_of(answer.headers), h.is_leaving(answer.headers)
+            result = AttemptResult.FAILED if answer.status >= 500 else AttemptResult.ANSWERED
         except UpstreamError as error:
             failure = error
             exchange.bad_answer = error.bad_answer
@@ -195,27 +208,31 @@
             failure = error
             result = AttemptResult.TIMED_OUT if exchange.sent else AttemptResult.NOT_SENT
         except RefusedError as error:
-            failure, leaving = error, error.leaving
+            failure, server_draining = error, error.leaving
             result = AttemptResult.REFUSED
         finally:
             exchange.maybe_ran |= exchange.sent and result not in NOT_RUN_RESULTS
-            again = failure is not None and self._may_retry(exchange, result)
+            will_retry = failure is not None and self._may_retry(exchange, result)
             latency_ms = self._clock_ms() - started_ms
             ended = AttemptEnded(
-                exchange.request_id, address, result, latency_ms, load, again, leaving
+                exchange.request_id, address, result, latency_ms, load, will_retry, server_draining
             )
             exchange.seen.attempt_ended(latency_ms)
             self._note_attempt(ended)
-            if not again:
+            if not will_retry:
                 self._dispatcher.ended(exchange.target, ended, self._clock_ms())
-        if again:
+        if will_retry:
             return ended
         if failure is not None:
             raise self._final_error(exchange, result) from failure
         return None
 
     def _may_retry(self, exchange: Exchange, result: AttemptResult) -> bool:
-        """Return whether another attempt is allowed: non-idempotent requests run at most once."""
+        """Return whether another attempt is allowed.
+
+        A request that is not idempotent must run at most once, so it is retried only after an
+        attempt that is certain not to have run.
+        """
         if not exchange.repeatable or self._clock_ms() >= exchange.deadline_ms:
             return False
         if result in NOT_RUN_RESULTS:
@@ -234,27 +251,27 @@
         return RequestError(ErrorKind.NO_BACKEND_SERVER, retry_after_ms=DEFAULT_RETRY_AFTER_MS)
 
     async def _send_error(
-        self, send: Send, error: RequestError, seen: Observation, exchange: Exchange | None
+        self, send: Send, error: RequestError, observation: Observation, exchange: Exchange | None
     ) -> None:
         kind = error.kind
         if exchange is not None and exchange.bad_answer and kind is ErrorKind.CONNECTION_CUT:
             kind = ErrorKind.BAD_ANSWER
-        seen.kind = kind
+        observation.kind = kind
         answer = answer_for(kind)
         outcome = answer.outcome
         if exchange is not None and exchange.maybe_ran and outcome is Outcome.NOT_RUN:
             outcome = Outcome.UNKNOWN
-        sent = [
-            (h.REQUEST_ID, seen.request_id.encode()),
+        headers = [
+            (h.REQUEST_ID, observation.request_id.encode()),
             (h.OUTCOME, outcome.value.encode()),
             (h.ERROR, kind.value.encode()),
         ]
         if answer.retry_after:
-            sent += _retry_after(error.retry_after_ms or DEFAULT_RETRY_AFTER_MS)
+            headers += _retry_after(error.retry_after_ms or DEFAULT_RETRY_AFTER_MS)
         if self.leaving:
-            sent.append((b"connection", b"close"))
+            headers.append((b"connection", b"close"))
         body = {"error": kind.value, "outcome": outcome.value, "detail": str(error)}
-        await self._send_json(send, body, answer.status, sent)
+        await self._send_json(send, body, answer.status, headers)
 
     async def _send_json(
         self,
@@ -264,12 +281,12 @@
         extra: h.Headers | None = None,
     ) -> None:
         data = json.dumps(document).encode()
-        sent = [
+        headers = [
             (b"content-type", b"application/json"),
             (b"content-length", str(len(data)).encode()),
             *(extra or ()),
         ]
-        await send({"type": "http.response.start", "status": status, "headers": sent})
+        await send({"type": "http.response.start", "status": status, "headers": headers})
         await send({"type": "http.response.body", "body": data, "more_body": False})
 
     def _note_attempt(self, ended: AttemptEnded) -> None:
@@ -282,7 +299,7 @@
 
 
 def _retry_after(retry_after_ms: float) -> h.Headers:
-    """Return the time to come back, in whole seconds and exactly."""
+    """Return the headers for the time until a retry: in whole seconds, and exactly."""
     seconds = max(1, -(-int(retry_after_ms) // 1_000))
     return [
         (b"retry-after", str(seconds).encode()),
--- a/cloverhook/upstream.py
+++ b/cloverhook/upstream.py
@@ -1,9 +1,10 @@
 """The pool of connections to backend servers.
 
-Layer: transport.  The connection used last is used first, so that those not needed grow old and
-are closed.  A connection may have gone silent while it was idle, and nothing shows it before a
-request is lost on it; so a request that must not run twice gets a connection that was in use
-just now or a new one, and one request without an answer ends all connections idle since before.
+Layer: transport.  The connection used last is reused first, so that surplus connections reach their
+idle limit and are closed.  A connection may stop working while it is idle, and nothing shows this
+before a request is lost on it.  For this reason a request that must not run twice gets either a
+connection that was in use a moment ago or a new one, and when one request gets no byte of an
+answer, all connections that have been idle since before that request are closed.
 """
 
 import asyncio
@@ -33,7 +34,11 @@
 
 
 class _AddressPool:
-    """The connections to one address: `open_count` has those in use and those being made too."""
+    """The connections to one address.
+
+    `open_count` includes the connections in use and those being opened; `spare_task` opens a
+    connection ahead of its use.
+    """
 
     def __init__(self) -> None:
         self.idle: deque[UpstreamConnection] = deque()
@@ -41,16 +46,19 @@
         self.spare_task: asyncio.Task[None] | None = None
 
     def count_closed(self) -> None:
-        """Count a connection that is of no more use."""
+        """Count a connection as closed."""
         self.open_count -= 1
 
     def close_idle_before(self, time_ms: float) -> None:
-        """Close the connections that have been idle since before a time."""
+        """Close the connections that became idle before a time."""
         while self.idle and self.idle[0].idle_since_ms < time_ms:
             self.idle.popleft().close()
 
     def take(self, now_ms: float, idle_ms: float) -> UpstreamConnection | None:
-        """Return the connection used last, unless it has been idle for `idle_ms`."""
+        """Return the usable connection that was used last, if it was idle for less than `idle_ms`.
+
+        Connections found unusable on the way are closed.
+        """
         while self.idle and now_ms - self.idle[-1].idle_since_ms < idle_ms:
             connection = self.idle.pop()
             if connection.usable and not connection.has_input:
@@ -62,7 +70,7 @@
 class UpstreamPool:
     """Connections to backend servers, by address.
 
-    `limit_of` gives how many connections to an address this VM may have.
+    `limit_of` returns how many connections to an address this VM may have.
     """
 
     def __init__(
@@ -76,18 +84,21 @@
         self._sweeper: asyncio.TimerHandle | None = None
 
     async def acquire(self, address: str, idempotent: bool = True) -> UpstreamConnection:
-        """Return a connection that no other exchange uses, a fresh one where that matters.
+        """Return a connection that no other exchange uses.
 
-        Raises `UpstreamError` with `sent` False when none can be made.
+        For a request that is not idempotent, it is a new one or was in use a moment ago.
+        Raises `UpstreamError` with `sent` False when no connection can be opened.
         """
         address_pool = self._address_pools.get(address)
         if address_pool is None:
             address_pool = self._address_pools[address] = _AddressPool()
         idle_ms = IDLE_LIMIT_MS if idempotent else NON_IDEMPOTENT_IDLE_LIMIT_MS
-        return address_pool.take(_now_ms(), idle_ms) or await self._open(address, address_pool, idle_ms)
+        return address_pool.take(_now_ms(), idle_ms) or await self._open(
+            address, address_pool, idle_ms
+        )
 
     def release(self, address: str, connection: UpstreamConnection) -> None:
-        """Give a connection back; it is kept only if its exchange was whole."""
+        """Return a connection to the pool; it is kept only if its exchange was complete."""
         connection.stop_sending()
         address_pool = self._address_pools.get(address)
         if address_pool is not None and connection.usable:
@@ -96,7 +107,7 @@
             connection.close()
 
     def close_idle_since(self, address: str, since_ms: float) -> None:
-        """Close what has been idle since before a request that got no byte of an answer.
+        """Close the connections idle since before a request that got no byte of an answer.
 
         `since_ms` is the time at which that request was sent, on the loop's clock.
         """
@@ -105,12 +116,12 @@
             address_pool.close_idle_before(since_ms)
 
     def open_count(self, address: str) -> int:
-        """Return how many connections to an address there are, with those being made."""
+        """Return the number of connections to an address, including those being opened."""
         address_pool = self._address_pools.get(address)
         return 0 if address_pool is None else address_pool.open_count
 
     def close(self) -> None:
-        """Close all idle connections."""
+        """Close all idle connections and stop opening spare ones."""
         if self._sweeper is not None:
             self._sweeper.cancel()
             self._sweeper = None
@@ -128,7 +139,9 @@
             loop = asyncio.get_running_loop()
             self._sweeper = loop.call_later(SWEEP_INTERVAL_MS / 1000, self._sweep)
 
-    async def _open(self, address: str, address_pool: _AddressPool, idle_ms: float) -> UpstreamConnection:
+    async def _open(
+        self, address: str, address_pool: _AddressPool, idle_ms: float
+    ) -> UpstreamConnection:
         limit = self._limit_of(address)
         if address_pool.open_count >= limit and address_pool.spare_task is not None:
             await asyncio.wait({address_pool.spare_task})
@@ -138,7 +151,7 @@
         while address_pool.open_count >= limit and address_pool.idle:
             address_pool.idle.popleft().close()
         if address_pool.open_count >= limit:
-            raise UpstreamError(f"{limit} connections to {address} are in use", sent=False)
+            raise UpstreamError(f"all {limit} connections to {address} are in use", sent=False)
         connection = await self._connect(address, address_pool)
         self._open_spare(address, address_pool, limit)
         return connection
@@ -153,15 +166,22 @@
                 await loop.create_connection(lambda: connection, host, int(port))
         except (OSError, TimeoutError) as error:
             connection.close()
-            raise UpstreamError(f"no connection to {address}: {error!r}", sent=False) from error
+            raise UpstreamError(f"can't connect to {address}: {error!r}", sent=False) from error
         except asyncio.CancelledError:
             connection.close()
             raise
         return connection
 
     def _open_spare(self, address: str, address_pool: _AddressPool, limit: int) -> None:
-        """Make a connection ahead of its use: that none was idle says that load grows."""
-        if address_pool.spare_task is None and not address_pool.idle and address_pool.open_count < limit:
+        """Start to open a connection ahead of its use.
+
+        That no connection was idle is a sign of growing load.
+        """
+        if (
+            address_pool.spare_task is None
+            and not address_pool.idle
+            and address_pool.open_count < limit
+        ):
             task = asyncio.get_running_loop().create_task(self._add_spare(address, address_pool))
             address_pool.spare_task = task
 
@@ -174,7 +194,7 @@
             address_pool.spare_task = None
 
     def _sweep(self) -> None:
-        """Close connections that have been idle for long, and forget places without any."""
+        """Close connections that exceed `IDLE_LIMIT_MS`; remove addresses without connections."""
         self._sweeper = None
         oldest_ms = _now_ms() - IDLE_LIMIT_MS
         for address, address_pool in tuple(self._address_pools.items()):
--- a/cloverhook/upstream_connection.py
+++ b/cloverhook/upstream_connection.py
@@ -1,9 +1,9 @@
 """A connection to a backend server: one HTTP/1.1 exchange at a time.
 
-Layer: transport.  At-most-once needs to know whether a byte of a request has left this process,
-and an answer may only go to the request that asked for it.  So a connection is used again only
-after a whole exchange, and bytes that arrive while no exchange is open close it.
-`docs/DESIGN.md` says why this is built on httptools and not on aiohttp.
+Layer: transport.  At-most-once delivery depends on whether a byte of a request has left this
+process, and an answer must only go to the request that it belongs to.  For this reason a connection
+is reused only after a complete exchange, and it is closed when bytes arrive while no exchange is
+open.  `docs/DESIGN.md` explains why this is built on httptools and not on aiohttp.
 """
 
 import asyncio
@@ -29,7 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """The head of a request: method, target and headers.  `chunked` says how its body is framed."""
+    """The head of a request: method, target and headers.
+
+    `chunked` is whether the body uses chunked transfer coding.
+    """
 
     method: bytes
     target: bytes
@@ -38,7 +41,7 @@
     chunked: bool = False
 
     def to_bytes(self) -> bytes:
-        """Return the head as it goes over the wire."""
+        """Return the head in its wire format."""
         lines = [self.method, b" ", self.target, b" HTTP/1.1\r\n"]
         for name, value in self.headers:
             lines += [name, b": ", value, b"\r\n"]
@@ -57,9 +60,9 @@
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection to a backend server; `on_closed` is called once, when it is of no more use.
+    """One connection to a backend server; `on_closed` is called once, when it becomes unusable.
 
-    `idle_since_ms` is the time of its last whole exchange, on the loop's clock.
+    `idle_since_ms` is when it became idle after its last complete exchange, on the loop's clock.
     """
 
     def __init__(
@@ -88,7 +91,7 @@
 
     @property
     def has_input(self) -> bool:
-        """Whether bytes, or the end of the connection, wait to be read at this moment."""
+        """Whether bytes or the end of the connection are ready to be read."""
         return bool(self._poll.poll(0))
 
     @property
@@ -98,11 +101,11 @@
 
     @property
     def silent(self) -> bool:
-        """Whether no byte of an answer has come for the latest request."""
+        """Whether no byte of an answer to the latest request has been received."""
         return self._exchange is not None and not self._exchange.has_received
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and set the socket's liveness options."""
         self._transport = transport
         sock = transport.get_extra_info("socket")
         self._liveness.apply(sock)
@@ -117,22 +120,22 @@
             self._exchange.on_eof(whole=exc is None)
 
     def pause_writing(self) -> None:
-        """Make the sender of a request's body wait."""
+        """Suspend sending the request's body."""
         self._can_write.clear()
 
     def resume_writing(self) -> None:
-        """Let the sender of a request's body go on."""
+        """Resume sending the request's body."""
         self._can_write.set()
 
     def data_received(self, data: bytes) -> None:
-        """Feed the open exchange; close the connection when there is none."""
+        """Pass the bytes to the open exchange; close the connection when there is none."""
         if self._open:
             self._exchange.feed(data)
         else:
             self.close()
 
     def close(self) -> None:
-        """Close the connection at once; an open exchange ends as cut."""
+        """Close the connection at once; an open exchange fails as interrupted."""
         self._mark_closed()
         if self._transport is not None:
             self._transport.abort()
@@ -146,12 +149,12 @@
     ) -> AnswerHead:
         """Send a request and return the head of its answer.
 
-        `first` is the part of the body that is at hand, and `rest` what is still to come.  An
-        answer that `is_own` denies belongs to an earlier request: it is skipped.
-        Raises `UpstreamError`, whose `sent` says whether a byte may have left.
+        `first` is the part of the body that is available, and `rest` yields the parts to come.  An
+        answer for which `is_own` returns False belongs to an earlier request and is skipped.
+        Raises `UpstreamError`, whose `sent` says whether a byte may have left this process.
         """
         if not self.usable or self._transport is None or self._transport.is_closing():
-            raise UpstreamError("the connection was closed before use", sent=False)
+            raise UpstreamError("the connection was closed before the request", sent=False)
         exchange = _Exchange(self, head.method == b"HEAD", self._header_limit_bytes, is_own)
         self._exchange = exchange
         self._open = True
@@ -165,12 +168,12 @@
     async def read(self) -> tuple[bytes, bool]:
         """Return the next part of the answer's body, and whether more follows.
 
-        Raises `UpstreamError` when the answer is cut.
+        Raises `UpstreamError` when the answer is incomplete or invalid.
         """
         return await self._exchange.next_part()
 
     def stop_sending(self) -> None:
-        """Stop sending the body of a request whose answer is not wanted or is whole already."""
+        """Stop sending a request's body; its answer is not needed or is complete already."""
         sender = self._exchange.sender if self._exchange is not None else None
         if sender is not None:
             sender.cancel()
@@ -207,7 +210,7 @@
 
 
 class _Exchange:
-    """One request and its answer; the parser calls its `on_` methods."""
+    """One request and its answer; the parser calls the methods `on_...`."""
 
     def __init__(
         self,
@@ -247,7 +250,7 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self._has_extra_data = True
             if not self._complete and not (self._head_only and self._answer is not None):
-                self._fail(UpstreamError(f"the answer is not HTTP: {error!r}", True, True))
+                self._fail(UpstreamError(f"the answer is not valid HTTP: {error!r}", True, True))
         if self._head_only and self._answer is not None and not self._complete:
             self._end(reusable=data.endswith(END_OF_HEAD) and self._parser.should_keep_alive())
         if self._has_extra_data:
@@ -264,7 +267,7 @@
             return
         self._header_bytes_left -= len(name) + len(value) + HEADER_FRAMING_BYTES
         if self._header_bytes_left < 0:
-            raise ValueError("the head is too long")
+            raise ValueError("the head of the answer exceeds the header limit")
         self._headers.append((name.lower(), value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:
@@ -311,7 +314,7 @@
             self._complete = True
             self._wake()
             return
-        self._fail(UpstreamError("the connection was cut", sent=True))
+        self._fail(UpstreamError("the connection was lost before the answer's end", sent=True))
 
     def on_sender_done(self, sender: asyncio.Task[None]) -> None:
         if sender.cancelled():
@@ -338,7 +341,10 @@
         return part, not self._complete
 
     def _drop_parser(self) -> None:
-        """Let go of the parser, which holds this object: no garbage collection has to find them."""
+        """Release the parser, which refers to this object.
+
+        Without the reference cycle, both are freed without a run of the garbage collector.
+        """
         self._parser = None
 
     def _check_framing(self) -> None:
@@ -346,7 +352,7 @@
         if not codings:
             return
         if self._parser.get_http_version() != "1.1" or codings[0].lower() != b"chunked":
-            raise ValueError("a transfer coding other than chunked")
+            raise ValueError("the answer has a transfer coding other than HTTP/1.1 chunked")
 
     def _ends_at_close(self, status: int) -> bool:
         if self._head_only or status in BODILESS_STATUSES:
