--- a/cloverhook/address_answers.py
+++ b/cloverhook/address_answers.py
@@ -1,8 +1,9 @@
-"""What a caller is told when it asks which addresses to use for a service.
+"""The answer to a caller that asks which addresses to use for a service.
 
-Layer: coordination, free of input and output.  The home VMs come first, in turn, so that each is
-first as often as its share of the slots says; then the others, in the service's order.  A caller
-that names its data centre gets the VMs there before the others of their group.
+Layer: coordination, free of input and output.  The home VMs of the service come first; they rotate,
+so that each is first in proportion to its share of the slots.  The other VMs follow in the
+service's rendezvous order.  A caller that gives its data centre gets, in each of the two groups,
+the VMs in that data centre first.
 """
 
 import random
@@ -22,7 +23,7 @@
 
 
 class AddressAnswers:
-    """Answers from the members that serve and their home tables."""
+    """Computes the answers from the serving members and the services' home VMs."""
 
     def __init__(self, source: random.Random) -> None:
         self._homes = HomeTable()
@@ -35,7 +36,10 @@
     def update(
         self, counts: dict[str, int], serving: Sequence[Member], now_ms: float
     ) -> tuple[str, ...]:
-        """Take who serves; return the services whose home VMs have changed."""
+        """Set the serving members and each service's number of home VMs.
+
+        Returns the keys of the services whose home VMs have changed.
+        """
         self._serving = serving
         self._other_members.clear()
         changed = self._homes.update(counts, serving)
@@ -63,8 +67,9 @@
     ) -> dict[str, Any]:
         """Return the answer for a service.
 
-        With `doubtful`, when this process has been paused and what it knows is not confirmed
-        yet, the answer's lifetime is short; so it is while the homes have just changed.
+        The answer's lifetime is short while the home VMs have changed recently.  It is also short
+        with `doubtful`, which means that this process was paused and its member table is not
+        confirmed yet.
         """
         homes = self._homes.homes(key)
         weights = self._weights_of(key, service.endpoints)
@@ -79,12 +84,12 @@
         }
 
     def _weights_of(self, key: str, endpoints: Sequence[Endpoint]) -> dict[str, float]:
-        known = self._weights.get(key)
-        if known is None or known[0] is not endpoints:
+        cached = self._weights.get(key)
+        if cached is None or cached[0] is not endpoints:
             homes = self._homes.names(key)
-            known = (endpoints, owned_slots(endpoints, homes, self.home_data_centers(key)))
-            self._weights[key] = known
-        return known[1]
+            cached = (endpoints, owned_slots(endpoints, homes, self.home_data_centers(key)))
+            self._weights[key] = cached
+        return cached[1]
 
     def _ranked_other_members(self, key: str) -> tuple[Member, ...]:
         if key not in self._other_members:
--- a/cloverhook/caller_protocol.py
+++ b/cloverhook/caller_protocol.py
@@ -1,8 +1,9 @@
-"""HTTP/1.1 towards callers: limits, refusals and one answer to each request, in order.
+"""HTTP/1.1 towards callers: limits, rejections and one answer to each request, in order.
 
-Layer: transport.  This is uvicorn's httptools protocol with a stricter reading of requests; the
-module `request_cycle` holds what becomes of each.  What a parser refuses is answered only after
-every earlier request has had its answer; a caller that goes away cancels its request's task.
+Layer: transport.  This is uvicorn's httptools protocol with stricter validation of requests; the
+module `request_cycle` handles each request and its answer.  A request that the parser rejects is
+answered only after all earlier requests have been answered.  When a caller disconnects, the task of
+its request is cancelled.
 """
 
 import asyncio
@@ -35,10 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """How large and how slow a request may be.
+    """Limits on the size and the speed of a request.
 
-    `body_timeout_ms` bounds the time between two parts of a body, and `header_timeout_ms` the
-    time from the first byte of a head to its last.
+    `body_timeout_ms` limits the time between two parts of a body, and `header_timeout_ms` the time
+    from the first byte of a head to its last.
     """
 
     header_bytes: int = 32_768
@@ -50,7 +51,7 @@
 
 
 class _ParsingStoppedError(Exception):
-    """Stops the parser; the protocol has noted the error kind."""
+    """Stops the parser; the protocol has stored the error kind before."""
 
 
 class CallerProtocol(HttpToolsProtocol):
@@ -59,9 +60,9 @@
     limits = Limits()
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Take the connection; one that stays silent is closed like an idle one."""
+        """Initialise the connection; one without any request is closed like an idle one."""
         super().connection_made(transport)
-        # asyncio sets this itself only on sockets that were made with an explicit protocol number.
+        # asyncio sets TCP_NODELAY only on sockets created with an explicit protocol number.
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         CALLER_LIVENESS.apply(sock)
@@ -79,20 +80,20 @@
         )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel the request that runs: its caller has gone."""
-        running = self._running_cycle
+        """Cancel the running request, because its caller has disconnected."""
+        running_cycle = self._running_cycle
         super().connection_lost(exc)
         self._unset_keepalive_if_required()
         for timer in (self._head_timer, self._linger_timer):
             if timer is not None:
                 timer.cancel()
         self.pipeline.clear()
-        if running is not None and not running.response_complete:
-            running.disconnected = True
+        if running_cycle is not None and not running_cycle.response_complete:
+            running_cycle.disconnected = True
             self._task.cancel()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come; after a refusal nothing is read any more."""
+        """Parse the received bytes; after a rejection or upgrade, input is ignored."""
         if self._ignoring_input:
             return
         self._unset_keepalive_if_required()
@@ -110,26 +111,26 @@
 
     @property
     def body_timeout_ms(self) -> float:
-        """The time that a body may be silent."""
+        """The longest time between two parts of a body."""
         return self.limits.body_timeout_ms
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """Start a request."""
+        """Reset the state for a new request."""
         super().on_message_begin()
         self._in_head = True
         self._head_bytes = 0
         self._body_framing_bytes = 0
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the request's target."""
+        """Add a part of the request's target."""
         super().on_url(url)
         if len(self.url) > self.limits.url_bytes:
             self._stop_parsing(ErrorKind.HEADERS_TOO_LARGE)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header; those after the body (trailers) are dropped."""
+        """Add a header; trailers, the headers after the body, are dropped."""
         self._head_bytes += len(name) + len(value) + HEADER_FRAMING_BYTES
         if self._head_bytes > self.limits.header_bytes:
             self._stop_parsing(ErrorKind.HEADERS_TOO_LARGE)
@@ -140,7 +141,7 @@
             self._stop_parsing(ErrorKind.HEADERS_TOO_LARGE)
 
     def on_headers_complete(self) -> None:
-        """Check the head and start the request, or queue it behind an earlier one."""
+        """Validate the head and start the request, or queue it behind an earlier one."""
         self._in_head = False
         version = self.parser.get_http_version()
         upgrade = self.parser.should_upgrade()
@@ -157,7 +158,7 @@
             self.pipeline.appendleft((self.cycle, self.app))
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of a request's body."""
+        """Add a part of a request's body; dropped once the request is answered or failed."""
         cycle = self.cycle
         self._body_framing_bytes -= len(body) * FRAMING_RATIO
         if cycle.response_complete or cycle.failure is not None:
@@ -171,14 +172,14 @@
         cycle.message_event.set()
 
     def on_message_complete(self) -> None:
-        """End the body of a request."""
+        """Mark the body of a request as complete."""
         self.cycle.more_body = False
         self.cycle.message_event.set()
 
-    # What a cycle calls.
+    # Callbacks of a request cycle.
 
     def on_response_complete(self) -> None:
-        """Go on with the next request, or with the refusal that waits behind the answers."""
+        """Start the next request, or send the rejection that waits until all answers are sent."""
         self._running_cycle = None
         if self.transport.is_closing() or self._linger_timer is not None:
             return
@@ -187,10 +188,11 @@
             self._write_rejection()
 
     def close_after_answer(self, drain: bool) -> None:
-        """Close once the answer is out; with `drain`, let the caller read it before the end.
+        """Close the connection once the answer is sent.
 
-        A connection that is closed with unread input is reset, and the reset may overtake the
-        answer.
+        With `drain`, only the sending side is closed at first, so that the caller can read the
+        answer: a connection that is closed with unread input is reset, and the reset may overtake
+        the answer.
         """
         if not drain:
             self.transport.close()
@@ -202,7 +204,7 @@
         self._linger_timer = self.loop.call_later(LINGER_MS / 1000, self.transport.abort)
 
     def break_off(self) -> None:
-        """Reset the connection, so that no caller takes a part of an answer for the whole."""
+        """Reset the connection, so that no caller takes an incomplete answer for a complete one."""
         if self.transport.is_closing():
             return
         sock = self.transport.get_extra_info("socket")
@@ -245,12 +247,12 @@
         self.scope["target"] = target
 
     def _origin_form(self, target: bytes) -> bytes:
-        """Return the path of an absolute target, whose host goes before the Host header."""
+        """Return the origin form of an absolute target, whose host overrides the Host header."""
         scheme, separator, rest = target.partition(b"://")
         authority, slash, path = rest.partition(b"/")
         authority, mark, query = authority.partition(b"?")
-        known = scheme.lower().decode("ascii", "replace") in SCHEMES
-        if not (known and separator and authority) or b"@" in authority:
+        is_known_scheme = scheme.lower().decode("ascii", "replace") in SCHEMES
+        if not (is_known_scheme and separator and authority) or b"@" in authority:
             self._stop_parsing(ErrorKind.BAD_REQUEST)
         for index, (name, _) in enumerate(self.headers):
             if name == b"host":
@@ -262,13 +264,16 @@
         raise _ParsingStoppedError(kind.value)
 
     def _check_framing(self, received_bytes: int) -> None:
-        """Refuse a body whose chunk sizes and extensions weigh far more than its content."""
+        """Reject a body whose chunk sizes and extensions are far larger than its content."""
         self._body_framing_bytes += received_bytes
         if self._body_framing_bytes > FRAMING_ALLOWANCE_BYTES:
             self._reject(ErrorKind.BAD_REQUEST)
 
     def _reject(self, kind: ErrorKind) -> None:
-        """Read no more, and answer with an error after the requests that came before."""
+        """Ignore all further input, and send an error after the answers to earlier requests.
+
+        When the body of the current request is incomplete, that request fails with the error.
+        """
         self._ignoring_input = True
         cycle = self.cycle
         if not self._in_head and cycle is not None and cycle.more_body:
@@ -292,11 +297,11 @@
         self.close_after_answer(drain=True)
 
     def _update_head_timer(self, received: bool) -> None:
-        waiting = received and self._in_head and not self._ignoring_input
-        if waiting and self._head_timer is None:
+        awaiting_head = received and self._in_head and not self._ignoring_input
+        if awaiting_head and self._head_timer is None:
             delay_s = self.limits.header_timeout_ms / 1000
             self._head_timer = self.loop.call_later(delay_s, self._head_timed_out)
-        elif not waiting and self._head_timer is not None:
+        elif not awaiting_head and self._head_timer is not None:
             self._head_timer.cancel()
             self._head_timer = None
 
--- a/cloverhook/clock.py
+++ b/cloverhook/clock.py
@@ -1,7 +1,7 @@
-"""The clocks of a daemon, and how it notices that it was paused.
+"""The clocks of a daemon, and the detection of process pauses.
 
-Layer: state.  Durations are taken from the monotonic clock; the wall clock serves the time line
-alone.
+Layer: state.  Durations are measured with the monotonic clock; the wall clock is used only for the
+time line.
 """
 
 import time
@@ -22,9 +22,9 @@
 
 
 class PauseWatch:
-    """Notices that the process did not run for a while.
+    """Detects that the process did not run for a while.
 
-    `observe` has to be called often, and before anything that arrived in the meantime is used.
+    `observe` must be called often, and before anything that arrived during a pause is used.
     """
 
     def __init__(self, now_ms: float, pause_ms: float = PAUSE_THRESHOLD_MS) -> None:
@@ -32,6 +32,6 @@
         self._pause_ms = pause_ms
 
     def observe(self, now_ms: float) -> bool:
-        """Take the time and return whether the process has just woken from a pause."""
+        """Record the time and return whether the process has just resumed after a pause."""
         paused_ms, self._last_ms = now_ms - self._last_ms, now_ms
         return paused_ms > self._pause_ms
--- a/cloverhook/daemon.py
+++ b/cloverhook/daemon.py
@@ -1,7 +1,6 @@
-"""The daemon: one event loop that serves callers, follows the configuration and talks to its peers.
+"""The daemon: one event loop for the callers, the configuration log and the peers.
 
-Layer: transport.  `Daemon` only wires the parts together; each decision is made in a part of its
-own.
+Layer: transport.  `Daemon` only connects the parts; every decision is made in one of them.
 """
 
 import asyncio
@@ -91,11 +90,11 @@
 
     @classmethod
     def from_settings(cls, settings: DaemonSettings) -> "Daemon":
-        """Return a daemon that uses the platform its settings name."""
+        """Return a daemon that uses the platform at the URL in its settings."""
         return cls(settings, HttpPlatform(settings.platform_url))
 
     async def start(self) -> None:
-        """Open the listeners and start to follow and to talk."""
+        """Open the listeners, join the peers and start to follow the configuration log."""
         self._caller_app = CallerApp(
             self._settings,
             self._dispatcher,
@@ -105,7 +104,7 @@
             self._cluster.addresses,
             OnceGuard(self._claims, AnswerStore(self._settings.replay_limit_bytes), monotonic_ms),
         )
-        operators = operator_app(
+        operators_app = operator_app(
             self,
             self._observer.metrics,
             self._settings.operator_token(),
@@ -125,16 +124,16 @@
                 settings.body_timeout_ms,
             ),
         )
-        self._operator_listener = Listener(operators, settings.operator_address)
+        self._operator_listener = Listener(operators_app, settings.operator_address)
         await self._cluster.start(self._caller_listener.address)
         await self._caller_listener.start()
         await self._operator_listener.start()
         self._dispatcher.start_timer(monotonic_ms)
         loops = (self._follow_log(), self._append_snapshots(), self._claims.run())
-        watch = LoadWatch(
+        load_watch = LoadWatch(
             self._dispatcher.own_limit, self._cluster.load_changed, self._observer.loop_lagged
         )
-        self._tasks = [asyncio.create_task(loop) for loop in (*loops, watch.run())]
+        self._tasks = [asyncio.create_task(loop) for loop in (*loops, load_watch.run())]
         self._observer.note(EventName.DAEMON_STARTED)
         logging.info("daemon: %s has started.", settings.vm)
 
@@ -148,7 +147,7 @@
             print(f"{name}: listening on {address}", flush=True)
 
     async def run_until_stopped(self) -> None:
-        """Serve until a planned stop has ended."""
+        """Serve until a planned shutdown is complete."""
         await self._stop_requested.wait()
         logging.info("daemon: %s is leaving.", self._settings.vm)
         await asyncio.sleep(self._drain_plan.remaining_ms(monotonic_ms()) / 1000)
@@ -165,9 +164,11 @@
         logging.info("daemon: %s has stopped.", self._settings.vm)
 
     def drain(self) -> None:
-        """Begin a planned stop: leave the addresses handed out, serve on, then stop.
+        """Start a planned shutdown.
 
-        A second call changes nothing, so a second signal cuts no request either.
+        This daemon's address is withdrawn from the answers to callers, requests are still served
+        until the earlier answers have expired, and then the daemon stops.  A second call has no
+        effect, so a second signal interrupts no request either.
         """
         if self._draining:
             return
@@ -182,23 +183,23 @@
         self._stop_requested.set()
 
     async def _finish_requests(self) -> None:
-        """Let the requests in flight end; report those that take longer than the limit."""
-        stop = asyncio.create_task(self._caller_listener.stop())
+        """Wait until the requests in flight have ended; log a warning after each time limit."""
+        stop_task = asyncio.create_task(self._caller_listener.stop())
         limit_s = self._settings.drain_in_flight_ms / 1000
-        while not (await asyncio.wait({stop}, timeout=limit_s))[0]:
+        while not (await asyncio.wait({stop_task}, timeout=limit_s))[0]:
             logging.warning(
                 "daemon: %s still has %d requests in flight.",
                 self._settings.vm,
                 self._caller_listener.in_flight(),
             )
-        await stop
+        await stop_task
 
     def ready(self) -> bool:
-        """Return whether the daemon has a configuration and takes requests."""
+        """Return whether the daemon has a configuration and accepts requests."""
         return bool(self._follower.state.brands) and not self._draining
 
     def status(self) -> dict[str, Any]:
-        """Return what operators see of this daemon."""
+        """Return the status document of this daemon for operators."""
         return {
             "vm": self._settings.vm,
             "data_center": self._settings.data_center,
@@ -219,11 +220,11 @@
         return self._observer.page(after, limit, request_id, address, change_id)
 
     def tell(self, vm: str, message: Message) -> None:
-        """Send a message to another VM; it may be lost."""
+        """Send a message to another VM.  Delivery is not guaranteed."""
         self._cluster.tell(vm, message)
 
     def probe(self, target: Target, address: str, health: bool) -> None:
-        """Ask an endpoint for its load or health and report the answer to its router."""
+        """Probe an endpoint for its load or health and report the result to its router."""
         self._probes.start(target, address, health)
 
     def _on_probed(self, key: str, ended: ProbeEnded) -> None:
@@ -275,7 +276,7 @@
         loop.add_signal_handler(number, daemon.drain)
     daemon.announce()
     gc.collect()
-    gc.freeze()  # What has been loaded stays; a full collection need not look at it again.
+    gc.freeze()  # What has been loaded is permanent, so full collections need not traverse it.
     await daemon.run_until_stopped()
     for number in STOP_SIGNALS:
         loop.remove_signal_handler(number)
@@ -285,7 +286,7 @@
 def _start(arguments: list[str]) -> None:
     del arguments
     if FLAGS.settings is None:
-        print("cloverhookd: --settings names no file", file=sys.stderr)
+        print("cloverhookd: the flag --settings is missing", file=sys.stderr)
         sys.exit(EXIT_INVALID_SETTINGS)
     try:
         settings = DaemonSettings.from_file(FLAGS.settings)
--- a/cloverhook/drain.py
+++ b/cloverhook/drain.py
@@ -1,8 +1,9 @@
-"""How long a daemon serves on in a planned stop.
+"""How long a daemon continues to serve during a planned shutdown.
 
-Layer: coordination, free of input and output.  Callers keep an answer for its lifetime, so a
-daemon that has left the answers serves until the last of them has run out, and a margin for the
-time that the news takes; a setting bounds the whole.
+Layer: coordination, free of input and output.  Callers use an address answer until its lifetime
+ends.  A daemon whose address is no longer in new answers therefore serves until the last answer
+that contains it has expired, plus a margin for the time until all peers know of the shutdown.  A
+setting limits the total.
 
 >>> plan = DrainPlan.from_lifetimes(0.0, (5_000,), bound_ms=20_000)
 >>> plan.remaining_ms(1_000.0)
@@ -19,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainPlan:
-    """A planned stop that began at `begun_ms` and serves until `ends_ms`."""
+    """A planned shutdown that started at `begun_ms`; new requests are accepted until `ends_ms`."""
 
     begun_ms: float
     ends_ms: float
@@ -28,10 +29,10 @@
     def from_lifetimes(
         cls, now_ms: float, lifetimes_ms: Iterable[float], bound_ms: float
     ) -> "DrainPlan":
-        """Return the plan for the answers' lifetimes, bounded by a setting."""
+        """Return the plan for the lifetimes of the answers; it lasts at most `bound_ms`."""
         needed_ms = max(lifetimes_ms, default=0.0) + MARGIN_MS
         return cls(now_ms, now_ms + min(bound_ms, needed_ms))
 
     def remaining_ms(self, now_ms: float) -> float:
-        """Return how much longer new requests are taken."""
+        """Return how much longer new requests are accepted."""
         return max(0.0, self.ends_ms - now_ms)
--- a/cloverhook/headers.py
+++ b/cloverhook/headers.py
@@ -1,7 +1,7 @@
-"""The HTTP headers that cloverhook reads, adds and drops.
+"""The HTTP headers that cloverhook reads, adds and removes.
 
-Layer: protocol.  Headers are lists of pairs of bytes with lower-case names, so repeated headers and
-their order are kept.
+Layer: protocol.  Headers are lists of pairs of bytes with lower-case names, so that repeated headers
+and their order are preserved.
 """
 
 import os
@@ -55,26 +55,26 @@
 
 
 def end_to_end(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Return the headers that go on to the other side.
+    """Return the headers that are forwarded to the other side.
 
-    Left out are hop-by-hop headers, those that `Connection` names, and cloverhook's own, which
-    each side gets from this daemon alone.  A sender can't name away the headers that frame and
-    address a message.
+    Left out are hop-by-hop headers, those that `Connection` names, and cloverhook's own headers,
+    which each side gets only from this daemon.  `Connection` can't remove the headers that frame
+    and address a message.
     """
-    named: set[bytes] = set()
+    connection_names: set[bytes] = set()
     kept: Headers = []
     for pair in headers:
         name = pair[0]
         if name == b"connection":
-            named.update(token.strip().lower() for token in pair[1].split(b","))
+            connection_names.update(token.strip().lower() for token in pair[1].split(b","))
         elif name not in NEVER_FORWARDED and not name.startswith(CONTROL_PREFIX):
             kept.append(pair)
-    named -= KEPT_ALWAYS
-    return [pair for pair in kept if pair[0] not in named] if named else kept
+    connection_names -= KEPT_ALWAYS
+    return [pair for pair in kept if pair[0] not in connection_names] if connection_names else kept
 
 
 def request_id_of(headers: Iterable[tuple[bytes, bytes]]) -> str:
-    """Return the caller's request identifier, or a new one where it sent none that is usable."""
+    """Return the caller's request identifier, or a new one if there is no single valid one."""
     values = [value for key, value in headers if key == REQUEST_ID]
     if len(values) == 1 and VALID_REQUEST_ID.fullmatch(values[0]):
         return values[0].decode("ascii")
@@ -84,7 +84,7 @@
 def timeout_ms_of(headers: Iterable[tuple[bytes, bytes]], default_ms: float) -> float:
     """Return the caller's timeout in milliseconds, at most `default_ms`.
 
-    Raises `RequestError` for a header that is no whole number.
+    Raises `RequestError` if the header is not a whole number.
     """
     value = find(headers, DEADLINE)
     if value is None:
@@ -95,23 +95,26 @@
 
 
 def attempt_of(headers: Iterable[tuple[bytes, bytes]]) -> int:
-    """Return which attempt of the layer above this request is; 1 where nothing is said."""
+    """Return the number of the attempt that this request is for the layer above.
+
+    It is 1 for a first attempt or without the header, and 2 for any later attempt.
+    """
     value = find(headers, ATTEMPT)
     return 2 if value is not None and value not in (b"", b"0", b"1") else 1
 
 
 def is_leaving(headers: Iterable[tuple[bytes, bytes]]) -> bool:
-    """Return whether a backend server says on its answer that it is leaving."""
+    """Return whether a backend server reports in its answer that it is draining."""
     return find(headers, LEAVING) == b"1"
 
 
 def load_of(headers: Iterable[tuple[bytes, bytes]]) -> int | None:
-    """Return the requests in flight that a backend server reports on its answer, or None."""
+    """Return the number of requests in flight that a backend server reports, or None."""
     value = find(headers, LOAD)
     return int(value) if value is not None and value.isdigit() else None
 
 
 def outcome_of(headers: Iterable[tuple[bytes, bytes]]) -> Outcome | None:
-    """Return what a backend server says of the request it answers, or None."""
+    """Return the outcome that a backend server reports for a request, or None."""
     value = find(headers, OUTCOME)
     return OUTCOMES.get(value) if value is not None else None
--- a/cloverhook/hop_by_hop.py
+++ b/cloverhook/hop_by_hop.py
@@ -1,4 +1,4 @@
-"""What any HTTP intermediary needs to know of headers.
+"""Rules for headers that apply to any HTTP intermediary.
 
 Layer: state.  Names are in lower case.
 """
@@ -23,7 +23,7 @@
 )
 """Headers that concern one connection only (RFC 9110, 7.6.1)."""
 KEPT_ALWAYS = frozenset((b"content-length", b"host"))
-"""Headers that a `Connection` header can't take away: the request would mean something else."""
+"""Headers that a `Connection` header can't remove: without them a request has another meaning."""
 
 
 def find(headers: Iterable[tuple[bytes, bytes]], name: bytes) -> bytes | None:
--- a/cloverhook/load_watch.py
+++ b/cloverhook/load_watch.py
@@ -1,7 +1,8 @@
-"""Watches the load of this process: how late its event loop runs and how much of a core it uses.
+"""Measures the load of this process: its event loop lag and the share of a core that it uses.
 
-Layer: coordination.  The daemon's own limit takes both each time; the peers are told the load in
-tenths of a core, and only when it has changed by more than a little.
+Layer: coordination.  The load shedder (`own_limit`) gets both values at each check.  The peers get
+the load in tenths of a core, only when it has changed by at least `REPORT_THRESHOLD_TENTHS` and at
+most once in `REPORT_INTERVAL_MS`.
 """
 
 import asyncio
@@ -19,9 +20,10 @@
 
 
 class LoadWatch:
-    """The load of this process; `on_busy` takes tenths of a core when the peers should know.
+    """Measures the load of this process.
 
-    `on_look` takes when each look was due, to tell how late it is.
+    `on_load_change` is called with the load in tenths of a core when the peers should get it.
+    `on_check` is called with the time at which each check was due, so that the lag can be recorded.
     """
 
     def __init__(
@@ -37,7 +39,7 @@
         self._reported_ms = 0.0
 
     async def run(self) -> None:
-        """Watch until the task is cancelled."""
+        """Measure until the task is cancelled."""
         while True:
             started_ms, used_s = monotonic_ms(), time.process_time()
             await asyncio.sleep(CHECK_INTERVAL_MS / 1000)
@@ -49,7 +51,7 @@
             self.look(now_ms)
 
     def look(self, now_ms: float) -> None:
-        """Tell the peers if the load differs enough from what they know."""
+        """Report the load to the peers if it differs enough from the last report."""
         tenths = round(10 * min(1.0, self._limit.busy))
         differs = abs(tenths - self._reported_tenths) >= REPORT_THRESHOLD_TENTHS
         if differs and now_ms - self._reported_ms >= REPORT_INTERVAL_MS:
--- a/cloverhook/log_reading.py
+++ b/cloverhook/log_reading.py
@@ -1,6 +1,6 @@
-"""Reads the whole configuration stream as a tool does: the state, and a verdict on each change.
+"""Reads the whole configuration stream for a command-line tool.
 
-Layer: coordination.
+Layer: coordination.  The result is the state and the verdict on each change.
 """
 
 from collections.abc import Mapping
@@ -19,7 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Ruling:
-    """What became of a change at an offset; no verdict where the log no longer tells."""
+    """The outcome of the change at an offset.
+
+    `verdict` is None when the log no longer has the records that determine it.
+    """
 
     offset: int
     change: Change
@@ -29,7 +32,7 @@
 
 
 class LogReading:
-    """A replica of the state for one run of a tool, with what became of the changes it saw."""
+    """A replica of the state for one run of a tool, with the outcomes of the changes it read."""
 
     def __init__(self, platform: Platform) -> None:
         self._platform = platform
@@ -39,11 +42,11 @@
 
     @property
     def state(self) -> State:
-        """The state that the log comes to."""
+        """The state after all records read so far."""
         return self._replica.state
 
     async def read_to_end(self) -> None:
-        """Read what is new.  Raises `PlatformError` when the log can't be read or folded."""
+        """Read all new records.  Raises `PlatformError` when the log can't be read or folded."""
         while True:
             read = await self._platform.read(CONFIG_STREAM, self._replica.next_read().offset)
             for offset, data in enumerate(read.records, start=read.from_offset):
@@ -55,7 +58,7 @@
                 return
 
     def rulings(self, change_id: str | None = None) -> tuple[Ruling, ...]:
-        """Return what became of each change, or of those with an identifier, oldest first."""
+        """Return the outcome of each change, or of those with `change_id`, oldest first."""
         found: list[Ruling] = []
         for offset, data in sorted(self._data.items()):
             change = _decode_change(data)
@@ -74,7 +77,9 @@
         if winners:
             reason = f"builds on version {change.base_version}, which another change built on"
             return Ruling(offset, change, Verdict.STALE, reason, winners[0])
-        return Ruling(offset, change, None, "the records that would tell are gone")
+        return Ruling(
+            offset, change, None, "the log no longer has the records that show its outcome"
+        )
 
     def _on_folded(self, record: Record, result: FoldResult) -> None:
         if isinstance(record, Change):
--- a/cloverhook/outbox.py
+++ b/cloverhook/outbox.py
@@ -1,7 +1,8 @@
-"""A bounded queue of the messages that wait for one link.
+"""A bounded queue of the messages for one link.
 
-Layer: coordination.  A slow link must not grow a daemon's memory.  A heartbeat replaces the one
-that still waits; when the queue is full its oldest heartbeat goes, or else the new message.
+Layer: coordination.  The bound keeps a slow link from using up a daemon's memory.  A new heartbeat
+replaces the queued one; when the queue is full, its oldest heartbeat is dropped, or the new message
+if there is no heartbeat.
 """
 
 import asyncio
@@ -15,7 +16,7 @@
 
 
 class Outbox:
-    """The messages for one peer, with one reader."""
+    """The queued messages for one peer; it supports a single reader."""
 
     def __init__(self, limit: int = OUTBOX_LIMIT) -> None:
         self._limit = limit
@@ -27,7 +28,7 @@
         return len(self._messages)
 
     def put(self, message: Message) -> bool:
-        """Add a message; return whether it was kept."""
+        """Add a message; return False if it was dropped because the queue is full."""
         if isinstance(message, Heartbeat):
             self._drop_heartbeat()
         if len(self._messages) >= self._limit and not self._drop_heartbeat():
--- a/cloverhook/request_cycle.py
+++ b/cloverhook/request_cycle.py
@@ -1,7 +1,8 @@
 """One request on a caller's connection and the answer to it.
 
-Layer: transport.  This is an ASGI server's side of one conversation.  The head of an answer goes
-out with the first part of its body, and an answer that breaks off takes its connection along.
+Layer: transport.  This implements the server side of ASGI for one request.  The head of an answer
+is sent together with the first part of its body.  When an answer breaks off, its connection is
+reset.
 """
 
 import asyncio
@@ -21,7 +22,7 @@
 
 
 class CallerConnection(Protocol):
-    """What a request needs of the connection that it came on."""
+    """The part of a caller's connection that a `RequestCycle` uses."""
 
     transport: asyncio.Transport
     flow: FlowControl
@@ -30,20 +31,20 @@
 
     @property
     def body_timeout_ms(self) -> float:
-        """The time that a body may be silent."""
+        """The longest time between two parts of a body."""
 
     def on_response_complete(self) -> None:
-        """Go on after a whole answer."""
+        """Continue after a complete answer."""
 
     def close_after_answer(self, drain: bool) -> None:
-        """Close once the answer is out."""
+        """Close the connection once the answer is sent."""
 
     def break_off(self) -> None:
         """Reset the connection."""
 
 
 class RequestCycle:
-    """One request and its answer, as an ASGI server's side of the conversation."""
+    """One request and its answer: the server side of ASGI."""
 
     def __init__(
         self, connection: CallerConnection, scope: dict[str, Any], keep_alive: bool
@@ -68,20 +69,23 @@
         self.response_complete = False
 
     async def run(self, app: Any) -> None:
-        """Run the application; a failure after the head of its answer breaks the connection."""
+        """Run the application.
+
+        When it fails after the head of its answer, the connection is reset.
+        """
         try:
             await app(self._scope, self.receive, self.send)
         except CloverhookError:
             await self._send_internal_error()
         except Exception:
-            logging.exception("listener: a request met a fault of ours.")
+            logging.exception("listener: a request failed with an internal error.")
             await self._send_internal_error()
         finally:
             if not self.response_complete:
                 self._connection.break_off()
 
     async def receive(self) -> dict[str, Any]:
-        """Return the next part of the body.  Raises `RequestError` when there can be none."""
+        """Return the next part of the body.  Raises `RequestError` when the body has failed."""
         if self.waiting_for_continue and not self._transport.is_closing():
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
             self.waiting_for_continue = False
@@ -98,7 +102,10 @@
         return {"type": "http.request", "body": body, "more_body": self.more_body}
 
     async def send(self, message: dict[str, Any]) -> None:
-        """Send the head of the answer, or a part of its body; the head goes with the first part."""
+        """Send the head or a part of the body of the answer.
+
+        The head is held back and sent together with the first part of the body.
+        """
         if self._flow.write_paused and not self.disconnected:
             await self._flow.drain()
         if self.disconnected:
@@ -108,7 +115,7 @@
             self._build_head(message["status"], message["headers"])
             return
         if self.response_complete or message["type"] != "http.response.body":
-            raise RuntimeError("only one answer to one request")
+            raise RuntimeError("the application sent more than one answer to a request")
         more = message.get("more_body", False)
         data = self._encode_body_part(message.get("body", b""), more)
         head, self._head = self._head, b""
@@ -118,7 +125,7 @@
             self._complete()
 
     def fail(self, kind: ErrorKind) -> None:
-        """End the request's body with an error."""
+        """Make the request's body fail with an error kind; the first one stays."""
         self.failure = self.failure or kind
         self.keep_alive = False
         self.message_event.set()
@@ -177,7 +184,7 @@
         if self._remaining_bytes is not None:
             self._remaining_bytes -= len(body)
             if self._remaining_bytes < 0 or (self._remaining_bytes and not more):
-                raise RuntimeError("the answer's body does not have its length")
+                raise RuntimeError("the answer's body does not match its content length")
         return body
 
     def _complete(self) -> None:
@@ -189,7 +196,7 @@
 
 
 def error_answer(kind: ErrorKind) -> tuple[int, h.Headers, bytes]:
-    """Return the status, headers and body of an answer that the listener gives by itself."""
+    """Return the status, headers and body of an error answer from the listener itself."""
     answer = answer_for(kind)
     body = kind.value.encode()
     headers = [
--- a/cloverhook/request_stats.py
+++ b/cloverhook/request_stats.py
@@ -1,8 +1,8 @@
-"""What became of the requests of this daemon, as plain counts.
+"""Counts and latencies of this daemon's requests.
 
-Layer: state.  A count costs a dictionary look-up; the metrics library reads the counts only when
+Layer: state.  Counting costs a dictionary look-up; the metrics library reads the counts only when
 the operators' listener is asked for metrics.  Requests are counted by brand, service, outcome and
-kind, times by brand alone, so that the number of series stays bounded.
+error kind, latencies by brand alone, so that the number of metric series stays bounded.
 """
 
 from bisect import bisect_left
@@ -15,7 +15,10 @@
 
 
 class HistogramCounts:
-    """Counts of values by their upper bounds; the last count is of values above all bounds."""
+    """A histogram: counts of values by upper bound; the last count is for values above all bounds.
+
+    `total` is the sum of the values.
+    """
 
     def __init__(self, bounds: tuple[float, ...]) -> None:
         self.bounds = bounds
@@ -30,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestKey:
-    """What requests are counted by; `kind` is an error kind's value, or empty."""
+    """The labels by which requests are counted; `kind` is an error kind's value, or empty."""
 
     brand: str
     service: str
@@ -40,7 +43,10 @@
 
 @dataclass(slots=True)
 class RequestStats:
-    """Counts of the requests of this daemon."""
+    """Counts of this daemon's requests.
+
+    `added_ms` holds the part of the latency that is not spent in attempts at backend servers.
+    """
 
     in_flight: int = 0
     retries: int = 0
@@ -59,8 +65,8 @@
     ) -> None:
         """Count a request that has ended after `latency_ms`.
 
-        `upstream_ms` is the part of it that its attempts at backend servers took, and 0 where
-        there was no attempt.
+        `upstream_ms` is the part of `latency_ms` that its attempts at backend servers took, and 0
+        if there was no attempt.
         """
         key = (brand, service, outcome, kind)
         self.answered[key] = self.answered.get(key, 0) + 1
@@ -72,5 +78,5 @@
             self.added_ms[brand].add(latency_ms - upstream_ms)
 
     def counts(self) -> dict[RequestKey, int]:
-        """Return the requests that have ended."""
+        """Return the number of requests that have ended, by their labels."""
         return {RequestKey(*key): count for key, count in self.answered.items()}
--- a/cloverhook/server.py
+++ b/cloverhook/server.py
@@ -1,7 +1,7 @@
 """Runs ASGI applications on uvicorn, several in one event loop.
 
-Layer: transport.  The loop is named as asyncio's own: uvicorn's automatic choice may take
-uvloop, which opens an io_uring.
+Layer: transport.  The configuration selects asyncio's own event loop, because uvicorn's automatic
+choice may select uvloop, which opens an io_uring.
 """
 
 import asyncio
@@ -18,34 +18,34 @@
 
 
 class _Server(uvicorn.Server):
-    """A uvicorn server that leaves signals to the daemon and wakes up only to stop."""
+    """A uvicorn server that leaves signals to the daemon and doesn't poll while it serves."""
 
     def __init__(self, config: uvicorn.Config) -> None:
         super().__init__(config)
         self._stopping = asyncio.Event()
 
     def stop(self) -> None:
-        """Let `serve` stop accepting, finish what is in flight and return."""
+        """Make `serve` stop accepting, finish the requests in flight and return."""
         self.should_exit = True
         self._stopping.set()
 
     async def main_loop(self) -> None:
-        """Serve until `stop`: uvicorn's own loop looks ten times a second.
+        """Serve until `stop` is called.
 
-        Its first look sets the headers of every answer; later ones would only renew the date,
-        which is left out.
+        Uvicorn's own loop calls `on_tick` ten times a second.  The first call sets the default
+        headers of all answers; later ones would only update the date header, which is disabled.
         """
         if not await self.on_tick(0):
             await self._stopping.wait()
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Leave the process's signal handlers alone."""
+        """Don't change the process's signal handlers."""
         yield
 
 
 class Listener:
-    """One listening address and the application behind it."""
+    """One listening address and the application that serves it."""
 
     def __init__(
         self, app: Any, address: str, idle_ms: int = 30_000, limits: Limits | None = None
@@ -72,7 +72,7 @@
         self.address = "{}:{}".format(*self._socket.getsockname())
 
     async def start(self) -> None:
-        """Start to accept connections."""
+        """Start accepting connections."""
         self._task = asyncio.create_task(self._server.serve(sockets=[self._socket]))
         while not self._server.started:
             await asyncio.sleep(0.005)
@@ -82,7 +82,7 @@
         return len(self._server.server_state.tasks)
 
     async def stop(self) -> None:
-        """Stop accepting, let requests in flight end, and close."""
+        """Stop accepting connections, wait until the requests in flight have ended, and close."""
         self._server.stop()
         if self._task is not None:
             await self._task
--- a/cloverhook/socket_options.py
+++ b/cloverhook/socket_options.py
@@ -1,8 +1,9 @@
-"""Socket options by which the kernel notices that the other end can't be reached any more.
+"""Socket options with which the kernel detects that the peer has become unreachable.
 
-Layer: transport.  A connection whose packets get lost for good gives no error by itself.  With
-these options the kernel asks an idle peer for a sign of life, and gives up on bytes that nobody
-acknowledges.  A peer that is only slow acknowledges, so slow work ends no connection.
+Layer: transport.  A connection whose packets are permanently lost reports no error by itself.  With
+these options the kernel sends keepalive probes to an idle peer, and closes a connection whose bytes
+stay unacknowledged.  A peer that is only slow still acknowledges, so slow work closes no
+connection.
 """
 
 import socket
@@ -13,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Liveness:
-    """When a silent connection is given up.
+    """When a connection without packets from the peer is closed.
 
-    After `idle_s` without a packet the peer is asked every `interval_s`, at most `probes` times;
-    bytes may stay unacknowledged for `unacknowledged_ms`.
+    After `idle_s` without a packet, a keepalive probe is sent every `interval_s`, at most `probes`
+    times; sent bytes may stay unacknowledged for `unacknowledged_ms`.
     """
 
     idle_s: int
@@ -36,4 +37,7 @@
 UPSTREAM_LIVENESS = Liveness(idle_s=3, interval_s=1, probes=3, unacknowledged_ms=3_000)
 CALLER_LIVENESS = Liveness(idle_s=10, interval_s=5, probes=3, unacknowledged_ms=20_000)
 STORE_LIVENESS = Liveness(idle_s=1, interval_s=1, probes=2, unacknowledged_ms=2_000)
-"""A store that is waited on for long is missed within 3 s: a configuration has to come in time."""
+"""Detects the loss of the store within 3 s, also during a long poll.
+
+A longer detection time would delay new configurations.
+"""
--- a/cloverhook/stamped_platform.py
+++ b/cloverhook/stamped_platform.py
@@ -1,8 +1,8 @@
-"""The platform's log with the time line's stamps: causes that travel by the log keep their order.
+"""The platform's log with hybrid logical clock timestamps, so that causal order survives the log.
 
-Layer: protocol.  A record that a daemon appends carries the stamp of the append, and a daemon that
-reads it witnesses that stamp, as with the messages between daemons.  A reader of records passes
-over the key, so records with and without it mean the same.
+Layer: protocol.  A record that a daemon appends carries the timestamp of the append, and a daemon
+that reads the record advances its clock past that timestamp, as with the messages between daemons.
+Readers of records ignore the key `stamp`, so records with and without it have the same meaning.
 """
 
 from collections.abc import Callable, Mapping
@@ -16,7 +16,7 @@
 
 
 class StampedPlatform:
-    """A platform whose records carry stamps."""
+    """A platform whose records carry timestamps."""
 
     def __init__(
         self,
@@ -29,13 +29,13 @@
         self._clock_ms = clock_ms
 
     async def append(self, stream: str, record: Mapping[str, Any]) -> int:
-        """Append a record with the stamp of now and return its offset."""
+        """Append a record with the current timestamp and return its offset."""
         stamp = self._clock.stamp(self._clock_ms())
         stamped = {**record, "stamp": [stamp.wall_us, stamp.counter]}
         return await self._platform.append(stream, stamped)
 
     async def read(self, stream: str, from_offset: int, wait_ms: float = 0) -> LogSlice:
-        """Read records from an offset and witness their stamps."""
+        """Read records from an offset on and advance the clock past their timestamps."""
         found = await self._platform.read(stream, from_offset, wait_ms)
         for record in found.records:
             self._witness(record)
@@ -46,7 +46,7 @@
         return await self._platform.list_vms()
 
     async def close(self) -> None:
-        """Release what the client holds."""
+        """Release the resources of the platform client."""
         await self._platform.close()
 
     def _witness(self, record: Any) -> None:
--- a/cloverhook/wake_times.py
+++ b/cloverhook/wake_times.py
@@ -1,7 +1,7 @@
-"""When each of many parts next needs the clock, so that those with nothing pending cost nothing.
+"""A schedule of wake-up times for many parts, so that parts with nothing pending cost nothing.
 
-Layer: coordination.  `WakeTimes` is free of input and output; `LoopTimer` is the one timer that a
-set of parts keeps on the event loop.
+Layer: coordination.  `WakeTimes` is free of input and output; `LoopTimer` is the single event loop
+timer that a set of parts shares.
 
 >>> times = WakeTimes()
 >>> times.want("booking", 30.0)
@@ -18,27 +18,27 @@
 
 
 class WakeTimes:
-    """The earliest time that each part, by its key, has asked for."""
+    """The earliest wake-up time that each part has requested, by the part's key."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, str]] = []
         self._requested: dict[str, float] = {}
 
     def want(self, key: str, wake_ms: float | None) -> None:
-        """Take when a part needs the clock; a time that it asked for before stands if earlier."""
+        """Request a wake-up of a part; an earlier time that it has already requested stays."""
         if wake_ms is None:
             return
-        known_ms = self._requested.get(key)
-        if known_ms is None or wake_ms < known_ms:
+        requested_ms = self._requested.get(key)
+        if requested_ms is None or wake_ms < requested_ms:
             self._requested[key] = wake_ms
             heapq.heappush(self._heap, (wake_ms, key))
 
     def drop(self, key: str) -> None:
-        """Forget a part."""
+        """Remove the request of a part."""
         self._requested.pop(key, None)
 
     def next_ms(self) -> float | None:
-        """Return the earliest time that is wanted."""
+        """Return the earliest requested time, or None."""
         while self._heap:
             wake_ms, key = self._heap[0]
             if self._requested.get(key) == wake_ms:
@@ -47,7 +47,7 @@
         return None
 
     def due(self, now_ms: float) -> list[str]:
-        """Take out and return the parts whose time has come, in its order."""
+        """Remove and return the parts whose time has come, in order of their times."""
         found: list[str] = []
         while (wake_ms := self.next_ms()) is not None and wake_ms <= now_ms:
             _, key = heapq.heappop(self._heap)
@@ -57,7 +57,7 @@
 
 
 class LoopTimer:
-    """One timer of the running event loop, which calls back at the earliest time asked for."""
+    """One timer of the running event loop, which calls back at the earliest requested time."""
 
     def __init__(self, clock_ms: Callable[[], float], callback: Callable[[], None]) -> None:
         self._clock_ms = clock_ms
@@ -66,7 +66,7 @@
         self._wake_ms = 0.0
 
     def by(self, wake_ms: float | None) -> None:
-        """Call back at a time, unless an earlier call back stands."""
+        """Schedule the callback for a time, unless it is already scheduled for an earlier one."""
         if wake_ms is None:
             return
         if self._handle is not None:
@@ -78,7 +78,7 @@
         self._handle = asyncio.get_running_loop().call_later(delay_s, self._fire)
 
     def cancel(self) -> None:
-        """Call back no more."""
+        """Cancel the scheduled callback."""
         if self._handle is not None:
             self._handle.cancel()
             self._handle = None
