--- a/cloverhook/clock.py
+++ b/cloverhook/clock.py
@@ -1,7 +1,7 @@
 """The clocks of a daemon, and the detection of process pauses.
 
 Layer: state.  Durations are measured with the monotonic clock; the wall clock is used only for the
-time line.
+time line and the claim log.
 """
 
 import time
