--- a/cloverhook/daemon.py
+++ b/cloverhook/daemon.py
@@ -149,7 +149,7 @@
     async def run_until_stopped(self) -> None:
         """Serve until a planned shutdown is complete."""
         await self._stop_requested.wait()
-        logging.info("daemon: %s is leaving.", self._settings.vm)
+        logging.info("daemon: %s is shutting down.", self._settings.vm)
         await asyncio.sleep(self._drain_plan.remaining_ms(monotonic_ms()) / 1000)
         await self._finish_requests()
         for task in self._tasks:
--- a/cloverhook/exchange.py
+++ b/cloverhook/exchange.py
@@ -263,5 +263,5 @@
     An answer with an error kind comes from a daemon further down a chain of calls, and the backend
     server only forwarded it: it says nothing about the backend server's own work.
     """
-    refused = answer.status == REJECTION_STATUS and h.outcome_of(answer.headers) is Outcome.NOT_RUN
-    return refused and h.find(answer.headers, h.ERROR) is None
+    rejected = answer.status == REJECTION_STATUS and h.outcome_of(answer.headers) is Outcome.NOT_RUN
+    return rejected and h.find(answer.headers, h.ERROR) is None
