--- a/cloverhook/address_answers.py
+++ b/cloverhook/address_answers.py
@@ -14,7 +14,7 @@
 from cloverhook.homes import HomeTable
 from cloverhook.members import Member
 from cloverhook.ownership import owned_slots
-from cloverhook.steering import AnswerOrder, answer_lifetime_ms, ranked
+from cloverhook.steering import HomeRotation, answer_lifetime_ms, rendezvous_order
 
 __all__ = ["AddressAnswers"]
 
@@ -27,7 +27,7 @@
 
     def __init__(self, source: random.Random) -> None:
         self._homes = HomeTable()
-        self._order = AnswerOrder(source)
+        self._order = HomeRotation(source)
         self._serving: Sequence[Member] = ()
         self._other_members: dict[str, tuple[Member, ...]] = {}
         self._changed_ms: dict[str, float] = {}
@@ -54,7 +54,7 @@
 
     def home_names(self, key: str) -> tuple[str, ...]:
         """Return the names of a service's home VMs."""
-        return self._homes.names(key)
+        return self._homes.vm_names(key)
 
     def answer(
         self,
@@ -63,7 +63,7 @@
         lifetime_ms: float,
         now_ms: float,
         data_center: str = "",
-        doubtful: bool = False,
+        unconfirmed: bool = False,
     ) -> dict[str, Any]:
         """Return the answer for a service.
 
@@ -73,12 +73,12 @@
         """
         homes = self._homes.homes(key)
         weights = self._weights_of(key, service.endpoints)
-        ordered = _local_first(self._order.next(key, homes, weights), data_center)
+        ordered = _local_first(self._order.next_order(key, homes, weights), data_center)
         ordered += _local_first(self._ranked_other_members(key), data_center)
         lifetime_ms = answer_lifetime_ms(lifetime_ms, self._changed_ms.get(key, now_ms), now_ms)
         return {
             "service": service.name,
-            "lifetime_ms": min(lifetime_ms, UNCONFIRMED_LIFETIME_MS) if doubtful else lifetime_ms,
+            "lifetime_ms": min(lifetime_ms, UNCONFIRMED_LIFETIME_MS) if unconfirmed else lifetime_ms,
             "homes": len(homes),
             "addresses": [member.caller_address for member in ordered[:ADDRESSES_LIMIT]],
         }
@@ -86,15 +86,15 @@
     def _weights_of(self, key: str, endpoints: Sequence[Endpoint]) -> dict[str, float]:
         cached = self._weights.get(key)
         if cached is None or cached[0] is not endpoints:
-            homes = self._homes.names(key)
+            homes = self._homes.vm_names(key)
             cached = (endpoints, owned_slots(endpoints, homes, self.home_data_centers(key)))
             self._weights[key] = cached
         return cached[1]
 
     def _ranked_other_members(self, key: str) -> tuple[Member, ...]:
         if key not in self._other_members:
-            homes = set(self._homes.names(key))
-            order = ranked(key, self._serving)
+            homes = set(self._homes.vm_names(key))
+            order = rendezvous_order(key, self._serving)
             self._other_members[key] = tuple(member for member in order if member.vm not in homes)
         return self._other_members[key]
 
--- a/cloverhook/caller_app.py
+++ b/cloverhook/caller_app.py
@@ -16,11 +16,11 @@
 
 from cloverhook import headers as h
 from cloverhook.admission import Admission
-from cloverhook.at_most_once import OnceGuard
+from cloverhook.at_most_once import AtMostOnceRunner
 from cloverhook.clock import wall_ms
 from cloverhook.dispatch import Dispatcher, Target
 from cloverhook.errors import ErrorKind, Outcome, RequestError, UpstreamError, answer_for
-from cloverhook.exchange import Exchange, Receive, RefusedError, RequestBody, Send
+from cloverhook.exchange import Exchange, Receive, RejectedError, RequestBody, Send
 from cloverhook.observed_app import Observation
 from cloverhook.routing_events import Arrival, AttemptEnded, AttemptResult
 from cloverhook.settings import DaemonSettings
@@ -48,7 +48,7 @@
         time_line: TimeLine,
         clock_ms: Callable[[], float],
         addresses: Addresses,
-        once: OnceGuard,
+        once: AtMostOnceRunner,
     ) -> None:
         self._settings = settings
         self._dispatcher = dispatcher
@@ -59,7 +59,7 @@
         self._at_most_once = once
         self._admission = Admission(settings.requests_limit)
         self._in_progress: set[str] = set()
-        self.leaving = False
+        self.draining = False
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         """Serve one request."""
@@ -114,7 +114,7 @@
         query = parse_qs(scope["query_string"].decode("latin-1"))
         data_center = query.get("data_center", [""])[0]
         unreachable = query.get("unreachable", [""])[0]
-        close = [(b"connection", b"close")] if self.leaving else None
+        close = [(b"connection", b"close")] if self.draining else None
         document = self._addresses(target, data_center, unreachable)
         await self._send_json(send, document, extra=close)
 
@@ -160,7 +160,7 @@
         an idempotency key and a method that is not idempotent goes through the at-most-once check.
         """
         brand = exchange.target.brand
-        if not self._admission.enter(brand):
+        if not self._admission.try_enter(brand):
             raise RequestError(ErrorKind.OVERLOADED, "the brand's share of this VM is in use")
         try:
             if key is None or exchange.idempotent:
@@ -176,7 +176,7 @@
             exchange.target.service.priority_of(exchange.path),
             exchange.deadline_ms,
             exchange.idempotent,
-            exchange.told_attempt,
+            exchange.caller_attempt,
         )
         address = await self._dispatcher.admit(exchange.target, arrival, self._clock_ms())
         while True:
@@ -196,9 +196,9 @@
         try:
             async with asyncio.timeout((exchange.deadline_ms - started_ms) / 1000):
                 answer = await exchange.attempt(
-                    address, self._pool, self._clock_ms, closing=self.leaving
+                    address, self._pool, self._clock_ms, closing=self.draining
                 )
-            load, server_draining = h.load_of(answer.headers), h.is_leaving(answer.headers)
+            load, server_draining = h.load_of(answer.headers), h.is_draining(answer.headers)
             result = AttemptResult.FAILED if answer.status >= 500 else AttemptResult.ANSWERED
         except UpstreamError as error:
             failure = error
@@ -207,8 +207,8 @@
         except TimeoutError as error:
             failure = error
             result = AttemptResult.TIMED_OUT if exchange.sent else AttemptResult.NOT_SENT
-        except RefusedError as error:
-            failure, server_draining = error, error.leaving
+        except RejectedError as error:
+            failure, server_draining = error, error.server_draining
             result = AttemptResult.REFUSED
         finally:
             exchange.maybe_ran |= exchange.sent and result not in NOT_RUN_RESULTS
@@ -217,10 +217,10 @@
             ended = AttemptEnded(
                 exchange.request_id, address, result, latency_ms, load, will_retry, server_draining
             )
-            exchange.seen.attempt_ended(latency_ms)
+            exchange.observation.attempt_ended(latency_ms)
             self._note_attempt(ended)
             if not will_retry:
-                self._dispatcher.ended(exchange.target, ended, self._clock_ms())
+                self._dispatcher.record_attempt_end(exchange.target, ended, self._clock_ms())
         if will_retry:
             return ended
         if failure is not None:
@@ -233,7 +233,7 @@
         A request that is not idempotent must run at most once, so it is retried only after an
         attempt that is certain not to have run.
         """
-        if not exchange.repeatable or self._clock_ms() >= exchange.deadline_ms:
+        if not exchange.retryable or self._clock_ms() >= exchange.deadline_ms:
             return False
         if result in NOT_RUN_RESULTS:
             return True
@@ -268,7 +268,7 @@
         ]
         if answer.retry_after:
             headers += _retry_after(error.retry_after_ms or DEFAULT_RETRY_AFTER_MS)
-        if self.leaving:
+        if self.draining:
             headers.append((b"connection", b"close"))
         body = {"error": kind.value, "outcome": outcome.value, "detail": str(error)}
         await self._send_json(send, body, answer.status, headers)
--- a/cloverhook/caller_protocol.py
+++ b/cloverhook/caller_protocol.py
@@ -23,7 +23,7 @@
 from cloverhook.request_cycle import RequestCycle, error_answer
 from cloverhook.socket_options import CALLER_LIVENESS
 
-__all__ = ["CallerProtocol", "Limits"]
+__all__ = ["CallerProtocol", "RequestLimits"]
 
 FRAMING_ALLOWANCE_BYTES = 65_536
 FRAMING_RATIO = 16
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limits:
+class RequestLimits:
     """Limits on the size and the speed of a request.
 
     `body_timeout_ms` limits the time between two parts of a body, and `header_timeout_ms` the time
@@ -57,7 +57,7 @@
 class CallerProtocol(HttpToolsProtocol):
     """One caller's connection."""
 
-    limits = Limits()
+    limits = RequestLimits()
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Initialise the connection; one without any request is closed like an idle one."""
@@ -203,7 +203,7 @@
             self.transport.write_eof()
         self._linger_timer = self.loop.call_later(LINGER_MS / 1000, self.transport.abort)
 
-    def break_off(self) -> None:
+    def reset_connection(self) -> None:
         """Reset the connection, so that no caller takes an incomplete answer for a complete one."""
         if self.transport.is_closing():
             return
--- a/cloverhook/clock.py
+++ b/cloverhook/clock.py
@@ -6,7 +6,7 @@
 
 import time
 
-__all__ = ["PauseWatch", "monotonic_ms", "wall_ms"]
+__all__ = ["PauseDetector", "monotonic_ms", "wall_ms"]
 
 PAUSE_THRESHOLD_MS = 1_500
 
@@ -21,7 +21,7 @@
     return time.time() * 1000
 
 
-class PauseWatch:
+class PauseDetector:
     """Detects that the process did not run for a while.
 
     `observe` must be called often, and before anything that arrived during a pause is used.
--- a/cloverhook/cluster.py
+++ b/cloverhook/cluster.py
@@ -14,27 +14,27 @@
 
 from cloverhook.address_answers import AddressAnswers
 from cloverhook.catch_up import CatchUp
-from cloverhook.clock import PauseWatch, monotonic_ms
+from cloverhook.clock import PauseDetector, monotonic_ms
 from cloverhook.dispatch import Dispatcher, Target
 from cloverhook.errors import ConfigError, PlatformError
 from cloverhook.follower import Follower
 from cloverhook.home_count import GROW_AT, HomeDemand
 from cloverhook.member_events import (
-    CallerReport,
+    CallerConnectFailed,
     ConfigFolded,
     Dial,
-    Leave,
     LinkLost,
     LinkOpened,
-    ListRead,
     LoadChanged,
     MemberEvent,
-    MessageHeard,
+    MessageReceived,
+    ProcessResumed,
     Replaced,
-    Send,
+    SendMessage,
+    ShutdownStarted,
     Stopped,
     Tick,
-    Woke,
+    VmListRead,
 )
 from cloverhook.members import Member
 from cloverhook.membership import Membership
@@ -42,9 +42,9 @@
     Heartbeat,
     Hello,
     Message,
-    RecordsPassedOn,
-    RecordsWanted,
-    StatePassedOn,
+    RecordsReply,
+    RecordsRequest,
+    StateReply,
 )
 from cloverhook.metrics import Metric, Sample
 from cloverhook.observer import FROM_LOG, Observer
@@ -88,7 +88,7 @@
         self._catch_up = CatchUp()
         self._address_answers = AddressAnswers(self._random)
         self._homes_computed_for: tuple[int, tuple[Target, ...]] = (-1, ())
-        self._pause_detector = PauseWatch(monotonic_ms())
+        self._pause_detector = PauseDetector(monotonic_ms())
         self._next_seed_ms = 0.0
         self._next_demand_ms = 0.0
         self._home_demand = HomeDemand()
@@ -127,12 +127,12 @@
         self._handle(Stopped())
         await self.links.close()
 
-    def leave(self) -> None:
+    def announce_shutdown(self) -> None:
         """Notify the peers that this daemon is shutting down."""
-        self._handle(Leave())
+        self._handle(ShutdownStarted())
         self._update_homes()
 
-    def tell(self, vm: str, message: Message) -> None:
+    def send_message(self, vm: str, message: Message) -> None:
         """Send a message to another VM.  Delivery is not guaranteed."""
         member = self.membership.table.get(vm)
         self.links.send(vm, message, "" if member is None else member.peer_address)
@@ -146,7 +146,7 @@
         """
         self._check_for_pause()
         if unreachable:
-            self._handle(CallerReport(unreachable))
+            self._handle(CallerConnectFailed(unreachable))
         self._update_homes()
         return self._address_answers.answer(
             target.key,
@@ -154,14 +154,14 @@
             target.policy.lifetime_ms,
             monotonic_ms(),
             data_center,
-            self.membership.doubtful,
+            self.membership.has_unconfirmed_members,
         )
 
-    def load_changed(self, busy_tenths: int) -> None:
+    def announce_load(self, load_tenths: int) -> None:
         """Report the load of this process to the peers, in tenths of a core."""
-        self._handle(LoadChanged(busy_tenths))
+        self._handle(LoadChanged(load_tenths))
 
-    def config_changed(self) -> None:
+    def announce_config(self) -> None:
         """Announce the new configuration offset to the linked peers."""
         self._handle(ConfigFolded(self._follower.state.next_offset))
         self._update_homes()
@@ -172,7 +172,7 @@
             "members": [member.vm for member in self.membership.serving()],
             "linked": self.links.linked(),
             "neighbours": self.membership.neighbours(),
-            "refused_strangers": self.links.refused_strangers,
+            "refused_strangers": self.links.authentication_failures,
             "dropped_messages": self.links.dropped_messages,
             "pauses": self.pauses,
         }
@@ -183,18 +183,18 @@
 
     def link_lost(self, vm: str) -> None:
         """Handle the loss of the link to a VM."""
-        self._catch_up.lost(vm)
+        self._catch_up.remove_peer(vm)
         self._handle(LinkLost(vm))
 
-    def stranger_refused(self) -> None:
+    def authentication_failed(self) -> None:
         """Do nothing: `PeerLinks` counts the links that failed authentication."""
 
-    def message_heard(self, vm: str, message: Message) -> None:
+    def message_received(self, vm: str, message: Message) -> None:
         """Handle a peer's message, unless it has waited through a pause of this process."""
         if self._check_for_pause():
             return
         now_ms = monotonic_ms()
-        self._process_event(MessageHeard(vm, message))
+        self._process_event(MessageReceived(vm, message))
         self._handle_message(vm, message, now_ms)
         if not hasattr(message, "service"):
             self._schedule_wake()
@@ -202,20 +202,20 @@
     def _handle_message(self, vm: str, message: Message, now_ms: float) -> None:
         match message:
             case Heartbeat():
-                self._catch_up.offered(vm, message.config_offset, now_ms)
-            case RecordsWanted(from_offset):
+                self._catch_up.record_offset(vm, message.config_offset, now_ms)
+            case RecordsRequest(from_offset):
                 self._send_records(vm, from_offset)
-            case RecordsPassedOn(from_offset, records):
-                self._catch_up.answered(vm)
+            case RecordsReply(from_offset, records):
+                self._catch_up.record_answer(vm)
                 if from_offset <= self._follower.state.next_offset:
                     self._observer.records_from = vm
-                    self._follower.take(from_offset, records)
+                    self._follower.fold_records(from_offset, records)
                     self._observer.records_from = FROM_LOG
-            case StatePassedOn(document):
-                self._catch_up.answered(vm)
+            case StateReply(document):
+                self._catch_up.record_answer(vm)
                 self._adopt_state(vm, document)
             case _ if hasattr(message, "service"):
-                self._dispatcher.peer_said(message.service, vm, message, now_ms)
+                self._dispatcher.handle_peer_message(message.service, vm, message, now_ms)
 
     def _samples(self) -> list[Sample]:
         return [
@@ -242,8 +242,8 @@
     def _process_event(self, event: MemberEvent) -> None:
         for action in self.membership.handle(event, monotonic_ms()):
             match action:
-                case Send(vm, message):
-                    self.tell(vm, message)
+                case SendMessage(vm, message):
+                    self.send_message(vm, message)
                 case Dial(vm):
                     member = self.membership.table.get(vm)
                     if member is not None:
@@ -255,9 +255,9 @@
     def _send_records(self, vm: str, from_offset: int) -> None:
         records = self._follower.records_from(from_offset)
         if records is None:
-            self.tell(vm, StatePassedOn(self._follower.state.to_document()))
+            self.send_message(vm, StateReply(self._follower.state.to_document()))
         elif records:
-            self.tell(vm, RecordsPassedOn(from_offset, records[:RECORDS_PER_MESSAGE]))
+            self.send_message(vm, RecordsReply(from_offset, records[:RECORDS_PER_MESSAGE]))
 
     def _adopt_state(self, vm: str, document: dict[str, Any]) -> None:
         try:
@@ -276,7 +276,7 @@
         self.pauses += 1
         self.links.reset()
         self._catch_up = CatchUp()
-        self._handle(Woke())
+        self._handle(ProcessResumed())
         return True
 
     def _update_homes(self) -> None:
@@ -292,7 +292,7 @@
         for key in self._address_answers.update(counts, self.membership.serving(), now_ms):
             homes = self._address_answers.home_names(key)
             centers = self._address_answers.home_data_centers(key) | own_data_center
-            self._dispatcher.homes_changed(key, self._settings.vm, homes, now_ms, centers)
+            self._dispatcher.set_homes(key, self._settings.vm, homes, now_ms, centers)
 
     def _demand_due(self, now_ms: float) -> bool:
         """Return whether the load may change the number of homes, so that it must be recomputed."""
@@ -302,12 +302,12 @@
         return self._home_demand.active or self._highest_load() > GROW_AT
 
     def _highest_load(self) -> float:
-        return self.membership.busiest(member.vm for member in self.membership.serving())
+        return self.membership.highest_load(member.vm for member in self.membership.serving())
 
     def _home_counts(self, targets: Sequence[Target], now_ms: float) -> dict[str, int]:
         minimum_counts = {target.key: target.policy.home_vms for target in targets}
         loads = {
-            key: self.membership.busiest(self._address_answers.home_names(key))
+            key: self.membership.highest_load(self._address_answers.home_names(key))
             for key in minimum_counts
         }
         maximum_count = len(self.membership.serving())
@@ -332,7 +332,7 @@
             self.membership.next_wake_ms(now_ms),
             self._catch_up.next_wake_ms(self._follower.state.next_offset, now_ms),
         )
-        self._timer.by(max(wake_ms, now_ms + MIN_SLEEP_MS))
+        self._timer.call_by(max(wake_ms, now_ms + MIN_SLEEP_MS))
 
     def _tick(self, now_ms: float) -> None:
         self._process_event(ConfigFolded(self._follower.state.next_offset))
@@ -340,9 +340,9 @@
         self.links.tick(self.membership.neighbours(), now_ms)
         self._update_homes()
         self._observer.members_are(self.membership.version, self.membership.table.all())
-        vm = self._catch_up.due(self._follower.state.next_offset, now_ms)
+        vm = self._catch_up.next_peer(self._follower.state.next_offset, now_ms)
         if vm is not None:
-            self.tell(vm, RecordsWanted(self._follower.state.next_offset))
+            self.send_message(vm, RecordsRequest(self._follower.state.next_offset))
         if not self.membership.linked and now_ms >= self._next_seed_ms:
             self._next_seed_ms = now_ms + SEED_DIAL_INTERVAL_MS
             self._dial_seeds()
@@ -356,7 +356,7 @@
     async def _poll_vm_list(self) -> None:
         while True:
             try:
-                self._handle(ListRead(await self._platform.list_vms()))
+                self._handle(VmListRead(await self._platform.list_vms()))
             except PlatformError as error:
                 logging.warning("cluster: can't read the platform's list of VMs: %s.", error)
             await asyncio.sleep(VM_LIST_INTERVAL_MS / 1000)
--- a/cloverhook/daemon.py
+++ b/cloverhook/daemon.py
@@ -13,11 +13,11 @@
 
 from absl import app, flags, logging
 
-from cloverhook.at_most_once import AnswerStore, OnceGuard
+from cloverhook.at_most_once import AnswerCache, AtMostOnceRunner
 from cloverhook.caller_app import CallerApp
-from cloverhook.caller_protocol import Limits
+from cloverhook.caller_protocol import RequestLimits
 from cloverhook.claim_log import ClaimLog
-from cloverhook.claims import ClaimBook
+from cloverhook.claims import ClaimTable
 from cloverhook.clock import monotonic_ms, wall_ms
 from cloverhook.cluster import Cluster
 from cloverhook.dispatch import Dispatcher, Target
@@ -25,7 +25,7 @@
 from cloverhook.errors import SettingsError
 from cloverhook.fold import FoldResult, Verdict
 from cloverhook.follower import Follower
-from cloverhook.load_watch import LoadWatch
+from cloverhook.load_watch import LoadMonitor
 from cloverhook.logs import configure_logs
 from cloverhook.messages import Message
 from cloverhook.metrics import Metric, Sample
@@ -68,7 +68,7 @@
         self._probes = LoadProbes(self._pool, self._on_probed, monotonic_ms)
         self._claims = ClaimLog(
             self._platform,
-            ClaimBook(settings.vm, settings.claim_window_ms),
+            ClaimTable(settings.vm, settings.claim_window_ms),
             wall_ms,
             settings.claim_wait_ms,
             settings.claim_appends_per_s,
@@ -102,7 +102,7 @@
             self._observer.time_line,
             monotonic_ms,
             self._cluster.addresses,
-            OnceGuard(self._claims, AnswerStore(self._settings.replay_limit_bytes), monotonic_ms),
+            AtMostOnceRunner(self._claims, AnswerCache(self._settings.replay_limit_bytes), monotonic_ms),
         )
         operators_app = operator_app(
             self,
@@ -115,7 +115,7 @@
             ObservedApp(self._caller_app, self._observer),
             settings.caller_address,
             settings.caller_idle_ms,
-            Limits(
+            RequestLimits(
                 settings.header_limit_bytes,
                 settings.header_limit_count,
                 settings.url_limit_bytes,
@@ -130,14 +130,14 @@
         await self._operator_listener.start()
         self._dispatcher.start_timer(monotonic_ms)
         loops = (self._follow_log(), self._append_snapshots(), self._claims.run())
-        load_watch = LoadWatch(
-            self._dispatcher.own_limit, self._cluster.load_changed, self._observer.loop_lagged
+        load_watch = LoadMonitor(
+            self._dispatcher.load_shedder, self._cluster.announce_load, self._observer.loop_lagged
         )
         self._tasks = [asyncio.create_task(loop) for loop in (*loops, load_watch.run())]
         self._observer.note(EventName.DAEMON_STARTED)
         logging.info("daemon: %s has started.", settings.vm)
 
-    def announce(self) -> None:
+    def print_addresses(self) -> None:
         """Print the addresses that this daemon listens on."""
         for name, address in (
             ("callers", self._caller_listener.address),
@@ -174,8 +174,8 @@
             return
         self._draining = True
         self._observer.note(EventName.DRAIN_STARTED)
-        self._caller_app.leaving = True
-        self._cluster.leave()
+        self._caller_app.draining = True
+        self._cluster.announce_shutdown()
         lifetimes = [target.policy.lifetime_ms for target in self._dispatcher.targets()]
         self._drain_plan = DrainPlan.from_lifetimes(
             monotonic_ms(), lifetimes, self._settings.drain_ms
@@ -219,9 +219,9 @@
         """Return a page of this daemon's part of the time line."""
         return self._observer.page(after, limit, request_id, address, change_id)
 
-    def tell(self, vm: str, message: Message) -> None:
+    def send_message(self, vm: str, message: Message) -> None:
         """Send a message to another VM.  Delivery is not guaranteed."""
-        self._cluster.tell(vm, message)
+        self._cluster.send_message(vm, message)
 
     def probe(self, target: Target, address: str, health: bool) -> None:
         """Probe an endpoint for its load or health and report the result to its router."""
@@ -246,7 +246,7 @@
 
     def _apply_config(self, state: State) -> None:
         self._dispatcher.configure(state, monotonic_ms())
-        self._cluster.config_changed()
+        self._cluster.announce_config()
 
     async def _follow_log(self) -> None:
         while True:
@@ -258,11 +258,11 @@
     async def _append_snapshots(self) -> None:
         while True:
             await asyncio.sleep(SNAPSHOT_CHECK_MS / 1000)
-            await self._follower.maintain()
+            await self._follower.append_snapshot_if_due()
 
     def _samples(self) -> list[Sample]:
         return [
-            Sample(Metric.WAITING, self._dispatcher.waiting()),
+            Sample(Metric.WAITING, self._dispatcher.queued_count()),
             Sample(Metric.OFFSET, self._follower.state.next_offset),
             Sample(Metric.LEAVING, int(self._draining)),
         ]
@@ -274,7 +274,7 @@
     loop = asyncio.get_running_loop()
     for number in STOP_SIGNALS:
         loop.add_signal_handler(number, daemon.drain)
-    daemon.announce()
+    daemon.print_addresses()
     gc.collect()
     gc.freeze()  # What has been loaded is permanent, so full collections need not traverse it.
     await daemon.run_until_stopped()
--- a/cloverhook/drain.py
+++ b/cloverhook/drain.py
@@ -22,16 +22,16 @@
 class DrainPlan:
     """A planned shutdown that started at `begun_ms`; new requests are accepted until `ends_ms`."""
 
-    begun_ms: float
+    started_ms: float
     ends_ms: float
 
     @classmethod
     def from_lifetimes(
-        cls, now_ms: float, lifetimes_ms: Iterable[float], bound_ms: float
+        cls, now_ms: float, lifetimes_ms: Iterable[float], limit_ms: float
     ) -> "DrainPlan":
         """Return the plan for the lifetimes of the answers; it lasts at most `bound_ms`."""
         needed_ms = max(lifetimes_ms, default=0.0) + MARGIN_MS
-        return cls(now_ms, now_ms + min(bound_ms, needed_ms))
+        return cls(now_ms, now_ms + min(limit_ms, needed_ms))
 
     def remaining_ms(self, now_ms: float) -> float:
         """Return how much longer new requests are accepted."""
--- a/cloverhook/exchange.py
+++ b/cloverhook/exchange.py
@@ -20,7 +20,7 @@
     "CapturedAnswer",
     "Exchange",
     "Receive",
-    "RefusedError",
+    "RejectedError",
     "RequestBody",
     "Send",
 ]
@@ -32,7 +32,7 @@
 Send = Callable[[dict[str, Any]], Awaitable[None]]
 
 
-class RefusedError(Exception):
+class RejectedError(Exception):
     """The backend server rejected the request before it did any work.
 
     `leaving` is whether the backend server reported that it accepts no new requests at all.
@@ -40,7 +40,7 @@
 
     def __init__(self, leaving: bool) -> None:
         super().__init__("the backend server rejected the request")
-        self.leaving = leaving
+        self.server_draining = leaving
 
 
 class RequestBody:
@@ -52,9 +52,9 @@
         self._kept: list[bytes] = []
         self._kept_bytes = 0
         self.ended = False
-        self.repeatable = True
+        self.can_resend = True
 
-    async def begin(self) -> bytes:
+    async def initial_part(self) -> bytes:
         """Return the start of the body for a new attempt.
 
         This is all that has been kept, or else the next part, for which it waits.
@@ -63,7 +63,7 @@
             return b"".join(self._kept)
         return await self._receive_part()
 
-    async def rest(self) -> AsyncIterator[bytes]:
+    async def remaining_parts(self) -> AsyncIterator[bytes]:
         """Yield the parts of the body that the caller has not sent yet."""
         while not self.ended:
             yield await self._receive_part()
@@ -80,7 +80,7 @@
     def _keep(self, part: bytes) -> None:
         self._kept_bytes += len(part)
         if self._kept_bytes > self._limit_bytes:
-            self.repeatable = False
+            self.can_resend = False
             self._kept.clear()
         elif part:
             self._kept.append(part)
@@ -108,26 +108,26 @@
         self._headers: h.Headers = []
         self._parts: list[bytes] = []
         self.answer: CapturedAnswer | None = None
-        self.whole = False
+        self.complete = False
 
-    def begin(self, status: int, headers: h.Headers) -> None:
+    def record_head(self, status: int, headers: h.Headers) -> None:
         """Record the head of the answer."""
         self._status = status
         self._headers = [pair for pair in headers if pair[0] != b"connection"]
 
-    def add(self, part: bytes, more: bool) -> None:
+    def add_body_part(self, part: bytes, more: bool) -> None:
         """Record a part of the body; without `more` the answer is complete."""
         self._remaining_bytes -= len(part)
         if self._remaining_bytes >= 0:
             self._parts.append(part)
-        self.whole = not more
-        if self.whole and self._remaining_bytes >= 0:
+        self.complete = not more
+        if self.complete and self._remaining_bytes >= 0:
             self.answer = CapturedAnswer(self._status, self._headers, b"".join(self._parts))
 
     @property
     def ran(self) -> bool:
         """Whether the answer is complete and reports that its request ran."""
-        return self.whole and h.outcome_of(self._headers) is Outcome.RAN
+        return self.complete and h.outcome_of(self._headers) is Outcome.RAN
 
 
 @dataclass(slots=True)
@@ -148,8 +148,8 @@
     idempotent: bool
     body: RequestBody | None
     send: Send
-    seen: Observation
-    told_attempt: int = 1
+    observation: Observation
+    caller_attempt: int = 1
     attempts: int = 0
     sent: bool = False
     maybe_ran: bool = False
@@ -158,12 +158,12 @@
     capture: "AnswerCapture | None" = None
 
     @property
-    def repeatable(self) -> bool:
+    def retryable(self) -> bool:
         """Whether another attempt can send the same request.
 
         It can while no part of an answer has been sent to the caller and the body is still kept.
         """
-        return not self.answer_started and (self.body is None or self.body.repeatable)
+        return not self.answer_started and (self.body is None or self.body.can_resend)
 
     async def attempt(
         self, address: str, pool: UpstreamPool, now_ms: Callable[[], float], closing: bool
@@ -180,12 +180,12 @@
         try:
             answer = await self._send_request(connection, now_ms)
             if _is_rejection(answer):
-                raise RefusedError(h.is_leaving(answer.headers))
+                raise RejectedError(h.is_draining(answer.headers))
             await self._send_answer(answer, connection, closing)
-        except RefusedError:
+        except RejectedError:
             raise
         except (UpstreamError, asyncio.CancelledError):
-            if connection.silent:
+            if connection.is_unanswered:
                 pool.close_idle_since(address, started_ms)
             connection.close()
             raise
@@ -199,8 +199,8 @@
     async def _send_request(
         self, connection: UpstreamConnection, now_ms: Callable[[], float]
     ) -> AnswerHead:
-        initial_body = b"" if self.body is None else await self.body.begin()
-        remaining_body = None if self.body is None or self.body.ended else self.body.rest()
+        initial_body = b"" if self.body is None else await self.body.initial_part()
+        remaining_body = None if self.body is None or self.body.ended else self.body.remaining_parts()
         remaining_ms = self.deadline_ms - now_ms()
         if remaining_ms <= 0:
             raise TimeoutError
@@ -216,7 +216,7 @@
             (h.DEADLINE, str(max(1, int(remaining_ms))).encode()),
         ]
         self.attempts += 1
-        attempt = max(self.attempts, self.told_attempt)
+        attempt = max(self.attempts, self.caller_attempt)
         if attempt > 1:
             headers.append((h.ATTEMPT, str(attempt).encode()))
         head = self.head
@@ -232,7 +232,7 @@
             headers.append((b"connection", b"close"))
         self.answer_started = True
         if self.capture is not None:
-            self.capture.begin(answer.status, headers)
+            self.capture.record_head(answer.status, headers)
         start = {"type": "http.response.start", "status": answer.status, "headers": headers}
         await self.send(start)
         more = True
@@ -241,7 +241,7 @@
         while more:
             part, more = await connection.read()
             if self.capture is not None:
-                self.capture.add(part, more)
+                self.capture.add_body_part(part, more)
             await self.send({"type": "http.response.body", "body": part, "more_body": more})
 
 
--- a/cloverhook/headers.py
+++ b/cloverhook/headers.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 
 from cloverhook.errors import ErrorKind, Outcome, RequestError
-from cloverhook.hop_by_hop import HOP_BY_HOP, KEPT_ALWAYS, find
+from cloverhook.hop_by_hop import ALWAYS_FORWARDED, HOP_BY_HOP, find
 
 __all__ = [
     "ATTEMPT",
@@ -26,7 +26,7 @@
     "attempt_of",
     "end_to_end",
     "find",
-    "is_leaving",
+    "is_draining",
     "load_of",
     "outcome_of",
     "request_id_of",
@@ -69,7 +69,7 @@
             connection_names.update(token.strip().lower() for token in pair[1].split(b","))
         elif name not in NEVER_FORWARDED and not name.startswith(CONTROL_PREFIX):
             kept.append(pair)
-    connection_names -= KEPT_ALWAYS
+    connection_names -= ALWAYS_FORWARDED
     return [pair for pair in kept if pair[0] not in connection_names] if connection_names else kept
 
 
@@ -103,7 +103,7 @@
     return 2 if value is not None and value not in (b"", b"0", b"1") else 1
 
 
-def is_leaving(headers: Iterable[tuple[bytes, bytes]]) -> bool:
+def is_draining(headers: Iterable[tuple[bytes, bytes]]) -> bool:
     """Return whether a backend server reports in its answer that it is draining."""
     return find(headers, LEAVING) == b"1"
 
--- a/cloverhook/hop_by_hop.py
+++ b/cloverhook/hop_by_hop.py
@@ -5,7 +5,7 @@
 
 from collections.abc import Iterable
 
-__all__ = ["HOP_BY_HOP", "KEPT_ALWAYS", "find"]
+__all__ = ["ALWAYS_FORWARDED", "HOP_BY_HOP", "find"]
 
 HOP_BY_HOP = frozenset(
     (
@@ -22,7 +22,7 @@
     )
 )
 """Headers that concern one connection only (RFC 9110, 7.6.1)."""
-KEPT_ALWAYS = frozenset((b"content-length", b"host"))
+ALWAYS_FORWARDED = frozenset((b"content-length", b"host"))
 """Headers that a `Connection` header can't remove: without them a request has another meaning."""
 
 
--- a/cloverhook/load_watch.py
+++ b/cloverhook/load_watch.py
@@ -10,16 +10,16 @@
 from collections.abc import Callable
 
 from cloverhook.clock import monotonic_ms
-from cloverhook.own_limit import OwnLimit
+from cloverhook.own_limit import LoadShedder
 
-__all__ = ["LoadWatch"]
+__all__ = ["LoadMonitor"]
 
 CHECK_INTERVAL_MS = 50.0
 REPORT_INTERVAL_MS = 1_000.0
 REPORT_THRESHOLD_TENTHS = 2
 
 
-class LoadWatch:
+class LoadMonitor:
     """Measures the load of this process.
 
     `on_load_change` is called with the load in tenths of a core when the peers should get it.
@@ -28,7 +28,7 @@
 
     def __init__(
         self,
-        limit: OwnLimit,
+        limit: LoadShedder,
         on_load_change: Callable[[int], None],
         on_check: Callable[[float], None] = lambda due_ms: None,
     ) -> None:
@@ -48,9 +48,9 @@
             took_ms = now_ms - started_ms
             busy = (time.process_time() - used_s) * 1000 / took_ms
             self._limit.observe(took_ms - CHECK_INTERVAL_MS, busy)
-            self.look(now_ms)
+            self.report_if_changed(now_ms)
 
-    def look(self, now_ms: float) -> None:
+    def report_if_changed(self, now_ms: float) -> None:
         """Report the load to the peers if it differs enough from the last report."""
         tenths = round(10 * min(1.0, self._limit.busy))
         differs = abs(tenths - self._reported_tenths) >= REPORT_THRESHOLD_TENTHS
--- a/cloverhook/log_reading.py
+++ b/cloverhook/log_reading.py
@@ -14,11 +14,11 @@
 from cloverhook.replica import Replica
 from cloverhook.state import Accepted, offset_of
 
-__all__ = ["LogReading", "Ruling"]
+__all__ = ["ChangeOutcome", "LogReader"]
 
 
 @dataclass(frozen=True, slots=True)
-class Ruling:
+class ChangeOutcome:
     """The outcome of the change at an offset.
 
     `verdict` is None when the log no longer has the records that determine it.
@@ -31,7 +31,7 @@
     winner: Accepted | None = None
 
 
-class LogReading:
+class LogReader:
     """A replica of the state for one run of a tool, with the outcomes of the changes it read."""
 
     def __init__(self, platform: Platform) -> None:
@@ -51,33 +51,33 @@
             read = await self._platform.read(CONFIG_STREAM, self._replica.next_read().offset)
             for offset, data in enumerate(read.records, start=read.from_offset):
                 self._data[offset] = data
-            self._replica.take_slice(read)
-            if self._replica.lost:
+            self._replica.apply_read(read)
+            if self._replica.records_lost:
                 raise PlatformError("the log has lost records and holds no snapshot of them yet")
             if self._replica.at_end:
                 return
 
-    def rulings(self, change_id: str | None = None) -> tuple[Ruling, ...]:
+    def change_outcomes(self, change_id: str | None = None) -> tuple[ChangeOutcome, ...]:
         """Return the outcome of each change, or of those with `change_id`, oldest first."""
-        found: list[Ruling] = []
+        found: list[ChangeOutcome] = []
         for offset, data in sorted(self._data.items()):
             change = _decode_change(data)
             if change is not None and change_id in (None, change.change_id):
                 found.append(self._outcome_of(offset, change))
         return tuple(found)
 
-    def _outcome_of(self, offset: int, change: Change) -> Ruling:
+    def _outcome_of(self, offset: int, change: Change) -> ChangeOutcome:
         result = self._results.get(offset)
         if result is not None:
-            return Ruling(offset, change, result.verdict, result.reason, result.winner)
-        recent = self.state.recent(change.brand)
+            return ChangeOutcome(offset, change, result.verdict, result.reason, result.winner)
+        recent = self.state.recent_changes(change.brand)
         if any(item.change_id == change.change_id for item in recent):
-            return Ruling(offset, change, Verdict.ACCEPTED)
+            return ChangeOutcome(offset, change, Verdict.ACCEPTED)
         winners = [item for item in recent if item.version == change.base_version + 1]
         if winners:
             reason = f"builds on version {change.base_version}, which another change built on"
-            return Ruling(offset, change, Verdict.STALE, reason, winners[0])
-        return Ruling(
+            return ChangeOutcome(offset, change, Verdict.STALE, reason, winners[0])
+        return ChangeOutcome(
             offset, change, None, "the log no longer has the records that show its outcome"
         )
 
--- a/cloverhook/messages.py
+++ b/cloverhook/messages.py
@@ -30,13 +30,13 @@
     "Message",
     "Ping",
     "ProbeRequest",
-    "RecordsPassedOn",
-    "RecordsWanted",
-    "Seen",
-    "SlotAsk",
+    "ProbeSuccess",
+    "RecordsReply",
+    "RecordsRequest",
     "SlotGrant",
+    "SlotRequest",
     "SlotReturn",
-    "StatePassedOn",
+    "StateReply",
     "decode",
     "decode_stamped",
     "encode",
@@ -98,7 +98,7 @@
     sequence: int
     status: int
     leaving: bool
-    busy_tenths: int = 0
+    load_tenths: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -128,7 +128,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ProbeSuccess:
     """Reply to a probe request: the sender has received a message from the target VM itself."""
 
     target: str
@@ -136,14 +136,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RecordsWanted:
+class RecordsRequest:
     """Requests the configuration records from an offset on."""
 
     from_offset: int
 
 
 @dataclass(frozen=True, slots=True)
-class RecordsPassedOn:
+class RecordsReply:
     """Records of the configuration stream, from `from_offset` on, for a peer that lacks them."""
 
     from_offset: int
@@ -151,7 +151,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SlotAsk:
+class SlotRequest:
     """Asks for slots that the receiver owns, because the sender has queued requests.
 
     `waiting` is the number of queued requests, `oldest_ms` how long the first of them has waited,
@@ -175,7 +175,7 @@
 
     service: str
     addresses: tuple[str, ...]
-    working: bool = True
+    has_working_endpoint: bool = True
 
 
 @dataclass(frozen=True, slots=True)
@@ -187,11 +187,11 @@
 
     service: str
     addresses: tuple[str, ...]
-    suspicion: tuple[int, ...]
+    failure_evidence: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class StatePassedOn:
+class StateReply:
     """The whole configuration state, in the form of `state.State.to_document`.
 
     It is for a peer that is too far behind to catch up with single records.
@@ -207,13 +207,13 @@
     | MemberUpdates
     | Ping
     | ProbeRequest
-    | RecordsPassedOn
-    | RecordsWanted
-    | Seen
-    | SlotAsk
+    | RecordsReply
+    | RecordsRequest
+    | ProbeSuccess
+    | SlotRequest
     | SlotGrant
     | SlotReturn
-    | StatePassedOn
+    | StateReply
 )
 
 TAGS: dict[str, type] = {
@@ -223,13 +223,13 @@
     "members": MemberUpdates,
     "ping": Ping,
     "probe": ProbeRequest,
-    "records": RecordsPassedOn,
-    "ask": SlotAsk,
+    "records": RecordsReply,
+    "ask": SlotRequest,
     "grant": SlotGrant,
     "return": SlotReturn,
-    "wanted": RecordsWanted,
-    "seen": Seen,
-    "state": StatePassedOn,
+    "wanted": RecordsRequest,
+    "seen": ProbeSuccess,
+    "state": StateReply,
 }
 TAG_OF = {kind: tag for tag, kind in TAGS.items()}
 FIELDS = {kind: tuple(field.name for field in fields(kind)) for kind in TAG_OF}
--- a/cloverhook/peering.py
+++ b/cloverhook/peering.py
@@ -20,7 +20,7 @@
 
 from cloverhook.clock import wall_ms
 from cloverhook.errors import AuthenticationError, MessageError
-from cloverhook.greeting import Greeting, Role
+from cloverhook.greeting import Handshake, Role
 from cloverhook.messages import (
     Heartbeat,
     Hello,
@@ -29,7 +29,7 @@
     Message,
     Ping,
     ProbeRequest,
-    Seen,
+    ProbeSuccess,
     decode,
     decode_stamped,
     encode,
@@ -38,15 +38,15 @@
 from cloverhook.outbox import Outbox
 from cloverhook.timeline import HybridClock
 
-__all__ = ["LinkEvents", "PeerLinks", "Traffic"]
+__all__ = ["LinkEvents", "PeerLinks", "TrafficCounter"]
 
 HANDSHAKE_TIMEOUT_MS = 3_000
 CLOSE_TIMEOUT_MS = 500
 FLUSH_TIMEOUT_MS = 500
-SILENT_LINK_MS = 1_500
-IDLE_LINK_MS = 10_000
+LINK_SILENCE_TIMEOUT_MS = 1_500
+LINK_IDLE_TIMEOUT_MS = 10_000
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
-MAINTENANCE_MESSAGES = (Heartbeat, MemberDigests, MemberUpdates, Ping, ProbeRequest, Seen)
+MAINTENANCE_MESSAGES = (Heartbeat, MemberDigests, MemberUpdates, Ping, ProbeRequest, ProbeSuccess)
 WEBSOCKET_OPTIONS: dict[str, Any] = {
     "compression": None,
     "max_size": MAX_MESSAGE_BYTES,
@@ -66,10 +66,10 @@
     def link_lost(self, vm: str) -> None:
         """Handle the loss of the link to a VM."""
 
-    def message_heard(self, vm: str, message: Message) -> None:
+    def message_received(self, vm: str, message: Message) -> None:
         """Handle a peer's message."""
 
-    def stranger_refused(self) -> None:
+    def authentication_failed(self) -> None:
         """Handle a link whose other side failed authentication."""
 
 
@@ -84,7 +84,7 @@
 
     def is_silent(self, now_ms: float) -> bool:
         """Return whether nothing has been received for longer than `SILENT_LINK_MS`."""
-        return now_ms - self.received_ms > SILENT_LINK_MS
+        return now_ms - self.received_ms > LINK_SILENCE_TIMEOUT_MS
 
     def abort(self) -> None:
         """Close the connection at once, without a closing handshake."""
@@ -92,7 +92,7 @@
 
 
 @dataclass(slots=True)
-class Traffic:
+class TrafficCounter:
     """The number of messages and bytes in one direction, over all links."""
 
     messages: int = 0
@@ -113,26 +113,26 @@
 
     def __init__(
         self,
-        greeting: Callable[[], Hello],
+        make_hello: Callable[[], Hello],
         key: bytes,
         events: LinkEvents,
         clock_ms: Callable[[], float],
-        stamps: HybridClock | None = None,
+        hybrid_clock: HybridClock | None = None,
     ) -> None:
-        self._make_hello = greeting
+        self._make_hello = make_hello
         self._key = key
         self._events = events
         self._clock_ms = clock_ms
-        self._hybrid_clock = stamps or HybridClock()
+        self._hybrid_clock = hybrid_clock or HybridClock()
         self._links: dict[str, _Link] = {}
         self._outboxes: dict[str, Outbox] = {}
         self._dialling: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: Server | None = None
-        self.refused_strangers = 0
+        self.authentication_failures = 0
         self.dropped_messages = 0
-        self.sent = Traffic()
-        self.received = Traffic()
+        self.sent = TrafficCounter()
+        self.received = TrafficCounter()
         self.address = ""
 
     async def start(self, address: str) -> None:
@@ -165,7 +165,7 @@
         """Return the metrics of links and messages."""
         return [
             Sample(Metric.LINKS, len(self._links)),
-            Sample(Metric.REFUSED_STRANGERS, self.refused_strangers),
+            Sample(Metric.REFUSED_STRANGERS, self.authentication_failures),
             Sample(Metric.DROPPED_MESSAGES, self.dropped_messages),
             Sample(Metric.PEER_MESSAGES, self.sent.messages, ("sent",)),
             Sample(Metric.PEER_MESSAGES, self.received.messages, ("received",)),
@@ -203,7 +203,7 @@
                 logging.info("peering: aborted the link to %s: nothing was received.", vm)
                 link.abort()
                 self._remove(vm, link)
-            elif link.dialler != vm and vm not in kept and now_ms - link.used_ms > IDLE_LINK_MS:
+            elif link.dialler != vm and vm not in kept and now_ms - link.used_ms > LINK_IDLE_TIMEOUT_MS:
                 self._spawn(self._close(link))
 
     def reset(self) -> None:
@@ -241,8 +241,8 @@
             async with asyncio.timeout(HANDSHAKE_TIMEOUT_MS / 1000):
                 peer = await self._handshake(connection, role, target)
         except (AuthenticationError, MessageError, TimeoutError) as error:
-            self.refused_strangers += 1
-            self._events.stranger_refused()
+            self.authentication_failures += 1
+            self._events.authentication_failed()
             logging.warning("peering: closed a link that failed authentication: %s.", error)
             await connection.close()
             return
@@ -282,23 +282,23 @@
         return link.dialler < present.dialler
 
     async def _handshake(self, connection: Connection, role: Role, target: str) -> Hello:
-        nonce = Greeting.new_nonce()
+        nonce = Handshake.new_nonce()
         if role is Role.CLIENT:
             await connection.send(nonce)
-            handshake = Greeting.from_nonces(self._key, role, nonce, await connection.recv())
+            handshake = Handshake.from_nonces(self._key, role, nonce, await connection.recv())
             await self._send_hello(connection, handshake, target)
             return await self._receive_hello(connection, handshake)
         peer_nonce = await connection.recv()
         await connection.send(nonce)
-        handshake = Greeting.from_nonces(self._key, role, nonce, peer_nonce)
+        handshake = Handshake.from_nonces(self._key, role, nonce, peer_nonce)
         peer = await self._receive_hello(connection, handshake)
         await self._send_hello(connection, handshake, peer.vm)
         return peer
 
-    async def _send_hello(self, connection: Connection, handshake: Greeting, vm: str) -> None:
+    async def _send_hello(self, connection: Connection, handshake: Handshake, vm: str) -> None:
         await connection.send(encode(handshake.prove(replace(self._make_hello(), target=vm))))
 
-    async def _receive_hello(self, connection: Connection, handshake: Greeting) -> Hello:
+    async def _receive_hello(self, connection: Connection, handshake: Handshake) -> Hello:
         return handshake.check(decode(await connection.recv()), self._make_hello().vm)
 
     async def _receive(self, vm: str, link: _Link) -> None:
@@ -315,7 +315,7 @@
                     link.used_ms = link.received_ms
                 if self._links.get(vm) is link:
                     self._hybrid_clock.witness(stamp)
-                    self._events.message_heard(vm, message)
+                    self._events.message_received(vm, message)
 
     async def _write(self, link: _Link, outbox: Outbox) -> None:
         with contextlib.suppress(websockets.ConnectionClosed):
--- a/cloverhook/request_cycle.py
+++ b/cloverhook/request_cycle.py
@@ -39,7 +39,7 @@
     def close_after_answer(self, drain: bool) -> None:
         """Close the connection once the answer is sent."""
 
-    def break_off(self) -> None:
+    def reset_connection(self) -> None:
         """Reset the connection."""
 
 
@@ -82,7 +82,7 @@
             await self._send_internal_error()
         finally:
             if not self.response_complete:
-                self._connection.break_off()
+                self._connection.reset_connection()
 
     async def receive(self) -> dict[str, Any]:
         """Return the next part of the body.  Raises `RequestError` when the body has failed."""
--- a/cloverhook/request_stats.py
+++ b/cloverhook/request_stats.py
@@ -54,7 +54,7 @@
     latency_ms: dict[str, HistogramCounts] = field(default_factory=dict)
     added_ms: dict[str, HistogramCounts] = field(default_factory=dict)
 
-    def ended(
+    def record_end(
         self,
         brand: str,
         service: str,
--- a/cloverhook/server.py
+++ b/cloverhook/server.py
@@ -12,7 +12,7 @@
 
 import uvicorn
 
-from cloverhook.caller_protocol import CallerProtocol, Limits
+from cloverhook.caller_protocol import CallerProtocol, RequestLimits
 
 __all__ = ["Listener"]
 
@@ -48,7 +48,7 @@
     """One listening address and the application that serves it."""
 
     def __init__(
-        self, app: Any, address: str, idle_ms: int = 30_000, limits: Limits | None = None
+        self, app: Any, address: str, idle_ms: int = 30_000, limits: RequestLimits | None = None
     ) -> None:
         host, _, port = address.rpartition(":")
         self._socket = socket.create_server((host, int(port)), backlog=2_048, reuse_port=False)
@@ -56,7 +56,7 @@
         config = uvicorn.Config(
             app,
             loop="asyncio",
-            http=_protocol_class(limits or Limits()),
+            http=_protocol_class(limits or RequestLimits()),
             ws="none",
             lifespan="off",
             access_log=False,
@@ -88,5 +88,5 @@
             await self._task
 
 
-def _protocol_class(limits: Limits) -> type[CallerProtocol]:
+def _protocol_class(limits: RequestLimits) -> type[CallerProtocol]:
     return type("LimitedCallerProtocol", (CallerProtocol,), {"limits": limits})
--- a/cloverhook/upstream_connection.py
+++ b/cloverhook/upstream_connection.py
@@ -100,7 +100,7 @@
         return self._exchange.readable
 
     @property
-    def silent(self) -> bool:
+    def is_unanswered(self) -> bool:
         """Whether no byte of an answer to the latest request has been received."""
         return self._exchange is not None and not self._exchange.has_received
 
@@ -143,9 +143,9 @@
     async def send(
         self,
         head: RequestHead,
-        first: bytes = b"",
-        rest: AsyncIterator[bytes] | None = None,
-        is_own: Callable[[AnswerHead], bool] | None = None,
+        initial_body: bytes = b"",
+        remaining_body: AsyncIterator[bytes] | None = None,
+        matches_request: Callable[[AnswerHead], bool] | None = None,
     ) -> AnswerHead:
         """Send a request and return the head of its answer.
 
@@ -155,13 +155,13 @@
         """
         if not self.usable or self._transport is None or self._transport.is_closing():
             raise UpstreamError("the connection was closed before the request", sent=False)
-        exchange = _Exchange(self, head.method == b"HEAD", self._header_limit_bytes, is_own)
+        exchange = _Exchange(self, head.method == b"HEAD", self._header_limit_bytes, matches_request)
         self._exchange = exchange
         self._open = True
-        body = _encode_body_part(first, head.chunked, last=rest is None and head.has_body)
+        body = _encode_body_part(initial_body, head.chunked, last=remaining_body is None and head.has_body)
         self._transport.write(head.to_bytes() + body)
-        if rest is not None:
-            exchange.sender = self._loop.create_task(self._send_rest(rest, head.chunked))
+        if remaining_body is not None:
+            exchange.sender = self._loop.create_task(self._send_rest(remaining_body, head.chunked))
             exchange.sender.add_done_callback(exchange.on_sender_done)
         return await exchange.head
 
--- a/cloverhook/wake_times.py
+++ b/cloverhook/wake_times.py
@@ -24,7 +24,7 @@
         self._heap: list[tuple[float, str]] = []
         self._requested: dict[str, float] = {}
 
-    def want(self, key: str, wake_ms: float | None) -> None:
+    def request(self, key: str, wake_ms: float | None) -> None:
         """Request a wake-up of a part; an earlier time that it has already requested stays."""
         if wake_ms is None:
             return
@@ -37,7 +37,7 @@
         """Remove the request of a part."""
         self._requested.pop(key, None)
 
-    def next_ms(self) -> float | None:
+    def earliest_ms(self) -> float | None:
         """Return the earliest requested time, or None."""
         while self._heap:
             wake_ms, key = self._heap[0]
@@ -46,10 +46,10 @@
             heapq.heappop(self._heap)
         return None
 
-    def due(self, now_ms: float) -> list[str]:
+    def pop_due(self, now_ms: float) -> list[str]:
         """Remove and return the parts whose time has come, in order of their times."""
         found: list[str] = []
-        while (wake_ms := self.next_ms()) is not None and wake_ms <= now_ms:
+        while (wake_ms := self.earliest_ms()) is not None and wake_ms <= now_ms:
             _, key = heapq.heappop(self._heap)
             del self._requested[key]
             found.append(key)
@@ -65,7 +65,7 @@
         self._handle: asyncio.TimerHandle | None = None
         self._wake_ms = 0.0
 
-    def by(self, wake_ms: float | None) -> None:
+    def call_by(self, wake_ms: float | None) -> None:
         """Schedule the callback for a time, unless it is already scheduled for an earlier one."""
         if wake_ms is None:
             return
