--- a/cloverhook/drain.py
+++ b/cloverhook/drain.py
@@ -5,7 +5,7 @@
 that contains it has expired, plus a margin for the time until all peers know of the shutdown.  A
 setting limits the total.
 
->>> plan = DrainPlan.from_lifetimes(0.0, (5_000,), limit_ms=20_000)
+>>> plan = DrainPlan.from_lifetimes(0.0, (5_000,), bound_ms=20_000)
 >>> plan.remaining_ms(1_000.0)
 5000.0
 """
--- a/cloverhook/messages.py
+++ b/cloverhook/messages.py
@@ -5,8 +5,8 @@
 order.  A field that a newer version adds goes to the end and has a default, so that older and newer
 daemons understand each other during a rolling replacement.
 
->>> decode(encode(RecordsRequest(12)))
-RecordsRequest(from_offset=12)
+>>> decode(encode(RecordsWanted(12)))
+RecordsWanted(from_offset=12)
 
 A message about one service has a field `service`, the service's key, which is unique across brands;
 the daemon passes the message to that service's router.
