--- a/cloverhook/address_answers.py
+++ b/cloverhook/address_answers.py
@@ -68,7 +68,7 @@
         """Return the answer for a service.
 
         The answer's lifetime is short while the home VMs have changed recently.  It is also short
-        with `doubtful`, which means that this process was paused and its member table is not
+        with `unconfirmed`, which means that this process was paused and its member table is not
         confirmed yet.
         """
         homes = self._homes.homes(key)
@@ -78,7 +78,9 @@
         lifetime_ms = answer_lifetime_ms(lifetime_ms, self._changed_ms.get(key, now_ms), now_ms)
         return {
             "service": service.name,
-            "lifetime_ms": min(lifetime_ms, UNCONFIRMED_LIFETIME_MS) if unconfirmed else lifetime_ms,
+            "lifetime_ms": (
+                min(lifetime_ms, UNCONFIRMED_LIFETIME_MS) if unconfirmed else lifetime_ms
+            ),
             "homes": len(homes),
             "addresses": [member.caller_address for member in ordered[:ADDRESSES_LIMIT]],
         }
--- a/cloverhook/caller_app.py
+++ b/cloverhook/caller_app.py
@@ -48,7 +48,7 @@
         time_line: TimeLine,
         clock_ms: Callable[[], float],
         addresses: Addresses,
-        once: AtMostOnceRunner,
+        at_most_once: AtMostOnceRunner,
     ) -> None:
         self._settings = settings
         self._dispatcher = dispatcher
@@ -56,7 +56,7 @@
         self._time_line = time_line
         self._clock_ms = clock_ms
         self._addresses = addresses
-        self._at_most_once = once
+        self._at_most_once = at_most_once
         self._admission = Admission(settings.requests_limit)
         self._in_progress: set[str] = set()
         self.draining = False
@@ -191,14 +191,14 @@
         self._note(EventName.ATTEMPT_STARTED, exchange.request_id, address)
         result = AttemptResult.CANCELLED
         load: int | None = None
-        server_draining = False
+        is_server_draining = False
         failure: Exception | None = None
         try:
             async with asyncio.timeout((exchange.deadline_ms - started_ms) / 1000):
                 answer = await exchange.attempt(
                     address, self._pool, self._clock_ms, closing=self.draining
                 )
-            load, server_draining = h.load_of(answer.headers), h.is_draining(answer.headers)
+            load, is_server_draining = h.load_of(answer.headers), h.is_draining(answer.headers)
             result = AttemptResult.FAILED if answer.status >= 500 else AttemptResult.ANSWERED
         except UpstreamError as error:
             failure = error
@@ -208,14 +208,20 @@
             failure = error
             result = AttemptResult.TIMED_OUT if exchange.sent else AttemptResult.NOT_SENT
         except RejectedError as error:
-            failure, server_draining = error, error.server_draining
+            failure, is_server_draining = error, error.server_draining
             result = AttemptResult.REFUSED
         finally:
             exchange.maybe_ran |= exchange.sent and result not in NOT_RUN_RESULTS
             will_retry = failure is not None and self._may_retry(exchange, result)
             latency_ms = self._clock_ms() - started_ms
             ended = AttemptEnded(
-                exchange.request_id, address, result, latency_ms, load, will_retry, server_draining
+                exchange.request_id,
+                address,
+                result,
+                latency_ms,
+                load,
+                will_retry,
+                is_server_draining,
             )
             exchange.observation.attempt_ended(latency_ms)
             self._note_attempt(ended)
--- a/cloverhook/daemon.py
+++ b/cloverhook/daemon.py
@@ -102,7 +102,9 @@
             self._observer.time_line,
             monotonic_ms,
             self._cluster.addresses,
-            AtMostOnceRunner(self._claims, AnswerCache(self._settings.replay_limit_bytes), monotonic_ms),
+            AtMostOnceRunner(
+                self._claims, AnswerCache(self._settings.replay_limit_bytes), monotonic_ms
+            ),
         )
         operators_app = operator_app(
             self,
@@ -130,10 +132,10 @@
         await self._operator_listener.start()
         self._dispatcher.start_timer(monotonic_ms)
         loops = (self._follow_log(), self._append_snapshots(), self._claims.run())
-        load_watch = LoadMonitor(
+        load_monitor = LoadMonitor(
             self._dispatcher.load_shedder, self._cluster.announce_load, self._observer.loop_lagged
         )
-        self._tasks = [asyncio.create_task(loop) for loop in (*loops, load_watch.run())]
+        self._tasks = [asyncio.create_task(loop) for loop in (*loops, load_monitor.run())]
         self._observer.note(EventName.DAEMON_STARTED)
         logging.info("daemon: %s has started.", settings.vm)
 
--- a/cloverhook/exchange.py
+++ b/cloverhook/exchange.py
@@ -35,7 +35,7 @@
 class RejectedError(Exception):
     """The backend server rejected the request before it did any work.
 
-    `leaving` is whether the backend server reported that it accepts no new requests at all.
+    `server_draining` is whether the backend server reported that it accepts no new requests at all.
     """
 
     def __init__(self, leaving: bool) -> None:
@@ -135,9 +135,9 @@
     """A request and the state of its attempts.
 
     `sent` is whether a byte of the current attempt may have left this process, and `maybe_ran`
-    whether an earlier attempt may have run.  `told_attempt` is the number of the attempt that this
-    request is for the layer above: when it is more than 1, that layer retries, and this one does
-    not.
+    whether an earlier attempt may have run.  `caller_attempt` is the number of the attempt that
+    this request is for the layer above: when it is more than 1, that layer retries, and this one
+    does not.
     """
 
     request_id: str
@@ -170,7 +170,7 @@
     ) -> AnswerHead:
         """Send the request to an endpoint and its answer to the caller.
 
-        Raises `UpstreamError` when the exchange with the backend server fails, `RefusedError`
+        Raises `UpstreamError` when the exchange with the backend server fails, `RejectedError`
         when the backend server rejects the request, and `RequestError` when the request's body
         can't be read.
         """
@@ -200,7 +200,9 @@
         self, connection: UpstreamConnection, now_ms: Callable[[], float]
     ) -> AnswerHead:
         initial_body = b"" if self.body is None else await self.body.initial_part()
-        remaining_body = None if self.body is None or self.body.ended else self.body.remaining_parts()
+        remaining_body = (
+            None if self.body is None or self.body.ended else self.body.remaining_parts()
+        )
         remaining_ms = self.deadline_ms - now_ms()
         if remaining_ms <= 0:
             raise TimeoutError
--- a/cloverhook/headers.py
+++ b/cloverhook/headers.py
@@ -1,6 +1,6 @@
 """The HTTP headers that cloverhook reads, adds and removes.
 
-Layer: protocol.  Headers are lists of pairs of bytes with lower-case names, so that repeated headers
+Layer: protocol.  Headers are lists of pairs of bytes with lower-case names, so repeated headers
 and their order are preserved.
 """
 
--- a/cloverhook/load_watch.py
+++ b/cloverhook/load_watch.py
@@ -1,8 +1,8 @@
 """Measures the load of this process: its event loop lag and the share of a core that it uses.
 
-Layer: coordination.  The load shedder (`own_limit`) gets both values at each check.  The peers get
-the load in tenths of a core, only when it has changed by at least `REPORT_THRESHOLD_TENTHS` and at
-most once in `REPORT_INTERVAL_MS`.
+Layer: coordination.  The `LoadShedder` gets both values at each check.  The peers get the load in
+tenths of a core, only when it has changed by at least `REPORT_THRESHOLD_TENTHS` and at most once in
+`REPORT_INTERVAL_MS`.
 """
 
 import asyncio
@@ -28,11 +28,11 @@
 
     def __init__(
         self,
-        limit: LoadShedder,
+        load_shedder: LoadShedder,
         on_load_change: Callable[[int], None],
         on_check: Callable[[float], None] = lambda due_ms: None,
     ) -> None:
-        self._limit = limit
+        self._load_shedder = load_shedder
         self._on_load_change = on_load_change
         self._on_check = on_check
         self._reported_tenths = 0
@@ -47,12 +47,12 @@
             now_ms = monotonic_ms()
             took_ms = now_ms - started_ms
             busy = (time.process_time() - used_s) * 1000 / took_ms
-            self._limit.observe(took_ms - CHECK_INTERVAL_MS, busy)
+            self._load_shedder.observe(took_ms - CHECK_INTERVAL_MS, busy)
             self.report_if_changed(now_ms)
 
     def report_if_changed(self, now_ms: float) -> None:
         """Report the load to the peers if it differs enough from the last report."""
-        tenths = round(10 * min(1.0, self._limit.busy))
+        tenths = round(10 * min(1.0, self._load_shedder.busy))
         differs = abs(tenths - self._reported_tenths) >= REPORT_THRESHOLD_TENTHS
         if differs and now_ms - self._reported_ms >= REPORT_INTERVAL_MS:
             self._reported_tenths, self._reported_ms = tenths, now_ms
--- a/cloverhook/messages.py
+++ b/cloverhook/messages.py
@@ -5,8 +5,8 @@
 order.  A field that a newer version adds goes to the end and has a default, so that older and newer
 daemons understand each other during a rolling replacement.
 
->>> decode(encode(RecordsWanted(12)))
-RecordsWanted(from_offset=12)
+>>> decode(encode(RecordsRequest(12)))
+RecordsRequest(from_offset=12)
 
 A message about one service has a field `service`, the service's key, which is unique across brands;
 the daemon passes the message to that service's router.
@@ -87,7 +87,7 @@
 class MemberUpdate:
     """What a daemon has recorded about a member; `status` is a value of `members.Status`.
 
-    `busy_tenths` is the load that the member's process reported, in tenths of a core.
+    `load_tenths` is the load that the member's process reported, in tenths of a core.
     """
 
     vm: str
@@ -170,7 +170,7 @@
     """Reply to a slot request: the receiver may use one slot of each address until it returns it.
 
     An address may occur more than once.  Without any address, the sender has no slot to lend now;
-    `working` is False when none of the endpoints that the sender owns can be reached.
+    `has_working_endpoint` is False when none of the endpoints that the sender owns can be reached.
     """
 
     service: str
@@ -182,7 +182,7 @@
 class SlotReturn:
     """Returns slots that were granted and are no longer used.
 
-    `suspicion` gives, for each address, how much evidence of failures the sender has seen there.
+    `failure_evidence` gives, for each address, how much evidence of failures the sender has seen.
     """
 
     service: str
--- a/cloverhook/peering.py
+++ b/cloverhook/peering.py
@@ -83,7 +83,7 @@
         self.used_ms = now_ms
 
     def is_silent(self, now_ms: float) -> bool:
-        """Return whether nothing has been received for longer than `SILENT_LINK_MS`."""
+        """Return whether nothing has been received for longer than `LINK_SILENCE_TIMEOUT_MS`."""
         return now_ms - self.received_ms > LINK_SILENCE_TIMEOUT_MS
 
     def abort(self) -> None:
@@ -107,8 +107,8 @@
 class PeerLinks:
     """This daemon's links to its peers, by VM name.
 
-    `greeting` returns the `Hello` that this daemon sends when a link opens; `stamps` is the hybrid
-    logical clock whose timestamps go with each message.
+    `make_hello` returns the `Hello` that this daemon sends when a link opens; the timestamps of
+    `hybrid_clock` go with each message.
     """
 
     def __init__(
@@ -203,7 +203,11 @@
                 logging.info("peering: aborted the link to %s: nothing was received.", vm)
                 link.abort()
                 self._remove(vm, link)
-            elif link.dialler != vm and vm not in kept and now_ms - link.used_ms > LINK_IDLE_TIMEOUT_MS:
+            elif (
+                link.dialler != vm
+                and vm not in kept
+                and now_ms - link.used_ms > LINK_IDLE_TIMEOUT_MS
+            ):
                 self._spawn(self._close(link))
 
     def reset(self) -> None:
--- a/cloverhook/upstream_connection.py
+++ b/cloverhook/upstream_connection.py
@@ -149,16 +149,21 @@
     ) -> AnswerHead:
         """Send a request and return the head of its answer.
 
-        `first` is the part of the body that is available, and `rest` yields the parts to come.  An
-        answer for which `is_own` returns False belongs to an earlier request and is skipped.
-        Raises `UpstreamError`, whose `sent` says whether a byte may have left this process.
+        `initial_body` is the part of the body that is available, and `remaining_body` yields the
+        parts to come.  An answer for which `matches_request` returns False belongs to an earlier
+        request and is skipped.  Raises `UpstreamError`, whose `sent` says whether a byte may have
+        left this process.
         """
         if not self.usable or self._transport is None or self._transport.is_closing():
             raise UpstreamError("the connection was closed before the request", sent=False)
-        exchange = _Exchange(self, head.method == b"HEAD", self._header_limit_bytes, matches_request)
+        exchange = _Exchange(
+            self, head.method == b"HEAD", self._header_limit_bytes, matches_request
+        )
         self._exchange = exchange
         self._open = True
-        body = _encode_body_part(initial_body, head.chunked, last=remaining_body is None and head.has_body)
+        body = _encode_body_part(
+            initial_body, head.chunked, last=remaining_body is None and head.has_body
+        )
         self._transport.write(head.to_bytes() + body)
         if remaining_body is not None:
             exchange.sender = self._loop.create_task(self._send_rest(remaining_body, head.chunked))
--- a/cloverhook/wake_times.py
+++ b/cloverhook/wake_times.py
@@ -4,9 +4,9 @@
 timer that a set of parts shares.
 
 >>> times = WakeTimes()
->>> times.want("booking", 30.0)
->>> times.want("roster", None)
->>> times.next_ms(), times.due(30.0), times.next_ms()
+>>> times.request("booking", 30.0)
+>>> times.request("roster", None)
+>>> times.earliest_ms(), times.pop_due(30.0), times.earliest_ms()
 (30.0, ['booking'], None)
 """
 
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from cloverhook.address_answers import UNCONFIRMED_LIFETIME_MS, AddressAnswers
-from cloverhook.catch_up import ANSWER_MS, PATIENCE_MS, CatchUp
+from cloverhook.catch_up import ANSWER_TIMEOUT_MS, REQUEST_DELAY_MS, CatchUp
 from cloverhook.fleet import Endpoint, Service
 from cloverhook.homes import HomeTable
 from cloverhook.member_events import CallerConnectFailed, MessageReceived, ShutdownStarted
@@ -304,7 +304,7 @@
     assert sorted(Counter(found[0] for found in orders).values()) == [20, 20, 20]
     assert {found["lifetime_ms"] for found in given_answers} == {5_000}
     assert answers.answer("b/s", service, 5_000, 100.0)["lifetime_ms"] == UNSETTLED_LIFETIME_MS
-    near = answers.answer("b/s", service, 5_000, 9_000.0, "papine", doubtful=True)
+    near = answers.answer("b/s", service, 5_000, 9_000.0, "papine", unconfirmed=True)
     assert near["lifetime_ms"] == UNCONFIRMED_LIFETIME_MS
     own_center = [int(vm[3:]) % 3 == 2 for vm in near["addresses"][3:]]
     assert int(near["addresses"][0][3:]) % 3 == 2
