--- a/cloverhook/daemon.py
+++ b/cloverhook/daemon.py
@@ -1,7 +1,6 @@
-"""The daemon: one event loop that serves callers, follows the configuration and talks to its peers.
+"""The daemon: one event loop for the callers, the configuration log and the peers.
 
-Layer: transport.  `Daemon` only wires the parts together; each decision is made in a part of its
-own.
+Layer: transport.  `Daemon` only connects the parts; every decision is made in one of them.
 """
 
 import asyncio
@@ -48,7 +47,7 @@
 __all__ = ["Daemon", "run"]
 
 SNAPSHOT_CHECK_MS = 500
-EXIT_SETTINGS = 2
+EXIT_INVALID_SETTINGS = 2
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 FLAGS = flags.FLAGS
@@ -84,18 +83,18 @@
             self._observer,
             self.drain,
         )
-        self._stopping = asyncio.Event()
+        self._stop_requested = asyncio.Event()
         self._drain_plan = DrainPlan(0.0, 0.0)
-        self._leaving = False
+        self._draining = False
         self._tasks: list[asyncio.Task[None]] = []
 
     @classmethod
     def from_settings(cls, settings: DaemonSettings) -> "Daemon":
-        """Return a daemon that uses the platform its settings name."""
+        """Return a daemon that uses the platform at the URL in its settings."""
         return cls(settings, HttpPlatform(settings.platform_url))
 
     async def start(self) -> None:
-        """Open the listeners and start to follow and to talk."""
+        """Open the listeners, join the peers and start to follow the configuration log."""
         self._caller_app = CallerApp(
             self._settings,
             self._dispatcher,
@@ -107,14 +106,14 @@
                 self._claims, AnswerCache(self._settings.replay_limit_bytes), monotonic_ms
             ),
         )
-        operators = operator_app(
+        operators_app = operator_app(
             self,
             self._observer.metrics,
             self._settings.operator_token(),
             self._observer.operator_refused,
         )
         settings = self._settings
-        self._callers = Listener(
+        self._caller_listener = Listener(
             ObservedApp(self._caller_app, self._observer),
             settings.caller_address,
             settings.caller_idle_ms,
@@ -127,32 +126,32 @@
                 settings.body_timeout_ms,
             ),
         )
-        self._operators = Listener(operators, settings.operator_address)
-        await self._cluster.start(self._callers.address)
-        await self._callers.start()
-        await self._operators.start()
+        self._operator_listener = Listener(operators_app, settings.operator_address)
+        await self._cluster.start(self._caller_listener.address)
+        await self._caller_listener.start()
+        await self._operator_listener.start()
         self._dispatcher.start_timer(monotonic_ms)
-        loops = (self._follow(), self._keep_snapshots(), self._claims.run())
-        watch = LoadMonitor(
+        loops = (self._follow_log(), self._append_snapshots(), self._claims.run())
+        load_monitor = LoadMonitor(
             self._dispatcher.load_shedder, self._cluster.announce_load, self._observer.loop_lagged
         )
-        self._tasks = [asyncio.create_task(loop) for loop in (*loops, watch.run())]
+        self._tasks = [asyncio.create_task(loop) for loop in (*loops, load_monitor.run())]
         self._observer.note(EventName.DAEMON_STARTED)
         logging.info("daemon: %s has started.", settings.vm)
 
     def print_addresses(self) -> None:
         """Print the addresses that this daemon listens on."""
         for name, address in (
-            ("callers", self._callers.address),
-            ("operators", self._operators.address),
+            ("callers", self._caller_listener.address),
+            ("operators", self._operator_listener.address),
             ("peers", self._cluster.links.address),
         ):
             print(f"{name}: listening on {address}", flush=True)
 
     async def run_until_stopped(self) -> None:
-        """Serve until a planned stop has ended."""
-        await self._stopping.wait()
-        logging.info("daemon: %s is leaving.", self._settings.vm)
+        """Serve until a planned shutdown is complete."""
+        await self._stop_requested.wait()
+        logging.info("daemon: %s is shutting down.", self._settings.vm)
         await asyncio.sleep(self._drain_plan.remaining_ms(monotonic_ms()) / 1000)
         await self._finish_requests()
         for task in self._tasks:
@@ -160,20 +159,22 @@
         self._dispatcher.stop_timer()
         await self._claims.flush()
         await self._cluster.close()
-        await self._operators.stop()
+        await self._operator_listener.stop()
         self._probes.close()
         self._pool.close()
         await self._platform.close()
         logging.info("daemon: %s has stopped.", self._settings.vm)
 
     def drain(self) -> None:
-        """Begin a planned stop: leave the addresses handed out, serve on, then stop.
+        """Start a planned shutdown.
 
-        A second call changes nothing, so a second signal cuts no request either.
+        This daemon's address is withdrawn from the answers to callers, requests are still served
+        until the earlier answers have expired, and then the daemon stops.  A second call has no
+        effect, so a second signal interrupts no request either.
         """
-        if self._leaving:
+        if self._draining:
             return
-        self._leaving = True
+        self._draining = True
         self._observer.note(EventName.DRAIN_STARTED)
         self._caller_app.draining = True
         self._cluster.announce_shutdown()
@@ -181,31 +182,31 @@
         self._drain_plan = DrainPlan.from_lifetimes(
             monotonic_ms(), lifetimes, self._settings.drain_ms
         )
-        self._stopping.set()
+        self._stop_requested.set()
 
     async def _finish_requests(self) -> None:
-        """Let the requests in flight end; report those that take longer than the limit."""
-        stop = asyncio.create_task(self._callers.stop())
+        """Wait until the requests in flight have ended; log a warning after each time limit."""
+        stop_task = asyncio.create_task(self._caller_listener.stop())
         limit_s = self._settings.drain_in_flight_ms / 1000
-        while not (await asyncio.wait({stop}, timeout=limit_s))[0]:
+        while not (await asyncio.wait({stop_task}, timeout=limit_s))[0]:
             logging.warning(
                 "daemon: %s still has %d requests in flight.",
                 self._settings.vm,
-                self._callers.in_flight(),
+                self._caller_listener.in_flight(),
             )
-        await stop
+        await stop_task
 
     def ready(self) -> bool:
-        """Return whether the daemon has a configuration and takes requests."""
-        return bool(self._follower.state.brands) and not self._leaving
+        """Return whether the daemon has a configuration and accepts requests."""
+        return bool(self._follower.state.brands) and not self._draining
 
     def status(self) -> dict[str, Any]:
-        """Return what operators see of this daemon."""
+        """Return the status document of this daemon for operators."""
         return {
             "vm": self._settings.vm,
             "data_center": self._settings.data_center,
-            "caller_address": self._callers.address,
-            "leaving": self._leaving,
+            "caller_address": self._caller_listener.address,
+            "leaving": self._draining,
             **self._follower.status(),
             "brands": {
                 name: {"version": item.version, "preset": item.preset.value}
@@ -221,11 +222,11 @@
         return self._observer.page(after, limit, request_id, address, change_id)
 
     def send_message(self, vm: str, message: Message) -> None:
-        """Send a message to another VM; it may be lost."""
+        """Send a message to another VM.  Delivery is not guaranteed."""
         self._cluster.send_message(vm, message)
 
     def probe(self, target: Target, address: str, health: bool) -> None:
-        """Ask an endpoint for its load or health and report the answer to its router."""
+        """Probe an endpoint for its load or health and report the result to its router."""
         self._probes.start(target, address, health)
 
     def _on_probed(self, key: str, ended: ProbeEnded) -> None:
@@ -239,24 +240,24 @@
             return
         self._observer.change_folded(record, result)
         if result.verdict is Verdict.ACCEPTED:
-            self._put_in_force(result.state)
+            self._apply_config(result.state)
 
     def _on_adopted(self, state: State) -> None:
         self._observer.note(EventName.STATE_ADOPTED, f"up to offset {state.next_offset}")
-        self._put_in_force(state)
+        self._apply_config(state)
 
-    def _put_in_force(self, state: State) -> None:
+    def _apply_config(self, state: State) -> None:
         self._dispatcher.configure(state, monotonic_ms())
         self._cluster.announce_config()
 
-    async def _follow(self) -> None:
+    async def _follow_log(self) -> None:
         while True:
             answered = await self._follower.poll()
             self._observer.log_read(answered)
             if not answered:
                 await asyncio.sleep(self._follower.retry_ms() / 1000)
 
-    async def _keep_snapshots(self) -> None:
+    async def _append_snapshots(self) -> None:
         while True:
             await asyncio.sleep(SNAPSHOT_CHECK_MS / 1000)
             await self._follower.append_snapshot_if_due()
@@ -265,7 +266,7 @@
         return [
             Sample(Metric.WAITING, self._dispatcher.queued_count()),
             Sample(Metric.OFFSET, self._follower.state.next_offset),
-            Sample(Metric.LEAVING, int(self._leaving)),
+            Sample(Metric.LEAVING, int(self._draining)),
         ]
 
 
@@ -277,7 +278,7 @@
         loop.add_signal_handler(number, daemon.drain)
     daemon.print_addresses()
     gc.collect()
-    gc.freeze()  # What has been loaded stays; a full collection need not look at it again.
+    gc.freeze()  # What has been loaded is permanent, so full collections need not traverse it.
     await daemon.run_until_stopped()
     for number in STOP_SIGNALS:
         loop.remove_signal_handler(number)
@@ -287,8 +288,8 @@
 def _start(arguments: list[str]) -> None:
     del arguments
     if FLAGS.settings is None:
-        print("cloverhookd: --settings names no file", file=sys.stderr)
-        sys.exit(EXIT_SETTINGS)
+        print("cloverhookd: the flag --settings is missing", file=sys.stderr)
+        sys.exit(EXIT_INVALID_SETTINGS)
     try:
         settings = DaemonSettings.from_file(FLAGS.settings)
         settings.peer_key()
@@ -296,7 +297,7 @@
         configure_logs(settings.log_format, settings.vm)
     except SettingsError as error:
         print(f"cloverhookd: the settings are not valid:\n{error}", file=sys.stderr)
-        sys.exit(EXIT_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     asyncio.run(_main(settings))
 
 
--- a/cloverhook/peering.py
+++ b/cloverhook/peering.py
@@ -1,8 +1,9 @@
 """Links between daemons: websockets that carry CBOR messages.
 
-Layer: transport.  A link is opened by whichever side needs it.  Each side proves with its greeting
-that it holds the shared key; a stranger's link is closed and counted.  A link that goes silent is
-aborted, and one that was opened on demand is closed when it is idle.
+Layer: transport.  A link is opened by whichever side needs it.  In the handshake each side proves
+that it has the shared key; a link whose other side fails to do so is closed and counted.  A link on
+which nothing is received for too long is aborted, and one that was opened on demand is closed when
+it is idle.
 """
 
 import asyncio
@@ -39,14 +40,14 @@
 
 __all__ = ["LinkEvents", "PeerLinks", "TrafficCounter"]
 
-GREETING_TIMEOUT_MS = 3_000
+HANDSHAKE_TIMEOUT_MS = 3_000
 CLOSE_TIMEOUT_MS = 500
 FLUSH_TIMEOUT_MS = 500
 LINK_SILENCE_TIMEOUT_MS = 1_500
 LINK_IDLE_TIMEOUT_MS = 10_000
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
-UPKEEP = (Heartbeat, MemberDigests, MemberUpdates, Ping, ProbeRequest, ProbeSuccess)
-OPTIONS: dict[str, Any] = {
+MAINTENANCE_MESSAGES = (Heartbeat, MemberDigests, MemberUpdates, Ping, ProbeRequest, ProbeSuccess)
+WEBSOCKET_OPTIONS: dict[str, Any] = {
     "compression": None,
     "max_size": MAX_MESSAGE_BYTES,
     "ping_interval": None,
@@ -57,23 +58,23 @@
 
 
 class LinkEvents(Protocol):
-    """What the links tell the daemon."""
+    """The callbacks by which the links notify the daemon."""
 
     def link_opened(self, hello: Hello) -> None:
-        """Take the greeting of a peer that has proved itself."""
+        """Handle a new link to an authenticated peer."""
 
     def link_lost(self, vm: str) -> None:
-        """Note that there is no link to a VM any more."""
+        """Handle the loss of the link to a VM."""
 
     def message_received(self, vm: str, message: Message) -> None:
-        """Take a peer's message."""
+        """Handle a peer's message."""
 
     def authentication_failed(self) -> None:
-        """Count a link whose other side did not prove itself."""
+        """Handle a link whose other side failed authentication."""
 
 
 class _Link:
-    """An open link: `dialler` is the VM that opened it."""
+    """An open link; `dialler` is the VM that opened it."""
 
     def __init__(self, connection: Connection, dialler: str, now_ms: float) -> None:
         self.connection = connection
@@ -81,18 +82,18 @@
         self.received_ms = now_ms
         self.used_ms = now_ms
 
-    def silent(self, now_ms: float) -> bool:
-        """Return whether nothing has come for too long."""
+    def is_silent(self, now_ms: float) -> bool:
+        """Return whether nothing has been received for longer than `LINK_SILENCE_TIMEOUT_MS`."""
         return now_ms - self.received_ms > LINK_SILENCE_TIMEOUT_MS
 
     def abort(self) -> None:
-        """Close the connection without a word."""
+        """Close the connection at once, without a closing handshake."""
         self.connection.transport.abort()
 
 
 @dataclass(slots=True)
 class TrafficCounter:
-    """Messages and their bytes in one direction, all links together."""
+    """The number of messages and bytes in one direction, over all links."""
 
     messages: int = 0
     size_bytes: int = 0
@@ -106,8 +107,8 @@
 class PeerLinks:
     """This daemon's links to its peers, by VM name.
 
-    `make_hello` gives what this daemon says of itself when a link opens; `hybrid_clock` is
-    the clock of the time line, whose stamps go with each message.
+    `make_hello` returns the `Hello` that this daemon sends when a link opens; the timestamps of
+    `hybrid_clock` go with each message.
     """
 
     def __init__(
@@ -118,11 +119,11 @@
         clock_ms: Callable[[], float],
         hybrid_clock: HybridClock | None = None,
     ) -> None:
-        self._greeting = make_hello
+        self._make_hello = make_hello
         self._key = key
         self._events = events
         self._clock_ms = clock_ms
-        self._stamps = hybrid_clock or HybridClock()
+        self._hybrid_clock = hybrid_clock or HybridClock()
         self._links: dict[str, _Link] = {}
         self._outboxes: dict[str, Outbox] = {}
         self._dialling: set[str] = set()
@@ -138,11 +139,11 @@
         """Listen for peers."""
         std_logging.getLogger("websockets").setLevel(std_logging.WARNING)
         host, _, port = address.rpartition(":")
-        self._server = await serve(self._accept, host, int(port), **OPTIONS)
+        self._server = await serve(self._accept, host, int(port), **WEBSOCKET_OPTIONS)
         self.address = "{}:{}".format(*self._server.sockets[0].getsockname())
 
     async def close(self) -> None:
-        """Send what waits, as far as that goes quickly; then close every link."""
+        """Send the queued messages for at most `FLUSH_TIMEOUT_MS`, then close every link."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(FLUSH_TIMEOUT_MS / 1000):
                 while any(len(self._outboxes[vm]) for vm in self._links):
@@ -157,11 +158,11 @@
             await self._server.wait_closed()
 
     def linked(self) -> tuple[str, ...]:
-        """Return the names of the VMs with an open link."""
+        """Return the names of the VMs to which a link is open."""
         return tuple(sorted(self._links))
 
     def samples(self) -> list[Sample]:
-        """Return the counts of links and messages for the metrics page."""
+        """Return the metrics of links and messages."""
         return [
             Sample(Metric.LINKS, len(self._links)),
             Sample(Metric.REFUSED_STRANGERS, self.authentication_failures),
@@ -173,33 +174,33 @@
         ]
 
     def open(self, vm: str, address: str) -> None:
-        """Open a link to a peer unless there is one or one is being opened."""
+        """Open a link to a peer, unless one is open or being opened."""
         if vm not in self._links and address not in self._dialling:
             self._spawn(self._dial(vm, address))
 
     def send(self, vm: str, message: Message, address: str = "") -> bool:
         """Queue a message; return False when it was dropped.
 
-        With no link to the VM, one is opened to `address` if that is given.
+        Without a link to the VM, one is opened to `address` if that is given.
         """
         if vm not in self._links and not address:
             return False
         outbox = self._outboxes.setdefault(vm, Outbox())
-        before = outbox.dropped
-        kept = outbox.put(message)
-        self.dropped_messages += outbox.dropped - before
+        dropped_before = outbox.dropped
+        queued = outbox.put(message)
+        self.dropped_messages += outbox.dropped - dropped_before
         if vm in self._links:
-            if not isinstance(message, UPKEEP):
+            if not isinstance(message, MAINTENANCE_MESSAGES):
                 self._links[vm].used_ms = self._clock_ms()
         else:
             self.open(vm, address)
-        return kept
+        return queued
 
     def tick(self, kept: Collection[str], now_ms: float) -> None:
-        """Abort silent links; close idle ones that this side opened and `kept` does not name."""
+        """Abort silent links; close idle ones that this side opened and that `kept` lacks."""
         for vm, link in tuple(self._links.items()):
-            if link.silent(now_ms):
-                logging.info("peering: the link to %s has gone silent.", vm)
+            if link.is_silent(now_ms):
+                logging.info("peering: aborted the link to %s: nothing was received.", vm)
                 link.abort()
                 self._remove(vm, link)
             elif (
@@ -210,7 +211,7 @@
                 self._spawn(self._close(link))
 
     def reset(self) -> None:
-        """Abort every link and drop what waits: all of it dates from before a pause."""
+        """Abort every link and drop the queued messages: they date from before a process pause."""
         self._outboxes.clear()
         for vm, link in tuple(self._links.items()):
             link.abort()
@@ -222,12 +223,12 @@
             async with connect(
                 f"ws://{address}/",
                 proxy=None,
-                open_timeout=GREETING_TIMEOUT_MS / 1000,
-                **OPTIONS,
+                open_timeout=HANDSHAKE_TIMEOUT_MS / 1000,
+                **WEBSOCKET_OPTIONS,
             ) as connection:
-                await self._converse(connection, Role.CLIENT, vm, address)
+                await self._authenticate_and_serve(connection, Role.CLIENT, vm, address)
         except (OSError, TimeoutError, websockets.WebSocketException) as error:
-            logging.debug("peering: no link to %s: %r.", vm or address, error)
+            logging.debug("peering: can't open a link to %s: %r.", vm or address, error)
         finally:
             self._dialling.discard(address)
             if vm not in self._links:
@@ -235,24 +236,24 @@
 
     async def _accept(self, connection: ServerConnection) -> None:
         with contextlib.suppress(websockets.ConnectionClosed):
-            await self._converse(connection, Role.SERVER)
+            await self._authenticate_and_serve(connection, Role.SERVER)
 
-    async def _converse(
+    async def _authenticate_and_serve(
         self, connection: Connection, role: Role, target: str = "", address: str = ""
     ) -> None:
         try:
-            async with asyncio.timeout(GREETING_TIMEOUT_MS / 1000):
-                peer = await self._greet(connection, role, target)
+            async with asyncio.timeout(HANDSHAKE_TIMEOUT_MS / 1000):
+                peer = await self._handshake(connection, role, target)
         except (AuthenticationError, MessageError, TimeoutError) as error:
             self.authentication_failures += 1
             self._events.authentication_failed()
-            logging.warning("peering: refused a stranger: %s.", error)
+            logging.warning("peering: closed a link that failed authentication: %s.", error)
             await connection.close()
             return
         self._dialling.discard(address)
-        dialler = self._greeting().vm if role is Role.CLIENT else peer.vm
+        dialler = self._make_hello().vm if role is Role.CLIENT else peer.vm
         link = _Link(connection, dialler, self._clock_ms())
-        if not self._prefers(peer.vm, link):
+        if not self._should_replace(peer.vm, link):
             await connection.close()
             return
         await self._serve(peer, link)
@@ -271,37 +272,38 @@
             writer.cancel()
             self._remove(peer.vm, link)
 
-    def _prefers(self, vm: str, link: _Link) -> bool:
-        """Return whether a new link takes the place of the one there is.
+    def _should_replace(self, vm: str, link: _Link) -> bool:
+        """Return whether a new link replaces the present one to the same VM.
 
-        When both sides dial at once, both keep the link that the lower name has dialled.
+        When both sides dial at the same time, both keep the link that was dialled by the VM whose
+        name sorts first.
         """
         present = self._links.get(vm)
         if present is None or present.dialler == link.dialler:
             return True
-        if present.silent(self._clock_ms()):
+        if present.is_silent(self._clock_ms()):
             return True
         return link.dialler < present.dialler
 
-    async def _greet(self, connection: Connection, role: Role, target: str) -> Hello:
+    async def _handshake(self, connection: Connection, role: Role, target: str) -> Hello:
         nonce = Handshake.new_nonce()
         if role is Role.CLIENT:
             await connection.send(nonce)
-            greeting = Handshake.from_nonces(self._key, role, nonce, await connection.recv())
-            await self._send_greeting(connection, greeting, target)
-            return await self._receive_greeting(connection, greeting)
+            handshake = Handshake.from_nonces(self._key, role, nonce, await connection.recv())
+            await self._send_hello(connection, handshake, target)
+            return await self._receive_hello(connection, handshake)
         peer_nonce = await connection.recv()
         await connection.send(nonce)
-        greeting = Handshake.from_nonces(self._key, role, nonce, peer_nonce)
-        peer = await self._receive_greeting(connection, greeting)
-        await self._send_greeting(connection, greeting, peer.vm)
+        handshake = Handshake.from_nonces(self._key, role, nonce, peer_nonce)
+        peer = await self._receive_hello(connection, handshake)
+        await self._send_hello(connection, handshake, peer.vm)
         return peer
 
-    async def _send_greeting(self, connection: Connection, greeting: Handshake, vm: str) -> None:
-        await connection.send(encode(greeting.prove(replace(self._greeting(), target=vm))))
+    async def _send_hello(self, connection: Connection, handshake: Handshake, vm: str) -> None:
+        await connection.send(encode(handshake.prove(replace(self._make_hello(), target=vm))))
 
-    async def _receive_greeting(self, connection: Connection, greeting: Handshake) -> Hello:
-        return greeting.check(decode(await connection.recv()), self._greeting().vm)
+    async def _receive_hello(self, connection: Connection, handshake: Handshake) -> Hello:
+        return handshake.check(decode(await connection.recv()), self._make_hello().vm)
 
     async def _receive(self, vm: str, link: _Link) -> None:
         with contextlib.suppress(websockets.ConnectionClosed):
@@ -311,19 +313,19 @@
                 try:
                     stamp, message = decode_stamped(data)
                 except MessageError as error:
-                    logging.warning("peering: dropped a message of %s: %s.", vm, error)
+                    logging.warning("peering: dropped an invalid message from %s: %s.", vm, error)
                     continue
-                if not isinstance(message, UPKEEP):
+                if not isinstance(message, MAINTENANCE_MESSAGES):
                     link.used_ms = link.received_ms
                 if self._links.get(vm) is link:
-                    self._stamps.witness(stamp)
+                    self._hybrid_clock.witness(stamp)
                     self._events.message_received(vm, message)
 
     async def _write(self, link: _Link, outbox: Outbox) -> None:
         with contextlib.suppress(websockets.ConnectionClosed):
             while True:
                 message = await outbox.get()
-                data = encode(message, self._stamps.stamp(wall_ms()))
+                data = encode(message, self._hybrid_clock.stamp(wall_ms()))
                 self.sent.add(len(data))
                 await link.connection.send(data)
 
--- a/cloverhook/upstream_connection.py
+++ b/cloverhook/upstream_connection.py
@@ -1,9 +1,9 @@
 """A connection to a backend server: one HTTP/1.1 exchange at a time.
 
-Layer: transport.  At-most-once needs to know whether a byte of a request has left this process,
-and an answer may only go to the request that asked for it.  So a connection is used again only
-after a whole exchange, and bytes that arrive while no exchange is open close it.
-`docs/DESIGN.md` says why this is built on httptools and not on aiohttp.
+Layer: transport.  At-most-once delivery depends on whether a byte of a request has left this
+process, and an answer must only go to the request that it belongs to.  For this reason a connection
+is reused only after a complete exchange, and it is closed when bytes arrive while no exchange is
+open.  `docs/DESIGN.md` explains why this is built on httptools and not on aiohttp.
 """
 
 import asyncio
@@ -29,7 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """The head of a request: method, target and headers.  `chunked` says how its body is framed."""
+    """The head of a request: method, target and headers.
+
+    `chunked` is whether the body uses chunked transfer coding.
+    """
 
     method: bytes
     target: bytes
@@ -38,7 +41,7 @@
     chunked: bool = False
 
     def to_bytes(self) -> bytes:
-        """Return the head as it goes over the wire."""
+        """Return the head in its wire format."""
         lines = [self.method, b" ", self.target, b" HTTP/1.1\r\n"]
         for name, value in self.headers:
             lines += [name, b": ", value, b"\r\n"]
@@ -57,9 +60,9 @@
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """One connection to a backend server; `on_closed` is called once, when it is of no more use.
+    """One connection to a backend server; `on_closed` is called once, when it becomes unusable.
 
-    `idle_since_ms` is the time of its last whole exchange, on the loop's clock.
+    `idle_since_ms` is when it became idle after its last complete exchange, on the loop's clock.
     """
 
     def __init__(
@@ -88,7 +91,7 @@
 
     @property
     def has_input(self) -> bool:
-        """Whether bytes, or the end of the connection, wait to be read at this moment."""
+        """Whether bytes or the end of the connection are ready to be read."""
         return bool(self._poll.poll(0))
 
     @property
@@ -98,11 +101,11 @@
 
     @property
     def is_unanswered(self) -> bool:
-        """Whether no byte of an answer has come for the latest request."""
-        return self._exchange is not None and not self._exchange.heard
+        """Whether no byte of an answer to the latest request has been received."""
+        return self._exchange is not None and not self._exchange.has_received
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and set the socket's liveness options."""
         self._transport = transport
         sock = transport.get_extra_info("socket")
         self._liveness.apply(sock)
@@ -117,22 +120,22 @@
             self._exchange.on_eof(whole=exc is None)
 
     def pause_writing(self) -> None:
-        """Make the sender of a request's body wait."""
+        """Suspend sending the request's body."""
         self._can_write.clear()
 
     def resume_writing(self) -> None:
-        """Let the sender of a request's body go on."""
+        """Resume sending the request's body."""
         self._can_write.set()
 
     def data_received(self, data: bytes) -> None:
-        """Feed the open exchange; close the connection when there is none."""
+        """Pass the bytes to the open exchange; close the connection when there is none."""
         if self._open:
             self._exchange.feed(data)
         else:
             self.close()
 
     def close(self) -> None:
-        """Close the connection at once; an open exchange ends as cut."""
+        """Close the connection at once; an open exchange fails as interrupted."""
         self._mark_closed()
         if self._transport is not None:
             self._transport.abort()
@@ -146,19 +149,21 @@
     ) -> AnswerHead:
         """Send a request and return the head of its answer.
 
-        `initial_body` is the part of the body that is at hand, and `remaining_body` what is
-        still to come.  An answer that `matches_request` denies belongs to an earlier request: it is
-        skipped.
-        Raises `UpstreamError`, whose `sent` says whether a byte may have left.
+        `initial_body` is the part of the body that is available, and `remaining_body` yields the
+        parts to come.  An answer for which `matches_request` returns False belongs to an earlier
+        request and is skipped.  Raises `UpstreamError`, whose `sent` says whether a byte may have
+        left this process.
         """
         if not self.usable or self._transport is None or self._transport.is_closing():
-            raise UpstreamError("the connection was closed before use", sent=False)
+            raise UpstreamError("the connection was closed before the request", sent=False)
         exchange = _Exchange(
             self, head.method == b"HEAD", self._header_limit_bytes, matches_request
         )
         self._exchange = exchange
         self._open = True
-        body = _framed(initial_body, head.chunked, last=remaining_body is None and head.has_body)
+        body = _encode_body_part(
+            initial_body, head.chunked, last=remaining_body is None and head.has_body
+        )
         self._transport.write(head.to_bytes() + body)
         if remaining_body is not None:
             exchange.sender = self._loop.create_task(self._send_rest(remaining_body, head.chunked))
@@ -168,12 +173,12 @@
     async def read(self) -> tuple[bytes, bool]:
         """Return the next part of the answer's body, and whether more follows.
 
-        Raises `UpstreamError` when the answer is cut.
+        Raises `UpstreamError` when the answer is incomplete or invalid.
         """
         return await self._exchange.next_part()
 
     def stop_sending(self) -> None:
-        """Stop sending the body of a request whose answer is not wanted or is whole already."""
+        """Stop sending a request's body; its answer is not needed or is complete already."""
         sender = self._exchange.sender if self._exchange is not None else None
         if sender is not None:
             sender.cancel()
@@ -184,7 +189,7 @@
             if self.closed:
                 return
             if part:
-                self._transport.write(_framed(part, chunked))
+                self._transport.write(_encode_body_part(part, chunked))
         if chunked and not self.closed:
             self._transport.write(LAST_CHUNK)
 
@@ -210,7 +215,7 @@
 
 
 class _Exchange:
-    """One request and its answer; the parser calls its `on_` methods."""
+    """One request and its answer; the parser calls the methods `on_...`."""
 
     def __init__(
         self,
@@ -221,9 +226,9 @@
     ) -> None:
         self._connection = connection
         self._head_only = head_only
-        self._is_own = is_own
+        self._matches_request = is_own
         self._skipping = False
-        self._header_room_bytes = header_limit_bytes
+        self._header_bytes_left = header_limit_bytes
         self._parser: httptools.HttpResponseParser | None = httptools.HttpResponseParser(self)
         self._answer: AnswerHead | None = None
         self._headers: Headers = []
@@ -232,10 +237,10 @@
         self._paused = False
         self._wakeup: asyncio.Future[None] | None = None
         self._error: BaseException | None = None
-        self._until_close = False
+        self._body_until_close = False
         self._complete = False
-        self._surplus = False
-        self.heard = False
+        self._has_extra_data = False
+        self.has_received = False
         self.sender: asyncio.Task[None] | None = None
         self.head: asyncio.Future[AnswerHead] = connection._loop.create_future()
 
@@ -244,30 +249,30 @@
         return bool(self._parts) or self._complete or self._error is not None
 
     def feed(self, data: bytes) -> None:
-        self.heard = True
+        self.has_received = True
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._surplus = True
+            self._has_extra_data = True
             if not self._complete and not (self._head_only and self._answer is not None):
-                self._fail(UpstreamError(f"the answer is not HTTP: {error!r}", True, True))
+                self._fail(UpstreamError(f"the answer is not valid HTTP: {error!r}", True, True))
         if self._head_only and self._answer is not None and not self._complete:
             self._end(reusable=data.endswith(END_OF_HEAD) and self._parser.should_keep_alive())
-        if self._surplus:
+        if self._has_extra_data:
             self._connection.close()
         if self._complete:
             self._drop_parser()
 
     def on_message_begin(self) -> None:
         if self._answer is not None:
-            self._surplus = True
+            self._has_extra_data = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self._answer is not None:
             return
-        self._header_room_bytes -= len(name) + len(value) + HEADER_FRAMING_BYTES
-        if self._header_room_bytes < 0:
-            raise ValueError("the head is too long")
+        self._header_bytes_left -= len(name) + len(value) + HEADER_FRAMING_BYTES
+        if self._header_bytes_left < 0:
+            raise ValueError("the head of the answer exceeds the header limit")
         self._headers.append((name.lower(), value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:
@@ -279,20 +284,20 @@
             return
         self._check_framing()
         answer = AnswerHead(status, self._headers)
-        if self._is_own is not None and not self._is_own(answer):
+        if self._matches_request is not None and not self._matches_request(answer):
             self._skipping = True
             self._headers = []
             return
         self._answer = answer
-        self._until_close = self._ends_at_close(status)
+        self._body_until_close = self._ends_at_close(status)
         if not self.head.done():
             self.head.set_result(self._answer)
 
     def on_body(self, body: bytes) -> None:
         if self._skipping:
             return
-        if self._complete or self._head_only or self._surplus:
-            self._surplus = True
+        if self._complete or self._head_only or self._has_extra_data:
+            self._has_extra_data = True
             return
         self._parts.append(body)
         self._buffered_bytes += len(body)
@@ -310,11 +315,11 @@
         self._drop_parser()
         if self._complete:
             return
-        if whole and self._until_close and self._answer is not None:
+        if whole and self._body_until_close and self._answer is not None:
             self._complete = True
             self._wake()
             return
-        self._fail(UpstreamError("the connection was cut", sent=True))
+        self._fail(UpstreamError("the connection was lost before the answer's end", sent=True))
 
     def on_sender_done(self, sender: asyncio.Task[None]) -> None:
         if sender.cancelled():
@@ -341,7 +346,10 @@
         return part, not self._complete
 
     def _drop_parser(self) -> None:
-        """Let go of the parser, which holds this object: no garbage collection has to find them."""
+        """Release the parser, which refers to this object.
+
+        Without the reference cycle, both are freed without a run of the garbage collector.
+        """
         self._parser = None
 
     def _check_framing(self) -> None:
@@ -349,7 +357,7 @@
         if not codings:
             return
         if self._parser.get_http_version() != "1.1" or codings[0].lower() != b"chunked":
-            raise ValueError("a transfer coding other than chunked")
+            raise ValueError("the answer has a transfer coding other than HTTP/1.1 chunked")
 
     def _ends_at_close(self, status: int) -> bool:
         if self._head_only or status in BODILESS_STATUSES:
@@ -377,7 +385,7 @@
             self._wakeup.set_result(None)
 
 
-def _framed(part: bytes, chunked: bool, last: bool = False) -> bytes:
+def _encode_body_part(part: bytes, chunked: bool, last: bool = False) -> bytes:
     if not chunked:
         return part
     chunk = b"%x\r\n%b\r\n" % (len(part), part) if part else b""
