--- a/cloverhook/address_answers.py
+++ b/cloverhook/address_answers.py
@@ -27,7 +27,7 @@
 
     def __init__(self, source: random.Random) -> None:
         self._homes = HomeTable()
-        self._order = HomeRotation(source)
+        self._rotation = HomeRotation(source)
         self._serving: Sequence[Member] = ()
         self._other_members: dict[str, tuple[Member, ...]] = {}
         self._changed_ms: dict[str, float] = {}
@@ -73,7 +73,7 @@
         """
         homes = self._homes.homes(key)
         weights = self._weights_of(key, service.endpoints)
-        ordered = _local_first(self._order.next_order(key, homes, weights), data_center)
+        ordered = _local_first(self._rotation.next_order(key, homes, weights), data_center)
         ordered += _local_first(self._ranked_other_members(key), data_center)
         lifetime_ms = answer_lifetime_ms(lifetime_ms, self._changed_ms.get(key, now_ms), now_ms)
         return {
