--- a/cloverhook/caller_app.py
+++ b/cloverhook/caller_app.py
@@ -63,7 +63,7 @@
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         """Serve one request."""
-        seen = Observation.of(scope)
+        seen = Observation.from_scope(scope)
         seen.request_id = request_id = self._take_id(scope["headers"])
         self._note(EventName.REQUEST_ARRIVED, request_id, detail=scope["method"])
         try:
@@ -204,7 +204,7 @@
             ended = AttemptEnded(
                 exchange.request_id, address, result, latency_ms, load, again, leaving
             )
-            exchange.observation.attempt_ended(latency_ms)
+            exchange.observation.record_attempt(latency_ms)
             self._note_attempt(ended)
             if not again:
                 self._dispatcher.record_attempt_end(exchange.target, ended, self._clock_ms())
--- a/cloverhook/checking.py
+++ b/cloverhook/checking.py
@@ -24,7 +24,7 @@
     "HOST",
     "NAME",
     "Address",
-    "Anything",
+    "AnyTable",
     "Choice",
     "Flag",
     "Integer",
@@ -34,8 +34,8 @@
     "Number",
     "Table",
     "Text",
-    "checker",
-    "duplicates",
+    "compile_check",
+    "duplicate_faults",
     "faults_of",
     "kind_field",
     "table_of",
@@ -44,7 +44,7 @@
 SHOWN_CHARS = 80
 MAX_PORT = 65_535
 MAX_INTEGER = 2**53
-ADDRESSES_KEPT = 4_096
+ADDRESS_CACHE_SIZE = 4_096
 """Members say their addresses in each beat: one that was checked is looked up, for a 10th."""
 
 
@@ -114,7 +114,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Anything:
+class AnyTable:
     """A table that is checked elsewhere."""
 
     allowed: str = "a table"
@@ -151,7 +151,7 @@
     allowed: str = "a table"
 
 
-Value = Text | Integer | Number | Flag | Choice | Address | Anything
+Value = Text | Integer | Number | Flag | Choice | Address | AnyTable
 Kind = Value | Items | MapOf | Table
 
 NAME = Text(
@@ -184,7 +184,7 @@
     return tuple(_faults(kind, key, value))
 
 
-def duplicates(keyed: list[tuple[str, str]], what: str) -> tuple[Fault, ...]:
+def duplicate_faults(keyed: list[tuple[str, str]], what: str) -> tuple[Fault, ...]:
     """Return a fault for each (key, value) whose value an earlier one has."""
     first: dict[str, str] = {}
     found: list[Fault] = []
@@ -212,7 +212,7 @@
 
 @singledispatch
 def _faults(kind: Value, key: str, value: Any) -> Iterator[Fault]:
-    if not checker(kind)(value):
+    if not compile_check(kind)(value):
         yield _fault(kind, key, value)
 
 
@@ -260,57 +260,57 @@
 
 
 @singledispatch
-def checker(kind: Kind) -> Callable[[Any], bool]:
+def compile_check(kind: Kind) -> Callable[[Any], bool]:
     """Return a function that says whether a value is free of faults, for what is checked often.
 
-    >>> is_port = checker(Integer(1, 65_535))
+    >>> is_port = compile_check(Integer(1, 65_535))
     >>> is_port(80), is_port("80")
     (True, False)
     """
     raise TypeError(f"no check for {kind!r}")
 
 
-@checker.register
+@compile_check.register
 def _(kind: Text) -> Callable[[Any], bool]:
     matches = re.compile(kind.pattern).fullmatch
     return lambda value: isinstance(value, str) and matches(value) is not None
 
 
-@checker.register
+@compile_check.register
 def _(kind: Integer) -> Callable[[Any], bool]:
     minimum, maximum = kind.minimum, kind.maximum
     return lambda value: type(value) is int and minimum <= value <= maximum
 
 
-@checker.register
+@compile_check.register
 def _(kind: Number) -> Callable[[Any], bool]:
     minimum, maximum = kind.minimum, kind.maximum
     return lambda value: type(value) in (int, float) and minimum <= value <= maximum
 
 
-@checker.register
+@compile_check.register
 def _(kind: Flag) -> Callable[[Any], bool]:
     return lambda value: isinstance(value, bool)
 
 
-@checker.register
+@compile_check.register
 def _(kind: Choice) -> Callable[[Any], bool]:
     return lambda value: isinstance(value, str) and value in kind.values
 
 
-@checker.register
-def _(kind: Anything) -> Callable[[Any], bool]:
+@compile_check.register
+def _(kind: AnyTable) -> Callable[[Any], bool]:
     return _is_table
 
 
-@checker.register
+@compile_check.register
 def _(kind: Address) -> Callable[[Any], bool]:
     return lambda value: isinstance(value, str) and _port_of(value) >= kind.minimum_port
 
 
-@checker.register
+@compile_check.register
 def _(kind: Items) -> Callable[[Any], bool]:
-    accepts = checker(kind.item)
+    accepts = compile_check(kind.item)
     return lambda value: (
         isinstance(value, list | tuple)
         and len(value) >= kind.minimum
@@ -318,15 +318,15 @@
     )
 
 
-@checker.register
+@compile_check.register
 def _(kind: MapOf) -> Callable[[Any], bool]:
-    accepts = checker(kind.value)
+    accepts = compile_check(kind.value)
     return lambda value: _is_table(value) and all(accepts(item) for item in value.values())
 
 
-@checker.register
+@compile_check.register
 def _(kind: Table) -> Callable[[Any], bool]:
-    checks = {name: checker(field_kind) for name, field_kind in kind.fields.items()}
+    checks = {name: compile_check(field_kind) for name, field_kind in kind.fields.items()}
     required, is_open = kind.required, kind.open
 
     def accepts(value: Any) -> bool:
@@ -341,7 +341,7 @@
     return accepts
 
 
-@lru_cache(ADDRESSES_KEPT)
+@lru_cache(ADDRESS_CACHE_SIZE)
 def _port_of(address: str) -> int:
     """Return the port of an IPv4 address and port, or -1 if it is none."""
     host, _, port = address.rpartition(":")
--- a/cloverhook/cli.py
+++ b/cloverhook/cli.py
@@ -27,7 +27,7 @@
     for command in (*CONFIG_COMMANDS, *FLEET_COMMANDS, *EVENTS_COMMANDS, *EXPLAIN_COMMANDS)
 }
 HELP_FLAGS = frozenset(("--help", "-help", "-h"))
-OWN_FLAGS = (
+TOOL_FLAGS = (
     "settings",
     "platform",
     "daemons",
@@ -43,7 +43,7 @@
     "change",
     "trace",
 )
-OPTIONS = OWN_FLAGS[OWN_FLAGS.index("wait") :]
+COMMAND_FLAGS = TOOL_FLAGS[TOOL_FLAGS.index("wait") :]
 
 FLAGS = flags.FLAGS
 flags.DEFINE_string("settings", None, "A TOML file with the tool's settings; flags override it.")
@@ -66,7 +66,7 @@
     """Return the command that the arguments name and the rest of them."""
     for words in (min(2, len(arguments)), 1):
         command = COMMANDS.get(" ".join(arguments[:words]))
-        if command is not None and command.takes(len(arguments) - words):
+        if command is not None and command.accepts_count(len(arguments) - words):
             return command, arguments[words:]
         if command is not None:
             raise UsageError(f"usage: {command.usage}")
@@ -90,14 +90,14 @@
 async def _run(command: Command, arguments: list[str]) -> Output:
     settings = _settings()
     platform = HttpPlatform(settings.platform)
-    options = {name: FLAGS[name].value for name in OPTIONS}
+    options = {name: FLAGS[name].value for name in COMMAND_FLAGS}
     try:
         return await command.handler(Context(platform, settings, options), arguments)
     finally:
         await platform.close()
 
 
-def _complain(code: ExitCode, reason: str, faults: ConfigError | None = None) -> int:
+def _report_error(code: ExitCode, reason: str, faults: ConfigError | None = None) -> int:
     if FLAGS.output == "json":
         document = {"error": reason}
         if faults is not None:
@@ -119,15 +119,15 @@
         command, rest = _find(words)
         output = asyncio.run(_run(command, rest))
     except UsageError as error:
-        return _complain(ExitCode.USAGE, str(error))
+        return _report_error(ExitCode.USAGE, str(error))
     except SettingsError as error:
-        return _complain(ExitCode.USAGE, f"the settings are not valid:\n{error}", error)
+        return _report_error(ExitCode.USAGE, f"the settings are not valid:\n{error}", error)
     except ConfigError as error:
-        return _complain(ExitCode.REJECTED, f"not valid:\n{error}", error)
+        return _report_error(ExitCode.REJECTED, f"not valid:\n{error}", error)
     except CloverhookError as error:
-        return _complain(ExitCode.UNAVAILABLE, str(error))
+        return _report_error(ExitCode.UNAVAILABLE, str(error))
     except KeyboardInterrupt:
-        return _complain(ExitCode.INTERRUPTED, "interrupted: nothing was sent")
+        return _report_error(ExitCode.INTERRUPTED, "interrupted: nothing was sent")
     print(output.to_json() if FLAGS.output == "json" else output.text)
     return output.code
 
@@ -138,7 +138,7 @@
         words = [word for word in sys.argv[1:] if not word.startswith("-")]
         print(help_text(COMMANDS, " ".join(words)))
         print("\nFlags:")
-        print("\n".join(f"  --{name:12} {FLAGS[name].help}" for name in OWN_FLAGS))
+        print("\n".join(f"  --{name:12} {FLAGS[name].help}" for name in TOOL_FLAGS))
         sys.exit(ExitCode.OK)
     app.run(_main)
 
--- a/cloverhook/cluster.py
+++ b/cloverhook/cluster.py
@@ -97,8 +97,8 @@
         self.pauses = 0
         clock = observer.time_line.clock
         self.links = PeerLinks(self._greeting, settings.peer_key(), self, monotonic_ms, clock)
-        observer.watch(self.links.samples)
-        observer.watch(self._samples)
+        observer.add_metrics_source(self.links.samples)
+        observer.add_metrics_source(self._samples)
 
     async def start(self, caller_address: str) -> None:
         """Listen for peers and begin to talk."""
@@ -207,9 +207,9 @@
             case RecordsReply(from_offset, records):
                 self._catch_up.record_answer(vm)
                 if from_offset <= self._follower.state.next_offset:
-                    self._observer.records_from = vm
+                    self._observer.records_source = vm
                     self._follower.fold_records(from_offset, records)
-                    self._observer.records_from = FROM_LOG
+                    self._observer.records_source = FROM_LOG
             case StateReply(document):
                 self._catch_up.record_answer(vm)
                 self._adopt(vm, document)
@@ -329,7 +329,7 @@
         self._carry_out(Tick())
         self.links.tick(self.membership.neighbours(), now_ms)
         self._update_homes()
-        self._observer.members_are(self.membership.version, self.membership.table.all())
+        self._observer.record_members(self.membership.version, self.membership.table.all())
         vm = self._catch_up.next_peer(self._follower.state.next_offset, now_ms)
         if vm is not None:
             self.send_message(vm, RecordsRequest(self._follower.state.next_offset))
--- a/cloverhook/commands.py
+++ b/cloverhook/commands.py
@@ -95,7 +95,7 @@
         ]
         return " ".join(("cloverhook", self.name, *words))
 
-    def takes(self, count: int) -> bool:
+    def accepts_count(self, count: int) -> bool:
         """Return whether the command takes this number of arguments."""
         return len(self.arguments) - self.optional <= count <= len(self.arguments)
 
--- a/cloverhook/config_commands.py
+++ b/cloverhook/config_commands.py
@@ -10,19 +10,19 @@
 
 from cloverhook import edits, porcelain
 from cloverhook.commands import Command, Context, ExitCode, Output, UsageError
-from cloverhook.differences import Difference, flattened
+from cloverhook.differences import Difference, flatten_document
 from cloverhook.errors import PlatformError
 from cloverhook.fleet import Preset
 from cloverhook.fold import BrandState
 from cloverhook.log_reading import ChangeOutcome
-from cloverhook.operator_client import statuses, wait_followed
+from cloverhook.operator_client import fetch_statuses, wait_applied
 from cloverhook.platform_api import VmPhase
 from cloverhook.porcelain import ChangeResult, Operator, Settlement
 from cloverhook.records import Publish, SwitchPreset
 
 __all__ = ["CONFIG_COMMANDS"]
 
-EXIT_OF = {
+EXIT_CODES = {
     Settlement.ACCEPTED: ExitCode.OK,
     Settlement.REJECTED: ExitCode.REJECTED,
     Settlement.REFUSED: ExitCode.REJECTED,
@@ -38,7 +38,9 @@
 async def _publish(context: Context, arguments: list[str]) -> Output:
     document = porcelain.load(arguments[0])
     operator = await _operator(context)
-    return await _told(context, await porcelain.publish(context.platform, document, operator))
+    return await _result_output(
+        context, await porcelain.publish(context.platform, document, operator)
+    )
 
 
 async def _switch(context: Context, arguments: list[str]) -> Output:
@@ -48,7 +50,7 @@
         raise UsageError(f"preset {name!r}; allowed: {', '.join(allowed)}")
     operator = await _operator(context)
     result = await porcelain.switch(context.platform, brand, Preset(name), operator)
-    return await _told(context, result)
+    return await _result_output(context, result)
 
 
 async def _show(context: Context, arguments: list[str]) -> Output:
@@ -72,12 +74,12 @@
 
 
 async def _settle(context: Context, arguments: list[str]) -> Output:
-    return await _told(context, await porcelain.settle(context.platform, arguments[0]))
+    return await _result_output(context, await porcelain.settle(context.platform, arguments[0]))
 
 
 async def _history(context: Context, arguments: list[str]) -> Output:
-    rulings = await porcelain.history(context.platform)
-    entries = [_ruling_document(ruling) for ruling in rulings]
+    outcomes = await porcelain.history(context.platform)
+    entries = [_outcome_document(outcome) for outcome in outcomes]
     text = "\n".join("  ".join(str(value) for value in entry.values()) for entry in entries)
     return Output(entries, text or "the log holds no change")
 
@@ -89,12 +91,16 @@
     if arguments[0] in state.brands:
         reason = f"{arguments[0]}: is in force already"
         return Output({"error": reason}, reason, ExitCode.REJECTED)
-    return await _told(context, await porcelain.publish(context.platform, document, operator))
+    return await _result_output(
+        context, await porcelain.publish(context.platform, document, operator)
+    )
 
 
 async def _brand_remove(context: Context, arguments: list[str]) -> Output:
     operator = await _operator(context)
-    return await _told(context, await porcelain.remove(context.platform, arguments[0], operator))
+    return await _result_output(
+        context, await porcelain.remove(context.platform, arguments[0], operator)
+    )
 
 
 async def _service_add(context: Context, arguments: list[str]) -> Output:
@@ -131,20 +137,22 @@
 
 async def _edit(context: Context, brand: str, change: Any) -> Output:
     operator = await _operator(context)
-    return await _told(context, await porcelain.edit(context.platform, brand, operator, change))
+    return await _result_output(
+        context, await porcelain.edit(context.platform, brand, operator, change)
+    )
 
 
 async def _operator(context: Context) -> Operator:
     """Return who makes a change, with the newest versions that any daemon reports."""
     settings = context.settings
     known: dict[str, int] = {}
-    for status in (await statuses(list(settings.daemons), settings.token())).values():
+    for status in (await fetch_statuses(list(settings.daemons), settings.token())).values():
         for brand, version in status.get("versions", {}).items():
             known[brand] = max(version, known.get(brand, 0))
     return Operator(settings.operator, known)
 
 
-async def _told(context: Context, result: ChangeResult) -> Output:
+async def _result_output(context: Context, result: ChangeResult) -> Output:
     document = asdict(result) | {"settlement": result.settlement.value}
     lines = [f"{result.settlement.value} {result.change_id} {result.reason}".rstrip()]
     if result.winner:
@@ -153,9 +161,9 @@
         lines.append(f"in force -> yours:\n{_lines(result.differences)}")
     if result.settlement is Settlement.UNKNOWN:
         lines.append(f"settle it later: cloverhook settle {result.change_id}")
-    code = EXIT_OF[result.settlement]
+    code = EXIT_CODES[result.settlement]
     if result.settlement is Settlement.ACCEPTED and context.options.get("wait"):
-        following = await _follow(context, result)
+        following = await _wait_applied(context, result)
         document["following"] = following
         lines.append(f"in force at: {', '.join(following['have']) or 'no daemon that was asked'}")
         lines.extend(f"not at {where}: {why}" for where, why in following["have_not"].items())
@@ -163,35 +171,38 @@
     return Output(document, "\n".join(lines), code)
 
 
-async def _follow(context: Context, result: ChangeResult) -> dict[str, Any]:
+async def _wait_applied(context: Context, result: ChangeResult) -> dict[str, Any]:
     """Wait until every daemon has the change and name those that have not."""
     settings = context.settings
     addresses = list(settings.daemons)
     wait_ms = context.options["wait_ms"]
     try:
-        following = await wait_followed(
+        apply_status = await wait_applied(
             addresses, settings.token(), result.brand, result.version, wait_ms
         )
-        unasked = await _unasked(context)
+        unqueried = await _unqueried_vms(context)
     except asyncio.CancelledError:
         return {"have": [], "have_not": dict.fromkeys(addresses, "interrupted while waiting")}
-    return {"have": list(following.have), "have_not": {**following.have_not, **unasked}}
+    return {
+        "have": list(apply_status.applied),
+        "have_not": {**apply_status.not_applied, **unqueried},
+    }
 
 
-async def _unasked(context: Context) -> dict[str, str]:
+async def _unqueried_vms(context: Context) -> dict[str, str]:
     """Return the live VMs of the platform's list that no answer came from."""
     settings = context.settings
-    found = await statuses(list(settings.daemons), settings.token())
+    found = await fetch_statuses(list(settings.daemons), settings.token())
     if any("error" in status for status in found.values()):
         return {}
     try:
         listed = await context.platform.list_vms()
     except PlatformError as error:
         return {"the platform's list": str(error)}
-    asked = {status["vm"] for status in found.values()}
+    queried = {status["vm"] for status in found.values()}
     reason = "live on the platform's list, but not among --daemons"
     live = (item.vm for item in listed if item.phase is VmPhase.LIVE)
-    return {vm: reason for vm in live if vm not in asked}
+    return {vm: reason for vm in live if vm not in queried}
 
 
 def _brand_document(item: BrandState) -> dict[str, Any]:
@@ -206,12 +217,12 @@
 
 def _brand_text(name: str, item: Mapping[str, Any]) -> str:
     head = f"{name}: version {item['version']}, preset {item['preset']}, by {item['operator']}"
-    lines = [f"  {key} = {value}" for key, value in flattened(item["document"]).items()]
+    lines = [f"  {key} = {value}" for key, value in flatten_document(item["document"]).items()]
     return "\n".join((head, *lines))
 
 
-def _ruling_document(ruling: ChangeOutcome) -> dict[str, Any]:
-    change = ruling.change
+def _outcome_document(outcome: ChangeOutcome) -> dict[str, Any]:
+    change = outcome.change
     match change.action:
         case Publish():
             action = "publish"
@@ -220,15 +231,15 @@
         case _:
             action = "remove"
     return {
-        "offset": ruling.offset,
+        "offset": outcome.offset,
         "at_ms": change.at_ms,
         "change_id": change.change_id,
         "operator": change.operator,
         "brand": change.brand,
         "action": action,
         "base_version": change.base_version,
-        "verdict": ruling.verdict.value if ruling.verdict else "unknown",
-        "reason": ruling.reason,
+        "verdict": outcome.verdict.value if outcome.verdict else "unknown",
+        "reason": outcome.reason,
     }
 
 
--- a/cloverhook/daemon.py
+++ b/cloverhook/daemon.py
@@ -62,7 +62,7 @@
         self._settings = settings
         self._incarnation = time.time_ns() // 1_000_000
         self._observer = Observer(settings)
-        self._observer.watch(self._samples)
+        self._observer.add_metrics_source(self._samples)
         self._platform = StampedPlatform(platform, self._observer.time_line.clock)
         self._dispatcher = Dispatcher(random.Random(), self, self._observer)
         self._pool = UpstreamPool(settings.header_limit_bytes, self._connection_limit)
@@ -111,7 +111,7 @@
             self,
             self._observer.metrics,
             self._settings.operator_token(),
-            self._observer.operator_refused,
+            self._observer.record_rejected_operator,
         )
         settings = self._settings
         self._callers = Listener(
@@ -134,7 +134,9 @@
         self._dispatcher.start_timer(monotonic_ms)
         loops = (self._follow(), self._keep_snapshots(), self._claims.run())
         watch = LoadMonitor(
-            self._dispatcher.load_shedder, self._cluster.announce_load, self._observer.loop_lagged
+            self._dispatcher.load_shedder,
+            self._cluster.announce_load,
+            self._observer.record_loop_lag,
         )
         self._tasks = [asyncio.create_task(loop) for loop in (*loops, watch.run())]
         self._observer.note(EventName.DAEMON_STARTED)
@@ -237,7 +239,7 @@
     def _on_folded(self, record: Record, result: FoldResult) -> None:
         if not isinstance(record, Change):
             return
-        self._observer.change_folded(record, result)
+        self._observer.record_change(record, result)
         if result.verdict is Verdict.ACCEPTED:
             self._put_in_force(result.state)
 
@@ -252,7 +254,7 @@
     async def _follow(self) -> None:
         while True:
             answered = await self._follower.poll()
-            self._observer.log_read(answered)
+            self._observer.record_log_read(answered)
             if not answered:
                 await asyncio.sleep(self._follower.retry_ms() / 1000)
 
@@ -265,7 +267,7 @@
         return [
             Sample(Metric.WAITING, self._dispatcher.queued_count()),
             Sample(Metric.OFFSET, self._follower.state.next_offset),
-            Sample(Metric.LEAVING, int(self._leaving)),
+            Sample(Metric.DRAINING, int(self._leaving)),
         ]
 
 
--- a/cloverhook/differences.py
+++ b/cloverhook/differences.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-__all__ = ["Difference", "differences", "flattened"]
+__all__ = ["Difference", "differences", "flatten_document"]
 
 NAMING_KEYS = ("name", "data_center", "path_prefix")
 ABSENT = "nothing"
@@ -32,8 +32,8 @@
 
 def differences(before: Mapping[str, Any], after: Mapping[str, Any]) -> tuple[Difference, ...]:
     """Return every key whose values differ, ordered by key."""
-    old = flattened(before)
-    new = flattened(after)
+    old = flatten_document(before)
+    new = flatten_document(after)
     return tuple(
         Difference(key, old.get(key, ABSENT), new.get(key, ABSENT))
         for key in sorted({**old, **new})
@@ -41,7 +41,7 @@
     )
 
 
-def flattened(document: Mapping[str, Any]) -> dict[str, Any]:
+def flatten_document(document: Mapping[str, Any]) -> dict[str, Any]:
     """Return a document's values by their full keys."""
     return dict(_flatten("", document))
 
--- a/cloverhook/dispatch.py
+++ b/cloverhook/dispatch.py
@@ -73,7 +73,7 @@
 class DispatchObserver(Protocol):
     """Observes endpoint states and probes, to produce events and metrics."""
 
-    def record_endpoint_state(self, address: str, trouble: int) -> None:
+    def record_endpoint_state(self, address: str, probation_reason: int) -> None:
         """Record the number of an endpoint's `ProbationReason` after an attempt or a probe."""
 
     def record_probe(self, target: Target, latency_ms: float) -> None:
--- a/cloverhook/event_reader.py
+++ b/cloverhook/event_reader.py
@@ -9,7 +9,7 @@
 
 import aiohttp
 
-from cloverhook.event_view import merged
+from cloverhook.event_view import merge_events
 from cloverhook.timeline import TimeLineEvent
 
 __all__ = ["EventFilter", "FoundEvents", "read_events"]
@@ -35,7 +35,7 @@
         return {key: value for key, value in query.items() if value}
 
 
-EVERYTHING = EventFilter()
+ALL_EVENTS = EventFilter()
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
 
 
 async def read_events(
-    addresses: Sequence[str], token: str, wanted: EventFilter = EVERYTHING
+    addresses: Sequence[str], token: str, wanted: EventFilter = ALL_EVENTS
 ) -> FoundEvents:
     """Return the merged time line of the daemons at these operators' addresses.
 
@@ -71,7 +71,7 @@
             raise part
         else:
             events.extend(part)
-    return FoundEvents(tuple(merged(events)), missing)
+    return FoundEvents(tuple(merge_events(events)), missing)
 
 
 async def _read_all(
--- a/cloverhook/event_view.py
+++ b/cloverhook/event_view.py
@@ -1,9 +1,9 @@
 """The time line of all daemons together: merged, and written as text, JSON lines or a trace.
 
-Layer: protocol, free of input and output.  `merged` orders the events of any number of daemons by
-their stamps, so that no effect stands before its cause.  `to_trace` writes the Trace Event Format,
-which the trace viewers of browsers open: each VM is a process, requests and their attempts are
-bars, and everything else is an instant.
+Layer: protocol, free of input and output.  `merge_events` orders the events of any number of
+daemons by their stamps, so that no effect stands before its cause.  `to_trace` writes the Trace
+Event Format, which the trace viewers of browsers open: each VM is a process, requests and their
+attempts are bars, and everything else is an instant.
 """
 
 import json
@@ -15,7 +15,7 @@
 
 from cloverhook.timeline import EventName, Stamp, TimeLineEvent
 
-__all__ = ["merged", "to_json_lines", "to_text", "to_trace"]
+__all__ = ["merge_events", "to_json_lines", "to_text", "to_trace"]
 
 VM_LANE = 0
 COUNTER_US = 0.001
@@ -26,7 +26,7 @@
 ATTEMPT_ENDS = frozenset((EventName.ATTEMPT_ENDED, EventName.ATTEMPT_FAILED))
 
 
-def merged(events: Iterable[TimeLineEvent]) -> list[TimeLineEvent]:
+def merge_events(events: Iterable[TimeLineEvent]) -> list[TimeLineEvent]:
     """Return events of any daemons in a causal order, the same for every order of arrival."""
     return sorted(events, key=lambda event: (event.stamp, event.vm, event.sequence))
 
@@ -105,12 +105,12 @@
         request = open_requests.get(event.request_id)
         lane = request.lane if request else VM_LANE
         if event.name is EventName.REQUEST_ARRIVED:
-            lane = lanes.take()
+            lane = lanes.acquire()
             bar = _Bar(f"request {event.request_id}", now_us, lane, event.request_id)
             open_requests[event.request_id] = bar
         elif event.name in REQUEST_ENDS and request:
             del open_requests[event.request_id]
-            lanes.give_back(lane)
+            lanes.release(lane)
             entries.append(request.to_entry(process, now_us, f"{event.name} {event.detail}"))
         elif event.name is EventName.ATTEMPT_STARTED:
             name = f"attempt at {event.address}"
@@ -133,13 +133,13 @@
         self._free: list[int] = []
         self._last = VM_LANE
 
-    def take(self) -> int:
+    def acquire(self) -> int:
         if self._free:
             return self._free.pop()
         self._last += 1
         return self._last
 
-    def give_back(self, lane: int) -> None:
+    def release(self, lane: int) -> None:
         self._free.append(lane)
 
 
--- a/cloverhook/explain.py
+++ b/cloverhook/explain.py
@@ -10,13 +10,13 @@
 from dataclasses import dataclass
 from typing import Any
 
-__all__ = ["LogLine", "Story", "read_lines", "story_of"]
+__all__ = ["LogLine", "Explanation", "read_lines", "explain_request"]
 
 REQUEST_KINDS = ("attempt", "answer", "sample")
 ANSWER_KINDS = ("answer", "sample")
 QUARANTINE_KIND = "quarantine"
 KEY_FIELDS = ("content", "content_of_caller")
-BELIEF_KINDS = (
+STATE_CHANGE_KINDS = (
     "config",
     "evacuation",
     "server",
@@ -34,7 +34,7 @@
     "fault",
     "log-dropped",
 )
-BELIEF_WINDOW_MS = 5_000.0
+STATE_CHANGE_WINDOW_MS = 5_000.0
 """How long before a request's end a change of belief may be what decided it."""
 
 CAUSES = {
@@ -64,12 +64,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Story:
+class Explanation:
     """A request's lines, what its gateway believed, and the cause of its end."""
 
     request_id: str
     lines: tuple[LogLine, ...]
-    beliefs: tuple[LogLine, ...]
+    state_changes: tuple[LogLine, ...]
     cause: str
 
     def to_text(self) -> str:
@@ -78,10 +78,10 @@
             return f"request {self.request_id}: no line names it; it may not have been sampled"
         start_ms = self.lines[0].time_ms
         parts = [f"request {self.request_id}: {self.cause}"]
-        parts += [_told(line, line.time_ms - start_ms) for line in self.lines]
-        if self.beliefs:
+        parts += [_format_line(line, line.time_ms - start_ms) for line in self.lines]
+        if self.state_changes:
             parts.append(f"what {self.lines[-1].vm} had learned before:")
-            parts += [_told(line, line.time_ms - start_ms) for line in self.beliefs]
+            parts += [_format_line(line, line.time_ms - start_ms) for line in self.state_changes]
         return "\n".join(parts)
 
     def to_document(self) -> dict[str, Any]:
@@ -90,7 +90,7 @@
             "request_id": self.request_id,
             "cause": self.cause,
             "lines": [_document(line) for line in self.lines],
-            "beliefs": [_document(line) for line in self.beliefs],
+            "beliefs": [_document(line) for line in self.state_changes],
         }
 
 
@@ -110,7 +110,7 @@
     return found
 
 
-def story_of(request_id: str, lines: list[LogLine]) -> Story:
+def explain_request(request_id: str, lines: list[LogLine]) -> Explanation:
     """Return the story of a request; its lines are empty where no line names it."""
     own = [
         line
@@ -119,30 +119,30 @@
     ]
     own.sort(key=lambda line: line.time_ms)
     if not own:
-        return Story(request_id, (), (), "nothing is known of it")
+        return Explanation(request_id, (), (), "nothing is known of it")
     end = own[-1]
     keys = {line.fields.get(name) for line in own for name in KEY_FIELDS}
-    beliefs = [
+    state_changes = [
         line
         for line in lines
         if line.vm == end.vm
-        and line.kind in BELIEF_KINDS
+        and line.kind in STATE_CHANGE_KINDS
         and "id" not in line.fields
         and line.time_ms <= end.time_ms
-        and _matters(line, end.time_ms, keys)
+        and _is_relevant(line, end.time_ms, keys)
     ]
-    beliefs.sort(key=lambda line: line.time_ms)
-    return Story(request_id, tuple(own), tuple(beliefs), _cause(own))
+    state_changes.sort(key=lambda line: line.time_ms)
+    return Explanation(request_id, tuple(own), tuple(state_changes), _cause(own))
 
 
-def _matters(line: LogLine, end_ms: float, keys: set[Any]) -> bool:
+def _is_relevant(line: LogLine, end_ms: float, keys: set[Any]) -> bool:
     """Return whether a belief may have decided a request with these keys.
 
     A quarantine counts for the requests that it is about alone, and for them however old it is.
     """
     if line.kind == QUARANTINE_KIND:
         return line.fields.get("key") in keys
-    return line.time_ms >= end_ms - BELIEF_WINDOW_MS
+    return line.time_ms >= end_ms - STATE_CHANGE_WINDOW_MS
 
 
 def _cause(own: list[LogLine]) -> str:
@@ -150,12 +150,12 @@
     if answer is None:
         return "its end is not in these lines"
     name = answer.fields.get("cause", "")
-    told = CAUSES.get(name, name)
+    meaning = CAUSES.get(name, name)
     status = answer.fields.get("status", 0)
-    return f"{name} ({status}): {told}"
+    return f"{name} ({status}): {meaning}"
 
 
-def _told(line: LogLine, after_ms: float) -> str:
+def _format_line(line: LogLine, after_ms: float) -> str:
     fields = " ".join(f"{name}={value}" for name, value in line.fields.items() if name != "id")
     return f"{after_ms:+10.1f} ms  {line.vm}  {line.kind}: {fields}"
 
--- a/cloverhook/explain_command.py
+++ b/cloverhook/explain_command.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from cloverhook.commands import Command, Context, ExitCode, Output, UsageError
-from cloverhook.explain import LogLine, read_lines, story_of
+from cloverhook.explain import LogLine, explain_request, read_lines
 
 __all__ = ["EXPLAIN_COMMANDS"]
 
@@ -16,7 +16,7 @@
 
 async def _explain(context: Context, arguments: list[str]) -> Output:
     request_id, source = arguments
-    story = story_of(request_id, _lines_of(source))
+    story = explain_request(request_id, _lines_of(source))
     code = ExitCode.OK if story.lines else ExitCode.REJECTED
     return Output(story.to_document(), story.to_text(), code)
 
--- a/cloverhook/fleet.py
+++ b/cloverhook/fleet.py
@@ -20,7 +20,7 @@
     Number,
     Table,
     Text,
-    duplicates,
+    duplicate_faults,
     faults_of,
     kind_field,
     table_of,
@@ -177,15 +177,15 @@
         for index, item in services
         for place, host in enumerate(item["hosts"])
     ]
-    faults = list(duplicates(names, "service name"))
-    faults.extend(duplicates(hosts, "host name"))
+    faults = list(duplicate_faults(names, "service name"))
+    faults.extend(duplicate_faults(hosts, "host name"))
     for index, item in services:
         faults.extend(_place_faults(f"services[{index}]", item.get("places", ())))
         prefixes = [
             (f"services[{index}].routes[{place}].path_prefix", route["path_prefix"])
             for place, route in enumerate(item.get("routes", ()))
         ]
-        faults.extend(duplicates(prefixes, "path prefix"))
+        faults.extend(duplicate_faults(prefixes, "path prefix"))
     return tuple(faults)
 
 
@@ -195,7 +195,7 @@
         for index, place in enumerate(places)
         for item, address in enumerate(place["endpoints"])
     ]
-    yield from duplicates(endpoints, "address")
+    yield from duplicate_faults(endpoints, "address")
     for index, place in enumerate(places):
         for item, address in enumerate(place.get("leaving", ())):
             if address not in place["endpoints"]:
--- a/cloverhook/fleet_commands.py
+++ b/cloverhook/fleet_commands.py
@@ -13,8 +13,8 @@
 
 async def _status(context: Context, arguments: list[str]) -> Output:
     settings = context.settings
-    found = await operator_client.statuses(list(settings.daemons), settings.token())
-    lines = [_line(address, status) for address, status in found.items()]
+    found = await operator_client.fetch_statuses(list(settings.daemons), settings.token())
+    lines = [_status_line(address, status) for address, status in found.items()]
     silent = any("error" in status for status in found.values())
     code = ExitCode.NOT_EVERYWHERE if silent else ExitCode.OK
     return Output(found, "\n".join(lines) or "no daemon is named: see --daemons", code)
@@ -23,7 +23,7 @@
 async def _drain(context: Context, arguments: list[str]) -> Output:
     vm = arguments[0]
     settings = context.settings
-    found = await operator_client.statuses(list(settings.daemons), settings.token())
+    found = await operator_client.fetch_statuses(list(settings.daemons), settings.token())
     addresses = [address for address, status in found.items() if status.get("vm") == vm]
     if not addresses:
         reason = f"{vm}: no daemon of this name gave an answer"
@@ -35,7 +35,7 @@
     return Output({"vm": vm, **answer}, f"{vm}: draining")
 
 
-def _line(address: str, status: dict[str, Any]) -> str:
+def _status_line(address: str, status: dict[str, Any]) -> str:
     if "error" in status:
         return f"{address}  no answer: {status['error']}"
     brands = ", ".join(
--- a/cloverhook/gateway/peer_link.py
+++ b/cloverhook/gateway/peer_link.py
@@ -18,7 +18,7 @@
 import cbor2
 import xxhash
 
-from cloverhook.checking import Address, Anything, Integer, Table, Text, faults_of
+from cloverhook.checking import Address, AnyTable, Integer, Table, Text, faults_of
 from cloverhook.errors import MessageError
 from cloverhook.gateway.datagram_port import DatagramPort, SocketAddress
 from cloverhook.gateway.peer_messages import PeerMessage, decode
@@ -127,7 +127,7 @@
             cbor2.CBORError,
         ) as error:
             raise MessageError(f"could not fetch the state from {address}: {error!r}") from error
-        if faults_of(Anything(), "", state):
+        if faults_of(AnyTable(), "", state):
             raise MessageError(f"invalid state from {address}: {type(state).__name__}")
         return state
 
--- a/cloverhook/gateway/peer_messages.py
+++ b/cloverhook/gateway/peer_messages.py
@@ -15,7 +15,7 @@
 
 import cbor2
 
-from cloverhook.checking import Address, Flag, Integer, Number, checker, kind_field, table_of
+from cloverhook.checking import Address, Flag, Integer, Number, compile_check, kind_field, table_of
 from cloverhook.errors import MessageError
 from cloverhook.gateway.load import LoadReport
 from cloverhook.gateway.registry import REGISTRY_DOCUMENT
@@ -256,8 +256,10 @@
     for message_type in (Heartbeat, Relay, Failures, Refusals)
 }
 """The message types whose fields are encoded in order, without conversion."""
-HEARTBEAT_CHECKS = tuple((name, checker(kind)) for name, kind in table_of(Heartbeat).fields.items())
-is_registry_document = checker(REGISTRY_DOCUMENT)
+HEARTBEAT_CHECKS = tuple(
+    (name, compile_check(kind)) for name, kind in table_of(Heartbeat).fields.items()
+)
+is_registry_document = compile_check(REGISTRY_DOCUMENT)
 
 
 def encode(message: PeerMessage) -> bytes:
--- a/cloverhook/gateway/routes.py
+++ b/cloverhook/gateway/routes.py
@@ -15,13 +15,13 @@
 from typing import Any
 
 from cloverhook.checking import (
-    Anything,
+    AnyTable,
     Integer,
     Items,
     Number,
     Table,
     Text,
-    checker,
+    compile_check,
     faults_of,
     kind_field,
     table_of,
@@ -52,7 +52,7 @@
     name: str
     host: str
     path_prefix: str
-    parts: tuple[WeightedService, ...] = kind_field(Anything())
+    parts: tuple[WeightedService, ...] = kind_field(AnyTable())
     idempotent: bool = False
     timeout_ms: float = 10_000.0
     aim_ms: float = 1_000.0
@@ -99,10 +99,10 @@
     frozenset({"version", "routes"}),
 )
 """The schema of the document that peers exchange; `GatewayConfig.to_document` returns one."""
-IS_VALID_WITHOUT_ROUTES = checker(
-    Table({**CONFIG_DOCUMENT.fields, "routes": Items(Anything())}, CONFIG_DOCUMENT.required)
+IS_VALID_WITHOUT_ROUTES = compile_check(
+    Table({**CONFIG_DOCUMENT.fields, "routes": Items(AnyTable())}, CONFIG_DOCUMENT.required)
 )
-IS_VALID_ROUTE_LIST = checker(CONFIG_DOCUMENT.fields["routes"])
+IS_VALID_ROUTE_LIST = compile_check(CONFIG_DOCUMENT.fields["routes"])
 ROUTE_FIELDS = tuple(item.name for item in fields(Route) if item.name != "parts")
 ROUTES_PER_STEP = 100
 """The number of routes in one decoding step, which takes a few milliseconds on a small VM."""
--- a/cloverhook/logs.py
+++ b/cloverhook/logs.py
@@ -14,7 +14,7 @@
 __all__ = ["LOG_FORMATS", "JsonFormatter", "configure_logs"]
 
 LOG_FORMATS = ("text", "json")
-OTHER_PART = "other"
+UNKNOWN_PART = "other"
 
 
 class JsonFormatter(std_logging.Formatter):
@@ -33,7 +33,7 @@
             "time_ms": round(record.created * 1000),
             "level": record.levelname.lower(),
             "vm": self._vm,
-            "part": part if has_part else OTHER_PART,
+            "part": part if has_part else UNKNOWN_PART,
             "message": sentence if has_part else message,
         }
         if record.exc_info:
--- a/cloverhook/metrics.py
+++ b/cloverhook/metrics.py
@@ -68,7 +68,7 @@
         "ms",
         ("brand",),
     )
-    ADDED = MetricSpec(
+    ADDED_LATENCY = MetricSpec(
         "cloverhook_request_added_ms",
         HISTOGRAM,
         "The part of a request's latency that was not spent in its attempts.",
@@ -81,7 +81,7 @@
     WAITING = MetricSpec(
         "cloverhook_requests_waiting", GAUGE, "Requests that wait for an endpoint.", "requests"
     )
-    SHEDS = MetricSpec(
+    SHED_REQUESTS = MetricSpec(
         "cloverhook_requests_shed_total",
         COUNTER,
         "Requests refused because the service was overloaded.",
@@ -93,14 +93,14 @@
     PROBES = MetricSpec(
         "cloverhook_probes_total", COUNTER, "Probes of endpoints.", "probes", ("service",)
     )
-    MEASURING = MetricSpec(
+    PROBE_TIME = MetricSpec(
         "cloverhook_measuring_ms_total",
         COUNTER,
         "Time that probes took, which the measuring budget bounds.",
         "ms",
         ("service",),
     )
-    MEASURING_BUDGET = MetricSpec(
+    PROBE_BUDGET = MetricSpec(
         "cloverhook_measuring_budget_ms_per_s",
         GAUGE,
         "The measuring budget in force, all VMs together.",
@@ -131,13 +131,13 @@
     PAUSES = MetricSpec(
         "cloverhook_pauses_total", COUNTER, "Pauses of this process that were noticed.", "pauses"
     )
-    REFUSED_STRANGERS = MetricSpec(
+    AUTHENTICATION_FAILURES = MetricSpec(
         "cloverhook_refused_strangers_total",
         COUNTER,
         "Links refused because the other side did not prove that it holds the shared key.",
         "links",
     )
-    REFUSED_OPERATORS = MetricSpec(
+    REJECTED_OPERATOR_CALLS = MetricSpec(
         "cloverhook_refused_operators_total",
         COUNTER,
         "Calls of the operators' listener refused for a wrong or missing token.",
@@ -150,7 +150,7 @@
         "cloverhook_config_offset", GAUGE, "The offset of the record that comes next.", "records"
     )
     MEMBERS = MetricSpec("cloverhook_members", GAUGE, "Daemons that serve.", "daemons")
-    LEAVING = MetricSpec("cloverhook_leaving", GAUGE, "1 during a planned stop, else 0.", "flag")
+    DRAINING = MetricSpec("cloverhook_leaving", GAUGE, "1 during a planned stop, else 0.", "flag")
     LOOP_LAG = MetricSpec(
         "cloverhook_loop_lag_ms", HISTOGRAM, "How late the event loop's timers are.", "ms"
     )
--- a/cloverhook/observed_app.py
+++ b/cloverhook/observed_app.py
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class Observation:
-    """What is seen of one request; `upstream_ms` is the time that its attempts took."""
+    """What is known about one request; `upstream_ms` is the time that its attempts took."""
 
     request_id: str = ""
     brand: str = NO_BRAND
@@ -38,14 +38,14 @@
     status: int = 0
     kind: ErrorKind | None = None
     outcome: str = Outcome.UNKNOWN.value
-    whole: bool = False
+    complete: bool = False
 
     @classmethod
-    def of(cls, scope: dict[str, Any]) -> "Observation":
+    def from_scope(cls, scope: dict[str, Any]) -> "Observation":
         """Return the observation in a request's scope, or a new one that nobody reads."""
         return scope.get(OBSERVATION) or cls()
 
-    def read_head(self, message: Message) -> None:
+    def record_head(self, message: Message) -> None:
         """Take the head of the answer; the last outcome header in it is this daemon's own."""
         self.status = message["status"]
         for name, value in reversed(message["headers"]):
@@ -54,7 +54,7 @@
                 return
         self.outcome = Outcome.RAN.value
 
-    def attempt_ended(self, latency_ms: float) -> None:
+    def record_attempt(self, latency_ms: float) -> None:
         """Add an attempt that took `latency_ms`."""
         self.upstream_ms += latency_ms
         self.attempts += 1
@@ -75,37 +75,44 @@
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         """Serve one request by the application inside."""
         started_ms = monotonic_ms()
-        scope[OBSERVATION] = seen = Observation()
+        scope[OBSERVATION] = observation = Observation()
         self._stats.in_flight += 1
 
-        async def watched_send(message: Message) -> None:
+        async def recording_send(message: Message) -> None:
             if message["type"] == "http.response.start":
-                seen.read_head(message)
+                observation.record_head(message)
             elif not message.get("more_body", False):
-                seen.whole = True
+                observation.complete = True
             await send(message)
 
         try:
-            await self._app(scope, receive, watched_send)
+            await self._app(scope, receive, recording_send)
         finally:
             self._stats.in_flight -= 1
-            self._ended(seen, started_ms)
-
-    def _ended(self, seen: Observation, started_ms: float) -> None:
-        self._stats.retries += max(0, seen.attempts - 1)
-        if not seen.whole:
-            seen.outcome = Outcome.UNKNOWN.value
-            seen.kind = seen.kind or ErrorKind.CONNECTION_CUT
-        kind = seen.kind.value if seen.kind else ""
+            self._record_end(observation, started_ms)
+
+    def _record_end(self, observation: Observation, started_ms: float) -> None:
+        self._stats.retries += max(0, observation.attempts - 1)
+        if not observation.complete:
+            observation.outcome = Outcome.UNKNOWN.value
+            observation.kind = observation.kind or ErrorKind.CONNECTION_CUT
+        kind = observation.kind.value if observation.kind else ""
         latency_ms = monotonic_ms() - started_ms
         self._stats.record_end(
-            seen.brand, seen.service, seen.outcome, kind, latency_ms, seen.upstream_ms
+            observation.brand,
+            observation.service,
+            observation.outcome,
+            kind,
+            latency_ms,
+            observation.upstream_ms,
+        )
+        detail = kind or str(observation.status)
+        self._time_line.add(
+            wall_ms(), _end_event(observation), request_id=observation.request_id, detail=detail
         )
-        detail = kind or str(seen.status)
-        self._time_line.add(wall_ms(), _name_of(seen), request_id=seen.request_id, detail=detail)
 
 
-def _name_of(seen: Observation) -> EventName:
-    if not seen.whole:
+def _end_event(observation: Observation) -> EventName:
+    if not observation.complete:
         return EventName.REQUEST_CUT
-    return EventName.REQUEST_REFUSED if seen.kind else EventName.REQUEST_ANSWERED
+    return EventName.REQUEST_REFUSED if observation.kind else EventName.REQUEST_ANSWERED
--- a/cloverhook/observer.py
+++ b/cloverhook/observer.py
@@ -23,7 +23,7 @@
 
 LOOP_LAG_BOUNDS_MS = (0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 20.0, 50.0, 100.0, 1_000.0)
 FROM_LOG = "log"
-TROUBLES = ("well", "slow", "failing", "unreachable")
+PROBATION_STATES = ("well", "slow", "failing", "unreachable")
 
 
 @dataclass(slots=True)
@@ -44,13 +44,13 @@
     def __init__(self, settings: DaemonSettings) -> None:
         self._members = MemberWatch()
         self._members_version = -1
-        self._log_heard_ms = monotonic_ms()
-        self._log_silent = False
+        self._log_answered_ms = monotonic_ms()
+        self._log_unavailable = False
         self._loop_lag_ms = HistogramCounts(LOOP_LAG_BOUNDS_MS)
-        self._refused_operators = 0
-        self._troubles: dict[str, int] = {}
+        self._rejected_operator_calls = 0
+        self._probation_reasons: dict[str, int] = {}
         self._probes: dict[str, ProbeCounts] = {}
-        self.records_from = FROM_LOG
+        self.records_source = FROM_LOG
         self.requests = RequestStats()
         self.time_line = TimeLine(
             settings.vm, settings.time_line_events, settings.time_line_sample_ratio
@@ -61,29 +61,29 @@
     @property
     def log_age_ms(self) -> float:
         """How long ago the platform's log answered."""
-        return monotonic_ms() - self._log_heard_ms
+        return monotonic_ms() - self._log_answered_ms
 
     def note(self, name: EventName, detail: str = "", change_id: str = "") -> None:
         """Put an event that concerns no request on the time line."""
         self.time_line.add(wall_ms(), name, change_id=change_id, detail=detail)
 
-    def change_folded(self, change: Change, result: FoldResult) -> None:
+    def record_change(self, change: Change, result: FoldResult) -> None:
         """Note a change of the configuration and what became of it."""
         accepted = result.verdict is Verdict.ACCEPTED
         name = EventName.CHANGE_ACCEPTED if accepted else EventName.CHANGE_REJECTED
         detail = f"{change.brand}: {result.verdict.value} {result.reason}".strip()
-        self.note(EventName.CHANGE_SEEN, f"from {self.records_from}", change.change_id)
+        self.note(EventName.CHANGE_SEEN, f"from {self.records_source}", change.change_id)
         self.note(name, detail, change.change_id)
 
-    def log_read(self, answered: bool) -> None:
+    def record_log_read(self, answered: bool) -> None:
         """Note whether the platform's log has answered."""
         if answered:
-            self._log_heard_ms = monotonic_ms()
-        if answered == self._log_silent:
-            self._log_silent = not answered
+            self._log_answered_ms = monotonic_ms()
+        if answered == self._log_unavailable:
+            self._log_unavailable = not answered
             self.note(EventName.LOG_BACK if answered else EventName.LOG_SILENT)
 
-    def members_are(self, version: int, members: Iterable[Member]) -> None:
+    def record_members(self, version: int, members: Iterable[Member]) -> None:
         """Note which daemons have come, gone or fallen silent, if the version is a new one."""
         if version == self._members_version:
             return
@@ -91,12 +91,12 @@
         for change in self._members.update(members):
             self.note(change.name, change.vm)
 
-    def record_endpoint_state(self, address: str, trouble: int) -> None:
+    def record_endpoint_state(self, address: str, probation_reason: int) -> None:
         """Note what is wrong with an endpoint, if that has changed."""
-        if self._troubles.get(address, 0) != trouble:
-            self._troubles[address] = trouble
+        if self._probation_reasons.get(address, 0) != probation_reason:
+            self._probation_reasons[address] = probation_reason
             now_ms = wall_ms()
-            detail = TROUBLES[trouble]
+            detail = PROBATION_STATES[probation_reason]
             self.time_line.add(now_ms, EventName.ENDPOINT_STATE, address=address, detail=detail)
 
     def record_probe(self, target: Target, latency_ms: float) -> None:
@@ -106,15 +106,15 @@
         probes.spent_ms += latency_ms
         probes.budget_ms_per_s = target.policy.measuring_ms_per_s
 
-    def loop_lagged(self, due_ms: float) -> None:
+    def record_loop_lag(self, due_ms: float) -> None:
         """Count how late a timer is that was due at a point of the monotonic clock."""
         self._loop_lag_ms.add(monotonic_ms() - due_ms)
 
-    def operator_refused(self) -> None:
+    def record_rejected_operator(self) -> None:
         """Count a call of the operators' listener without the token."""
-        self._refused_operators += 1
+        self._rejected_operator_calls += 1
 
-    def watch(self, source: Source) -> None:
+    def add_metrics_source(self, source: Source) -> None:
         """Add a part's samples to the metrics page."""
         self.metrics.add_source(source)
 
@@ -128,7 +128,7 @@
         return [
             *_request_samples(self.requests),
             *_probe_samples(self._probes),
-            Sample(Metric.REFUSED_OPERATORS, self._refused_operators),
+            Sample(Metric.REJECTED_OPERATOR_CALLS, self._rejected_operator_calls),
             Sample(Metric.LOG_AGE, self.log_age_ms),
             Sample(Metric.LOOP_LAG, self._loop_lag_ms),
             Sample(Metric.EVENTS_DROPPED, self.time_line.dropped),
@@ -140,8 +140,8 @@
     samples: list[Sample] = []
     for key, counts in probes.items():
         samples.append(Sample(Metric.PROBES, counts.count, (key,)))
-        samples.append(Sample(Metric.MEASURING, counts.spent_ms, (key,)))
-        samples.append(Sample(Metric.MEASURING_BUDGET, counts.budget_ms_per_s, (key,)))
+        samples.append(Sample(Metric.PROBE_TIME, counts.spent_ms, (key,)))
+        samples.append(Sample(Metric.PROBE_BUDGET, counts.budget_ms_per_s, (key,)))
     return samples
 
 
@@ -156,9 +156,9 @@
         samples.append(Sample(Metric.REQUESTS, count, labels))
         if key.kind == ErrorKind.OVERLOADED.value:
             shed += count
-    samples.append(Sample(Metric.SHEDS, shed))
+    samples.append(Sample(Metric.SHED_REQUESTS, shed))
     for brand, counts in stats.latency_ms.items():
         samples.append(Sample(Metric.LATENCY, counts, (brand,)))
     for brand, counts in stats.added_ms.items():
-        samples.append(Sample(Metric.ADDED, counts, (brand,)))
+        samples.append(Sample(Metric.ADDED_LATENCY, counts, (brand,)))
     return samples
--- a/cloverhook/operator_client.py
+++ b/cloverhook/operator_client.py
@@ -10,23 +10,23 @@
 
 import aiohttp
 
-__all__ = ["Following", "drain", "statuses", "wait_followed"]
+__all__ = ["ApplyStatus", "drain", "fetch_statuses", "wait_applied"]
 
 CALL_TIMEOUT_MS = 2_000
-WAIT_STEP_MS = 100
+POLL_INTERVAL_MS = 100
 
 Status = dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
-class Following:
+class ApplyStatus:
     """Which daemons have a change in force: the operators' addresses and why not the others."""
 
-    have: tuple[str, ...]
-    have_not: dict[str, str]
+    applied: tuple[str, ...]
+    not_applied: dict[str, str]
 
 
-async def statuses(addresses: list[str], token: str) -> dict[str, Status]:
+async def fetch_statuses(addresses: list[str], token: str) -> dict[str, Status]:
     """Return the status of each daemon by its operators' address.
 
     The status of a daemon that gives no answer holds an `error`.
@@ -42,22 +42,25 @@
         return await _call(session, "POST", f"http://{address}/v1/drain")
 
 
-async def wait_followed(
+async def wait_applied(
     addresses: list[str], token: str, brand: str, version: int, wait_ms: float
-) -> Following:
+) -> ApplyStatus:
     """Wait until every daemon has a version of a brand, or the time is up."""
     deadline = time.monotonic() + wait_ms / 1000
     while True:
-        found = await statuses(addresses, token)
-        lacking = {address: _lack(status, brand, version) for address, status in found.items()}
-        have_not = {address: why for address, why in lacking.items() if why}
-        if not have_not or time.monotonic() >= deadline:
-            have = tuple(address for address in addresses if address not in have_not)
-            return Following(have, have_not)
-        await asyncio.sleep(WAIT_STEP_MS / 1000)
-
-
-def _lack(status: Status, brand: str, version: int) -> str:
+        found = await fetch_statuses(addresses, token)
+        reasons = {
+            address: _reason_not_applied(status, brand, version)
+            for address, status in found.items()
+        }
+        not_applied = {address: why for address, why in reasons.items() if why}
+        if not not_applied or time.monotonic() >= deadline:
+            applied = tuple(address for address in addresses if address not in not_applied)
+            return ApplyStatus(applied, not_applied)
+        await asyncio.sleep(POLL_INTERVAL_MS / 1000)
+
+
+def _reason_not_applied(status: Status, brand: str, version: int) -> str:
     if "error" in status:
         return status["error"]
     known = status["versions"].get(brand, 0)
--- a/cloverhook/peering.py
+++ b/cloverhook/peering.py
@@ -164,7 +164,7 @@
         """Return the counts of links and messages for the metrics page."""
         return [
             Sample(Metric.LINKS, len(self._links)),
-            Sample(Metric.REFUSED_STRANGERS, self.authentication_failures),
+            Sample(Metric.AUTHENTICATION_FAILURES, self.authentication_failures),
             Sample(Metric.DROPPED_MESSAGES, self.dropped_messages),
             Sample(Metric.PEER_MESSAGES, self.sent.messages, ("sent",)),
             Sample(Metric.PEER_MESSAGES, self.received.messages, ("received",)),
@@ -316,14 +316,14 @@
                 if not isinstance(message, UPKEEP):
                     link.used_ms = link.received_ms
                 if self._links.get(vm) is link:
-                    self._stamps.witness(stamp)
+                    self._stamps.advance_past(stamp)
                     self._events.message_received(vm, message)
 
     async def _write(self, link: _Link, outbox: Outbox) -> None:
         with contextlib.suppress(websockets.ConnectionClosed):
             while True:
                 message = await outbox.get()
-                data = encode(message, self._stamps.stamp(wall_ms()))
+                data = encode(message, self._stamps.next_stamp(wall_ms()))
                 self.sent.add(len(data))
                 await link.connection.send(data)
 
--- a/cloverhook/platform_http.py
+++ b/cloverhook/platform_http.py
@@ -14,8 +14,8 @@
 
 __all__ = ["HttpPlatform"]
 
-CALL_REFUSED = 400
-SERVER_FAULT = 500
+CLIENT_ERROR_STATUS = 400
+SERVER_ERROR_STATUS = 500
 
 T = TypeVar("T")
 
@@ -62,9 +62,9 @@
         url = self._base_url + path
         try:
             async with self._session.request(method, url, timeout=timeout, **options) as answer:
-                if answer.status >= SERVER_FAULT:
+                if answer.status >= SERVER_ERROR_STATUS:
                     raise PlatformSilentError(f"{method} {path}: status {answer.status}")
-                if answer.status >= CALL_REFUSED:
+                if answer.status >= CLIENT_ERROR_STATUS:
                     raise PlatformError(f"{method} {path}: status {answer.status}")
                 return decode(await answer.json())
         except aiohttp.ClientConnectorError as error:
--- a/cloverhook/porcelain.py
+++ b/cloverhook/porcelain.py
@@ -46,9 +46,9 @@
     "switch",
 ]
 
-APPEND_TRIES = 3
-LOOKS = 3
-LOOK_PAUSE_MS = 200
+APPEND_ATTEMPTS = 3
+SEARCH_ATTEMPTS = 3
+SEARCH_BACKOFF_MS = 200
 
 
 class Settlement(Enum):
@@ -113,16 +113,16 @@
 
 async def read_state(platform: Platform) -> State:
     """Return the state that the log's records fold to.  Raises `PlatformError`."""
-    reading = LogReader(platform)
-    await reading.read_to_end()
-    return reading.state
+    reader = LogReader(platform)
+    await reader.read_to_end()
+    return reader.state
 
 
 async def history(platform: Platform) -> tuple[ChangeOutcome, ...]:
     """Return the changes that the log still holds and what became of each."""
-    reading = LogReader(platform)
-    await reading.read_to_end()
-    return reading.change_outcomes()
+    reader = LogReader(platform)
+    await reader.read_to_end()
+    return reader.change_outcomes()
 
 
 async def publish(
@@ -169,9 +169,9 @@
 
 async def settle(platform: Platform, change_id: str) -> ChangeResult:
     """Tell what became of a change whose answer was lost."""
-    reading = LogReader(platform)
+    reader = LogReader(platform)
     try:
-        return await _look(reading, change_id)
+        return await _find_result(reader, change_id)
     except PlatformError as error:
         return ChangeResult(Settlement.UNKNOWN, change_id, str(error))
 
@@ -180,27 +180,27 @@
     platform: Platform, brand: str, operator: Operator, action: Callable[[State], Action]
 ) -> ChangeResult:
     change_id = uuid.uuid4().hex
-    reading = LogReader(platform)
+    reader = LogReader(platform)
     try:
-        await reading.read_to_end()
+        await reader.read_to_end()
     except PlatformError as error:
         return ChangeResult(Settlement.REFUSED, change_id, str(error))
-    version = reading.state.version_of(brand)
+    version = reader.state.version_of(brand)
     if version < operator.known_versions.get(brand, 0):
         reason = "the log has lost records: daemons have a newer version; try again soon"
         return ChangeResult(Settlement.REFUSED, change_id, reason)
-    chosen = action(reading.state)
+    chosen = action(reader.state)
     change = Change(change_id, brand, version, operator.name, chosen, int(time.time() * 1000))
     try:
-        return await _append(platform, reading, change)
+        return await _append(platform, reader, change)
     except asyncio.CancelledError:
         reason = "interrupted after the change was sent"
         return ChangeResult(Settlement.UNKNOWN, change_id, reason, brand)
 
 
-async def _append(platform: Platform, reading: LogReader, change: Change) -> ChangeResult:
+async def _append(platform: Platform, reader: LogReader, change: Change) -> ChangeResult:
     """Append a change until the log shows it, a few times at most."""
-    for attempt in range(APPEND_TRIES):
+    for attempt in range(APPEND_ATTEMPTS):
         try:
             await platform.append(CONFIG_STREAM, encode_record(change))
         except PlatformSilentError:
@@ -209,7 +209,7 @@
             if attempt == 0:
                 return ChangeResult(Settlement.REFUSED, change.change_id, str(error), change.brand)
         try:
-            result = await _look(reading, change.change_id)
+            result = await _find_result(reader, change.change_id)
         except PlatformError as error:
             return ChangeResult(Settlement.UNKNOWN, change.change_id, str(error), change.brand)
         if result.settlement is not Settlement.UNKNOWN:
@@ -217,55 +217,55 @@
     return result
 
 
-async def _look(reading: LogReader, change_id: str) -> ChangeResult:
+async def _find_result(reader: LogReader, change_id: str) -> ChangeResult:
     """Look for a change in the log, a few times.  Raises `PlatformError` when the last fails."""
-    for look in range(LOOKS):
-        await asyncio.sleep(LOOK_PAUSE_MS * look / 1000)
+    for attempt in range(SEARCH_ATTEMPTS):
+        await asyncio.sleep(SEARCH_BACKOFF_MS * attempt / 1000)
         try:
-            await reading.read_to_end()
+            await reader.read_to_end()
         except PlatformError:
-            if look == LOOKS - 1:
+            if attempt == SEARCH_ATTEMPTS - 1:
                 raise
             continue
-        found = _result(reading, change_id)
+        found = _result(reader, change_id)
         if found is not None:
             return found
     return ChangeResult(Settlement.UNKNOWN, change_id, "the log does not show the change")
 
 
-def _result(reading: LogReader, change_id: str) -> ChangeResult | None:
-    accepted = reading.state.find_accepted(change_id)
+def _result(reader: LogReader, change_id: str) -> ChangeResult | None:
+    accepted = reader.state.find_accepted(change_id)
     if accepted is not None:
         brand, change = accepted
         return ChangeResult(Settlement.ACCEPTED, change_id, "", brand, change.version)
-    rulings = reading.change_outcomes(change_id)
-    if not rulings:
+    outcomes = reader.change_outcomes(change_id)
+    if not outcomes:
         return None
-    ruling = rulings[0]
-    brand = ruling.change.brand
-    if ruling.verdict is None:
-        return ChangeResult(Settlement.UNKNOWN, change_id, ruling.reason, brand)
-    if ruling.verdict is Verdict.ACCEPTED:
-        version = ruling.change.base_version + 1
+    outcome = outcomes[0]
+    brand = outcome.change.brand
+    if outcome.verdict is None:
+        return ChangeResult(Settlement.UNKNOWN, change_id, outcome.reason, brand)
+    if outcome.verdict is Verdict.ACCEPTED:
+        version = outcome.change.base_version + 1
         return ChangeResult(Settlement.ACCEPTED, change_id, "", brand, version)
     return ChangeResult(
         Settlement.REJECTED,
         change_id,
-        ruling.reason,
+        outcome.reason,
         brand,
-        winner=_winner(ruling),
-        differences=_lost(reading.state, ruling.change),
+        winner=_describe_winner(outcome),
+        differences=_lost_differences(reader.state, outcome.change),
     )
 
 
-def _winner(ruling: ChangeOutcome) -> str:
-    winner = ruling.winner
+def _describe_winner(outcome: ChangeOutcome) -> str:
+    winner = outcome.winner
     if winner is None:
         return ""
     return f"{winner.change_id} by {winner.operator} ({winner.action}), version {winner.version}"
 
 
-def _lost(state: State, change: Change) -> tuple[Difference, ...]:
+def _lost_differences(state: State, change: Change) -> tuple[Difference, ...]:
     """Return what is in force against what a change that lost wanted."""
     current = state.brands.get(change.brand)
     if current is None:
--- a/cloverhook/records.py
+++ b/cloverhook/records.py
@@ -11,7 +11,7 @@
 
 from cloverhook.checking import (
     NAME,
-    Anything,
+    AnyTable,
     Choice,
     Integer,
     Table,
@@ -130,21 +130,21 @@
         "brand": NAME,
         "base_version": Integer(),
         "operator": Text(),
-        "action": Anything(),
+        "action": AnyTable(),
         "at_ms": Integer(),
     },
     frozenset(("change_id", "brand", "base_version", "operator", "action")),
     open=True,
 )
 SNAPSHOT = Table(
-    {"next_offset": Integer(), "state": Anything()},
+    {"next_offset": Integer(), "state": AnyTable()},
     frozenset(("next_offset", "state")),
     open=True,
 )
 ACTION = Table(
     {"type": Choice(("publish", "switch-preset", "remove-brand"))}, frozenset(("type",)), open=True
 )
-PUBLISH = Table({"document": Anything()}, frozenset(("document",)), open=True)
+PUBLISH = Table({"document": AnyTable()}, frozenset(("document",)), open=True)
 SWITCH_PRESET = Table(
     {"preset": Choice(tuple(preset.value for preset in Preset))},
     frozenset(("preset",)),
--- a/cloverhook/stamped_platform.py
+++ b/cloverhook/stamped_platform.py
@@ -30,7 +30,7 @@
 
     async def append(self, stream: str, record: Mapping[str, Any]) -> int:
         """Append a record with the stamp of now and return its offset."""
-        stamp = self._clock.stamp(self._clock_ms())
+        stamp = self._clock.next_stamp(self._clock_ms())
         stamped = {**record, "stamp": [stamp.wall_us, stamp.counter]}
         return await self._platform.append(stream, stamped)
 
@@ -52,4 +52,4 @@
     def _witness(self, record: Any) -> None:
         match record:
             case {"stamp": [int(wall_us), int(counter)]}:
-                self._clock.witness(Stamp(wall_us, counter))
+                self._clock.advance_past(Stamp(wall_us, counter))
--- a/cloverhook/state.py
+++ b/cloverhook/state.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from cloverhook.checking import (
-    Anything,
+    AnyTable,
     Choice,
     Integer,
     Items,
@@ -181,7 +181,7 @@
         "change_id": Text(),
         "operator": Text(),
         "preset": Choice(tuple(preset.value for preset in Preset)),
-        "document": Anything(),
+        "document": AnyTable(),
         "recent": RECENT,
     },
     frozenset(("version", "change_id", "operator", "preset", "document", "recent")),
--- a/cloverhook/timeline.py
+++ b/cloverhook/timeline.py
@@ -85,12 +85,12 @@
         self._wall_us = 0
         self._counter = 0
 
-    def stamp(self, wall_ms: float) -> Stamp:
+    def next_stamp(self, wall_ms: float) -> Stamp:
         """Return a stamp later than all that this process has given or witnessed."""
-        self.advance(wall_ms)
+        self.advance_by_wall(wall_ms)
         return Stamp(self._wall_us, self._counter)
 
-    def advance(self, wall_ms: float) -> tuple[int, int]:
+    def advance_by_wall(self, wall_ms: float) -> tuple[int, int]:
         """Do as `stamp` does, without an object, for the path of each request."""
         wall_us = int(wall_ms * 1000)
         if wall_us > self._wall_us:
@@ -100,7 +100,7 @@
             self._counter += 1
         return self._wall_us, self._counter
 
-    def witness(self, stamp: Stamp) -> None:
+    def advance_past(self, stamp: Stamp) -> None:
         """Take a stamp that came with a message: later stamps of this process stand after it."""
         if (stamp.wall_us, stamp.counter) > (self._wall_us, self._counter):
             self._wall_us = stamp.wall_us
@@ -202,15 +202,15 @@
         detail: str = "",
     ) -> None:
         """Add an event that happened now."""
-        if name.sampled and not self.samples(request_id):
+        if name.sampled and not self.is_sampled(request_id):
             self.skipped += 1
             return
         self._sequence += 1
         ring = self._of_requests if name.of_request else self._others
-        stamp = self.clock.advance(wall_ms)
+        stamp = self.clock.advance_by_wall(wall_ms)
         ring.append((self._sequence, stamp, wall_ms, name, request_id, address, change_id, detail))
 
-    def samples(self, request_id: str) -> bool:
+    def is_sampled(self, request_id: str) -> bool:
         """Return whether the ordinary events of a request are kept, the same on every VM."""
         return zlib.crc32(request_id.encode()) < self._sample_below
 
@@ -233,15 +233,15 @@
             self._of_requests.entries(first_request, limit),
             self._others.entries(first_other, limit),
         )
-        looked_at = [entry for entry, _ in zip(entries, range(limit), strict=False)]
+        scanned = [entry for entry, _ in zip(entries, range(limit), strict=False)]
         wanted = tuple(
             self._event(entry)
-            for entry in looked_at
+            for entry in scanned
             if (not request_id or entry[4] == request_id)
             and (not address or entry[5] == address)
             and (not change_id or entry[6] == change_id)
         )
-        next_after = looked_at[-1][0] if looked_at else self._sequence
+        next_after = scanned[-1][0] if scanned else self._sequence
         return EventPage(wanted, next_after, self._sequence)
 
     def events(self) -> tuple[TimeLineEvent, ...]:
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -8,7 +8,7 @@
 
 from behave import given, then, when
 
-from cloverhook.explain import read_lines, story_of
+from cloverhook.explain import explain_request, read_lines
 from features import gateway_fleet as fleet
 from features.shared import run
 
@@ -51,7 +51,9 @@
     """Return the story, from lines in another order and with a collector's words before them."""
     lines = [f"2026-01-01 vm-x {line}" for line in context.log.decode().splitlines()]
     random.Random(3).shuffle(lines)
-    return story_of(request_id, read_lines([*lines, "", "no log line", '{"time_ms": broken']))
+    return explain_request(
+        request_id, read_lines([*lines, "", "no log line", '{"time_ms": broken'])
+    )
 
 
 @then("its story names the cause {cause}")
@@ -71,7 +73,7 @@
 
 @then("it says what the gateway had learned before")
 def step_beliefs(context):
-    kinds = {line.kind for line in story(context).beliefs}
+    kinds = {line.kind for line in story(context).state_changes}
     assert {"started", "config", "server"} <= kinds, kinds
 
 
--- a/features/steps/gateway_quarantine_steps.py
+++ b/features/steps/gateway_quarantine_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from cloverhook.clock import monotonic_ms
-from cloverhook.explain import read_lines, story_of
+from cloverhook.explain import explain_request, read_lines
 from features import gateway_fleet as fleet
 from features.shared import run
 
@@ -299,9 +299,9 @@
 @then("its story says that it is in quarantine, and where endpoints crashed")
 def step_story(context):
     lines = bytes(context.log).decode().splitlines()
-    story = story_of("fatal-later", read_lines(lines))
+    story = explain_request("fatal-later", read_lines(lines))
     assert story.cause.startswith("quarantined (503)"), story.to_text()
-    held = [line for line in story.beliefs if line.kind == "quarantine"]
+    held = [line for line in story.state_changes if line.kind == "quarantine"]
     assert max(line.fields["crashes"] for line in held) == 2, story.to_text()
     ended = {line["server"] for line in log_lines(context, "attempt") if line["crashed"]}
     assert ended and ended == {line.fields.get("server") for line in held} - {None}, story.to_text()
--- a/features/steps/timeline_steps.py
+++ b/features/steps/timeline_steps.py
@@ -6,7 +6,7 @@
 from behave import given, then, when
 
 from cloverhook.dispatch import Dispatcher
-from cloverhook.event_view import merged, to_trace
+from cloverhook.event_view import merge_events, to_trace
 from cloverhook.fleet import Priority
 from cloverhook.fold import State, fold
 from cloverhook.messages import Heartbeat, decode_stamped, encode
@@ -49,14 +49,14 @@
     number = str(context.sent)
     context.sent += 1
     line.add(wall_ms, EventName.MEMBER_JOINED, detail=number)
-    return receiver, number, encode(Heartbeat("vm", 1, 1), line.clock.stamp(wall_ms))
+    return receiver, number, encode(Heartbeat("vm", 1, 1), line.clock.next_stamp(wall_ms))
 
 
 def _receive(context, message, now_ms):
     receiver, number, data = message
     stamp, _ = decode_stamped(data)
     line = context.lines[receiver]
-    line.clock.witness(stamp)
+    line.clock.advance_past(stamp)
     line.add(now_ms + context.skews_ms[receiver], EventName.MEMBER_LEFT, detail=number)
 
 
@@ -64,7 +64,7 @@
 def step_causal(context):
     context.events = [event for line in context.lines for event in line.events()]
     sent = set()
-    for event in merged(context.events):
+    for event in merge_events(context.events):
         if event.name is EventName.MEMBER_JOINED:
             sent.add(event.detail)
         else:
@@ -76,7 +76,7 @@
 def step_same_order(context):
     shuffled = list(context.events)
     random.Random(1).shuffle(shuffled)
-    assert merged(shuffled) == merged(context.events)
+    assert merge_events(shuffled) == merge_events(context.events)
 
 
 @when("the one that is ahead appends a record and the other reads it")
@@ -97,7 +97,7 @@
 
 @then("the append stands before the read in the merged order")
 def step_log_order(context):
-    names = [e.name for e in merged(e for line in context.lines for e in line.events())]
+    names = [e.name for e in merge_events(e for line in context.lines for e in line.events())]
     assert names == [EventName.CHANGE_SEEN, EventName.CHANGE_ACCEPTED], names
 
 
@@ -188,7 +188,7 @@
 
 @when("it is written as a trace")
 def step_trace(context):
-    document = to_trace(merged(context.lines[0].events()))
+    document = to_trace(merge_events(context.lines[0].events()))
     context.trace = json.loads(json.dumps(document))["traceEvents"]
 
 
