--- a/cloverhook/__init__.py
+++ b/cloverhook/__init__.py
@@ -1,8 +1,8 @@
-"""cloverhook: a load balancer for servers whose load shifts in milliseconds.
+"""cloverhook: a load balancer for backend servers whose load changes within milliseconds.
 
-The modules are flat and each belongs to one of four layers, named in its docstring: state,
-protocol, coordination and transport.  A module imports only from its own layer and those before
-it.
+The modules of this package each belong to one of four layers, which their docstrings name: state,
+protocol, coordination and transport, in this order.  A module imports only from its own layer and
+the layers before it.
 """
 
 __version__ = "0.1.0"
--- a/cloverhook/checking.py
+++ b/cloverhook/checking.py
@@ -1,8 +1,8 @@
-"""Checks documents (parsed TOML, JSON or CBOR) against a description of what is allowed.
+"""Validates documents (parsed TOML, JSON or CBOR) against a schema.
 
-Layer: state.  A description is built of kinds: a `Table` has named fields, `Items` is a list, and
-the others are single values.  `faults_of` reports every fault of a document at once, each with its
-key, what was found and what is allowed.  For example:
+Layer: state.  A schema is built from kinds: `Table` and `MapOf` describe tables, `Items` describes
+a list, and the other kinds describe single values.  `faults_of` reports every fault of a document
+at once, each with its key, the value found and what is allowed.  For example:
 
 >>> kind = Table({"slots": Integer(1, 100)}, required=frozenset({"slots"}))
 >>> for fault in faults_of(kind, "", {"slots": 0, "color": "red"}):
@@ -45,12 +45,15 @@
 MAX_PORT = 65_535
 MAX_INTEGER = 2**53
 ADDRESS_CACHE_SIZE = 4_096
-"""Members say their addresses in each beat: one that was checked is looked up, for a 10th."""
+"""Every heartbeat carries its sender's addresses.
+
+Looking up an address that was checked before takes a tenth of the time of checking it again.
+"""
 
 
 @dataclass(frozen=True, slots=True)
 class Text:
-    """A string that a pattern matches whole."""
+    """A string that matches a regular expression in full."""
 
     allowed: str = "a non-empty string"
     pattern: str = r"[^\x00-\x1f]{1,4096}"
@@ -58,84 +61,84 @@
 
 @dataclass(frozen=True, slots=True)
 class Integer:
-    """A whole number within bounds."""
+    """An integer within bounds, both inclusive."""
 
     minimum: int = 0
     maximum: int = MAX_INTEGER
 
     @property
     def allowed(self) -> str:
-        """What is allowed, for a fault."""
+        """The allowed values, as a fault reports them."""
         return f"an integer from {self.minimum} to {self.maximum}"
 
 
 @dataclass(frozen=True, slots=True)
 class Number:
-    """A finite number within bounds, whole or not."""
+    """An integer or a finite float within bounds, both inclusive."""
 
     minimum: float = 0
     maximum: float = MAX_INTEGER
 
     @property
     def allowed(self) -> str:
-        """What is allowed, for a fault."""
+        """The allowed values, as a fault reports them."""
         return f"a number from {self.minimum:g} to {self.maximum:g}"
 
 
 @dataclass(frozen=True, slots=True)
 class Flag:
-    """True or false."""
+    """A boolean."""
 
     allowed: str = "true or false"
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """One of a few strings."""
+    """One of a fixed set of strings."""
 
     values: tuple[str, ...]
 
     @property
     def allowed(self) -> str:
-        """What is allowed, for a fault."""
+        """The allowed values, as a fault reports them."""
         return f"one of: {', '.join(self.values)}"
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """An IPv4 address and a port; port 0 only where any free port will do."""
+    """An IPv4 address and a port; port 0 is allowed only where any free port may be used."""
 
     minimum_port: int = 1
 
     @property
     def allowed(self) -> str:
-        """What is allowed, for a fault."""
+        """The allowed values, as a fault reports them."""
         return f"ip:port, such as 10.0.0.1:8080, the port from {self.minimum_port} to {MAX_PORT}"
 
 
 @dataclass(frozen=True, slots=True)
 class AnyTable:
-    """A table that is checked elsewhere."""
+    """A table with string keys whose values are checked elsewhere."""
 
     allowed: str = "a table"
 
 
 @dataclass(frozen=True, slots=True)
 class Items:
-    """A list whose items are all of one kind."""
+    """A list with items of a single kind."""
 
     item: "Kind"
     minimum: int = 0
 
     @property
     def allowed(self) -> str:
-        """What is allowed, for a fault."""
+        """The allowed values, as a fault reports them."""
         return f"a list of at least {self.minimum}" if self.minimum else "a list"
 
 
 @dataclass(frozen=True, slots=True)
 class MapOf:
-    """A table with free keys whose values are all of one kind."""
+    """A table with arbitrary keys and values of a single kind."""
 
     value: "Kind"
     allowed: str = "a table"
@@ -143,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Table:
-    """A table with known keys; further keys are faults unless it is `open`."""
+    """A table with a fixed set of keys; any other key is a fault unless the table is `open`."""
 
     fields: Mapping[str, "Kind"]
     required: frozenset[str] = frozenset()
@@ -167,12 +170,12 @@
 
 
 def kind_field(kind: Kind, default: Any = MISSING) -> Any:
-    """Return a data class field whose metadata say what is allowed in it."""
+    """Return a dataclass field that carries its kind in its metadata."""
     return field(default=default, metadata={"kind": kind})
 
 
 def table_of(data_class: type) -> Table:
-    """Return the table that describes a data class; fields without a default are required."""
+    """Return the schema of a dataclass; fields without a default are required."""
     return Table(
         {item.name: _kind_of(item) for item in fields(data_class)},
         frozenset(item.name for item in fields(data_class) if item.default is MISSING),
@@ -180,12 +183,12 @@
 
 
 def faults_of(kind: Kind, key: str, value: Any) -> tuple[Fault, ...]:
-    """Return every fault of a value; `key` is its path in the document, empty for the whole."""
+    """Return every fault of a value; `key` is its path in the document, empty for the root."""
     return tuple(_faults(kind, key, value))
 
 
 def duplicate_faults(keyed: list[tuple[str, str]], what: str) -> tuple[Fault, ...]:
-    """Return a fault for each (key, value) whose value an earlier one has."""
+    """Return a fault for each (key, value) pair whose value already occurs in an earlier pair."""
     first: dict[str, str] = {}
     found: list[Fault] = []
     for key, value in keyed:
@@ -261,13 +264,15 @@
 
 @singledispatch
 def compile_check(kind: Kind) -> Callable[[Any], bool]:
-    """Return a function that says whether a value is free of faults, for what is checked often.
+    """Return a function that returns whether a value has no faults.
+
+    The check is compiled once, for values that are checked often.
 
     >>> is_port = compile_check(Integer(1, 65_535))
     >>> is_port(80), is_port("80")
     (True, False)
     """
-    raise TypeError(f"no check for {kind!r}")
+    raise TypeError(f"no check is registered for the kind {kind!r}")
 
 
 @compile_check.register
@@ -343,7 +348,7 @@
 
 @lru_cache(ADDRESS_CACHE_SIZE)
 def _port_of(address: str) -> int:
-    """Return the port of an IPv4 address and port, or -1 if it is none."""
+    """Return the port of an `ip:port` string, or -1 if the string is not valid."""
     host, _, port = address.rpartition(":")
     if re.fullmatch(r"[0-9]{1,5}", port) is None or int(port) > MAX_PORT:
         return -1
--- a/cloverhook/cli.py
+++ b/cloverhook/cli.py
@@ -1,4 +1,4 @@
-"""The command-line tool for operators: flags, dispatch to a command, output and exit code.
+"""The operators' command-line tool: parses flags, runs a command, prints its output and exits.
 
 Layer: transport.
 """
@@ -63,7 +63,7 @@
 
 
 def _find(arguments: list[str]) -> tuple[Command, list[str]]:
-    """Return the command that the arguments name and the rest of them."""
+    """Return the command that the first words name, and the remaining arguments."""
     for words in (min(2, len(arguments)), 1):
         command = COMMANDS.get(" ".join(arguments[:words]))
         if command is not None and command.accepts_count(len(arguments) - words):
@@ -74,7 +74,10 @@
 
 
 def _settings() -> ToolSettings:
-    """Return the settings of the file with those of the flags over them."""
+    """Return the settings of the file, overridden by those given as flags.
+
+    The operator defaults to the login name.
+    """
     settings = ToolSettings.from_file(FLAGS.settings) if FLAGS.settings else ToolSettings()
     given = {
         name: FLAGS[name].value
@@ -121,9 +124,9 @@
     except UsageError as error:
         return _report_error(ExitCode.USAGE, str(error))
     except SettingsError as error:
-        return _report_error(ExitCode.USAGE, f"the settings are not valid:\n{error}", error)
+        return _report_error(ExitCode.USAGE, f"invalid settings:\n{error}", error)
     except ConfigError as error:
-        return _report_error(ExitCode.REJECTED, f"not valid:\n{error}", error)
+        return _report_error(ExitCode.REJECTED, f"invalid configuration:\n{error}", error)
     except CloverhookError as error:
         return _report_error(ExitCode.UNAVAILABLE, str(error))
     except KeyboardInterrupt:
@@ -133,7 +136,10 @@
 
 
 def run() -> None:
-    """Run the `cloverhook` program."""
+    """Run the `cloverhook` program.
+
+    The help flags print the commands and the tool's own flags.
+    """
     if HELP_FLAGS.intersection(sys.argv[1:]):
         words = [word for word in sys.argv[1:] if not word.startswith("-")]
         print(help_text(COMMANDS, " ".join(words)))
--- a/cloverhook/commands.py
+++ b/cloverhook/commands.py
@@ -1,7 +1,7 @@
-"""The table of the operators' commands, their help, and what they return.
+"""The types of the operators' commands, their results, exit codes and help.
 
 Layer: transport.  A command's handler takes a `Context` and its arguments and returns an `Output`.
-To add a command, write a handler and put a `Command` into the tables that `cli` merges.
+To add a command, write a handler and add a `Command` to one of the tables that `cli` merges.
 """
 
 import json
@@ -18,7 +18,7 @@
 
 
 class ExitCode(IntEnum):
-    """What the tool's exit code means; the help prints it."""
+    """The exit codes of the tool; the help prints their meanings."""
 
     OK = 0
     REJECTED = 1
@@ -41,12 +41,12 @@
 
 
 class UsageError(CloverhookError):
-    """A command line that is wrong."""
+    """An invalid command line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Context:
-    """What a handler may use: the platform, the tool's settings and the flags of commands."""
+    """What a handler gets: the platform's client, the tool's settings and the commands' flags."""
 
     platform: Platform
     settings: ToolSettings
@@ -55,9 +55,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Output:
-    """A command's result: as a JSON document, as text for people, and as an exit code.
+    """A command's result as a JSON document, as human-readable text and as an exit code.
 
-    With `as_lines`, the document is a list whose items are written on a line each.
+    With `as_lines`, the document is a list, and each item is printed as JSON on its own line.
     """
 
     document: Any
@@ -66,7 +66,7 @@
     as_lines: bool = False
 
     def to_json(self) -> str:
-        """Return the document as it is printed."""
+        """Return the document as JSON text, as it is printed."""
         if self.as_lines:
             return "\n".join(json.dumps(item) for item in self.document)
         return json.dumps(self.document)
@@ -77,7 +77,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """A command: its words, its arguments with their number, and its help."""
+    """A command: its name, its arguments, its help and its handler.
+
+    The last `optional` arguments may be omitted.
+    """
 
     name: str
     arguments: tuple[str, ...]
@@ -88,7 +91,7 @@
 
     @property
     def usage(self) -> str:
-        """The command line, with optional arguments in brackets."""
+        """The usage line, with optional arguments in brackets."""
         required = len(self.arguments) - self.optional
         words = [
             word if place < required else f"[{word}]" for place, word in enumerate(self.arguments)
@@ -96,12 +99,12 @@
         return " ".join(("cloverhook", self.name, *words))
 
     def accepts_count(self, count: int) -> bool:
-        """Return whether the command takes this number of arguments."""
+        """Return whether the command can be called with `count` arguments."""
         return len(self.arguments) - self.optional <= count <= len(self.arguments)
 
 
 def help_text(commands: Mapping[str, Command], name: str = "") -> str:
-    """Return the help of one command, or of the tool."""
+    """Return the help of one command, or of the whole tool if `name` is not a command."""
     if name in commands:
         command = commands[name]
         return f"{command.usage}\n\n{command.summary}\n\nExample:\n  {command.example}"
--- a/cloverhook/config_commands.py
+++ b/cloverhook/config_commands.py
@@ -1,4 +1,4 @@
-"""The commands that read and change the configuration.
+"""The commands that check, read and change the configuration.
 
 Layer: transport.
 """
@@ -143,7 +143,7 @@
 
 
 async def _operator(context: Context) -> Operator:
-    """Return who makes a change, with the newest versions that any daemon reports."""
+    """Return who makes a change, with the newest version of each brand that a daemon reports."""
     settings = context.settings
     known: dict[str, int] = {}
     for status in (await fetch_statuses(list(settings.daemons), settings.token())).values():
@@ -156,14 +156,14 @@
     document = asdict(result) | {"settlement": result.settlement.value}
     lines = [f"{result.settlement.value} {result.change_id} {result.reason}".rstrip()]
     if result.winner:
-        lines.append(f"the change that won: {result.winner}")
+        lines.append(f"rejected in favour of the change: {result.winner}")
     if result.differences:
         lines.append(f"in force -> yours:\n{_lines(result.differences)}")
     if result.settlement is Settlement.UNKNOWN:
         lines.append(f"settle it later: cloverhook settle {result.change_id}")
     code = EXIT_CODES[result.settlement]
     if result.settlement is Settlement.ACCEPTED and context.options.get("wait"):
-        following = await _wait_applied(context, result)
+        following = await _wait_for_daemons(context, result)
         document["following"] = following
         lines.append(f"in force at: {', '.join(following['have']) or 'no daemon that was asked'}")
         lines.extend(f"not at {where}: {why}" for where, why in following["have_not"].items())
@@ -171,8 +171,8 @@
     return Output(document, "\n".join(lines), code)
 
 
-async def _wait_applied(context: Context, result: ChangeResult) -> dict[str, Any]:
-    """Wait until every daemon has the change and name those that have not."""
+async def _wait_for_daemons(context: Context, result: ChangeResult) -> dict[str, Any]:
+    """Wait for every daemon to apply a change, and return which daemons have and have not."""
     settings = context.settings
     addresses = list(settings.daemons)
     wait_ms = context.options["wait_ms"]
@@ -190,7 +190,11 @@
 
 
 async def _unqueried_vms(context: Context) -> dict[str, str]:
-    """Return the live VMs of the platform's list that no answer came from."""
+    """Return the VMs that are live on the platform's list but not among the queried daemons.
+
+    The result is empty when a daemon did not answer, since its VM is not known.  If the platform's
+    list can't be read, the result holds the error instead.
+    """
     settings = context.settings
     found = await fetch_statuses(list(settings.daemons), settings.token())
     if any("error" in status for status in found.values()):
@@ -200,7 +204,7 @@
     except PlatformError as error:
         return {"the platform's list": str(error)}
     queried = {status["vm"] for status in found.values()}
-    reason = "live on the platform's list, but not among --daemons"
+    reason = "live on the platform's list, but not given in --daemons"
     live = (item.vm for item in listed if item.phase is VmPhase.LIVE)
     return {vm: reason for vm in live if vm not in queried}
 
--- a/cloverhook/differences.py
+++ b/cloverhook/differences.py
@@ -1,6 +1,6 @@
-"""What differs between two documents, key by key.
+"""Compares two documents key by key.
 
-Layer: state.  Lists of tables are compared by the names of their items, not by their places:
+Layer: state.  Items in lists of tables are matched by name, not by position:
 
 >>> one = {"brand": "b", "services": [{"name": "orders", "hosts": ["a.example"]}]}
 >>> two = {"brand": "b", "services": [{"name": "orders", "hosts": ["c.example"]}]}
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """A key whose values differ; a value that is absent is "nothing"."""
+    """A key whose values differ; a missing value is shown as "nothing"."""
 
     key: str
     before: Any
@@ -31,7 +31,7 @@
 
 
 def differences(before: Mapping[str, Any], after: Mapping[str, Any]) -> tuple[Difference, ...]:
-    """Return every key whose values differ, ordered by key."""
+    """Return a difference for every key whose values differ, ordered by key."""
     old = flatten_document(before)
     new = flatten_document(after)
     return tuple(
@@ -42,7 +42,7 @@
 
 
 def flatten_document(document: Mapping[str, Any]) -> dict[str, Any]:
-    """Return a document's values by their full keys."""
+    """Return a document's values by their full keys, such as `services[orders].hosts`."""
     return dict(_flatten("", document))
 
 
--- a/cloverhook/edits.py
+++ b/cloverhook/edits.py
@@ -1,7 +1,7 @@
-"""Edits of a brand's document: services and the places where they run.
+"""Edits a brand's document: adds and removes services and the places where they run.
 
-Layer: state.  Each function returns a changed copy and raises `ConfigError` when what it should
-change is not there, or is there already.
+Layer: state.  Each function returns a changed copy.  It raises `ConfigError` when the item to
+change does not exist, or when the service to add exists already.
 """
 
 import copy
@@ -16,7 +16,7 @@
 
 
 def add_service(document: Mapping[str, Any], service: str, hosts: list[str]) -> Document:
-    """Add a service with its host names and no place yet."""
+    """Add a service with its host names and without places."""
     edited = copy.deepcopy(dict(document))
     services = edited.setdefault("services", [])
     if any(item["name"] == service for item in services):
--- a/cloverhook/fleet_commands.py
+++ b/cloverhook/fleet_commands.py
@@ -1,4 +1,4 @@
-"""The commands that ask and drive daemons.
+"""The commands that query daemons and drain them.
 
 Layer: transport.
 """
@@ -17,7 +17,7 @@
     lines = [_status_line(address, status) for address, status in found.items()]
     silent = any("error" in status for status in found.values())
     code = ExitCode.NOT_EVERYWHERE if silent else ExitCode.OK
-    return Output(found, "\n".join(lines) or "no daemon is named: see --daemons", code)
+    return Output(found, "\n".join(lines) or "no daemon is given: see --daemons", code)
 
 
 async def _drain(context: Context, arguments: list[str]) -> Output:
@@ -26,7 +26,7 @@
     found = await operator_client.fetch_statuses(list(settings.daemons), settings.token())
     addresses = [address for address, status in found.items() if status.get("vm") == vm]
     if not addresses:
-        reason = f"{vm}: no daemon of this name gave an answer"
+        reason = f"{vm}: no daemon with this name answered"
         return Output({"error": reason}, reason, ExitCode.NOT_EVERYWHERE)
     answer = await operator_client.drain(addresses[0], settings.token())
     if "error" in answer:
--- a/cloverhook/toml_file.py
+++ b/cloverhook/toml_file.py
@@ -1,4 +1,4 @@
-"""Reads a TOML file for any of the programs.
+"""Reads TOML files for all programs of the project.
 
 Layer: state.
 """
@@ -13,7 +13,7 @@
 
 
 def read_toml(path: str, failure: type[SettingsError | ConfigError]) -> dict[str, Any]:
-    """Return a file's document.  Raises `failure` when it can't be read, is no text or no TOML."""
+    """Return a file's document.  Raises `failure` if it can't be read or is not valid TOML text."""
     try:
         return tomllib.loads(Path(path).read_text())
     except (OSError, ValueError) as error:
--- a/cloverhook/tool_settings.py
+++ b/cloverhook/tool_settings.py
@@ -1,6 +1,6 @@
-"""The operators' tool's own settings: flags, and a TOML file that flags override.
+"""The settings of the operators' tool: a TOML file, and flags that override it.
 
-Layer: state.  The operators' token comes from a file or the environment only.
+Layer: state.  The operators' token is read only from a file or the environment.
 """
 
 import os
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ToolSettings:
-    """Where the platform and the daemons are, and who the operator is."""
+    """The addresses of the platform and the daemons, and the operator's name and token file."""
 
     platform: str = DEFAULT_PLATFORM
     daemons: tuple[str, ...] = ()
@@ -40,7 +40,7 @@
         return cls(**{**document, "daemons": tuple(document.get("daemons", ()))})
 
     def token(self) -> str:
-        """Return the operators' token, empty when none is given."""
+        """Return the operators' token, or an empty string if there is none."""
         if not self.token_file:
             return os.environ.get(TOKEN_VARIABLE, "")
         try:
