--- a/cloverhook/errors.py
+++ b/cloverhook/errors.py
@@ -1,10 +1,10 @@
-"""Every error the project raises, and the one table from error kind to answer.
+"""The exceptions of the project, and the table that maps error kinds to answers.
 
-Layer: state.  Nothing else in the package decides which status a caller sees: a part raises a
-`RequestError` with a kind from the closed list `ErrorKind`, and the callers' listener looks the
-kind up in `ANSWERS`.
+Layer: state.  Only this table determines the status that a caller receives for an error: a module
+raises a `RequestError` with a kind from the closed list `ErrorKind`, and the callers' listener
+looks the kind up in `ANSWERS`.
 
-For example, a request that no backend server has started when its deadline passes:
+For example, the answer when no backend server has started a request before its deadline passes:
 
 >>> answer_for(ErrorKind.DEADLINE_BEFORE_RUN).outcome.value
 'not-run'
@@ -33,7 +33,7 @@
 
 
 class Outcome(Enum):
-    """What is certain about a request: it did not run, it ran, or nobody can tell."""
+    """What is certain about a request: it did not run, it ran, or it is unknown which."""
 
     NOT_RUN = "not-run"
     RAN = "ran"
@@ -41,7 +41,7 @@
 
 
 class ErrorKind(Enum):
-    """The closed list of reasons for which a request ends without its backend server's answer."""
+    """The closed list of reasons why a request ends without an answer of a backend server."""
 
     BAD_REQUEST = "bad-request"
     BAD_REQUEST_IN_RUN = "bad-request-in-run"
@@ -72,9 +72,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """How an error kind is told to a caller.
+    """The answer that a caller receives for an error kind.
 
-    `retry_after` says whether the answer carries a time to come back.
+    `retry_after` is whether the answer says when the caller may retry.
     """
 
     status: int
@@ -112,13 +112,13 @@
 
 
 def answer_for(kind: ErrorKind) -> Answer:
-    """Return the answer a caller gets for an error kind."""
+    """Return the answer that a caller receives for an error kind."""
     return ANSWERS[kind]
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault in settings or configuration: its key, what was found and what is allowed."""
+    """A fault in settings or configuration: its key, the value found and what is allowed."""
 
     key: str
     found: str
@@ -129,11 +129,11 @@
 
 
 class CloverhookError(Exception):
-    """The root of the project's exceptions."""
+    """The base class of the project's exceptions."""
 
 
 class ConfigError(CloverhookError):
-    """A configuration that is not valid.  `faults` holds all of its faults at once."""
+    """An invalid configuration.  `faults` holds all of its faults."""
 
     def __init__(self, faults: tuple[Fault, ...]) -> None:
         super().__init__("\n".join(str(fault) for fault in faults))
@@ -141,30 +141,30 @@
 
 
 class SettingsError(ConfigError):
-    """A daemon's or tool's settings file that is not valid."""
+    """An invalid settings file of a daemon or of the tool."""
 
 
 class PlatformError(CloverhookError):
-    """The platform answered with an error: the call had no effect."""
+    """A call to the platform that failed without effect, unless it is a `PlatformSilentError`."""
 
 
 class PlatformSilentError(PlatformError):
-    """The platform gave no answer: the call may or may not have had its effect."""
+    """A call to the platform without a definite answer: it may or may not have had its effect."""
 
 
 class MessageError(CloverhookError):
-    """A message between daemons that can't be decoded."""
+    """A message between daemons, or a record, that can't be decoded."""
 
 
 class AuthenticationError(CloverhookError):
-    """A peer or operator that did not prove itself."""
+    """A peer or operator that failed to authenticate."""
 
 
 class UpstreamError(CloverhookError):
-    """An exchange with a backend server that failed.
+    """A failed exchange with a backend server.
 
     `sent` is False only when it is certain that no byte of the request left this process.
-    `bad_answer` says that the backend server's answer was not valid HTTP.
+    `bad_answer` is whether the backend server's answer was not valid HTTP.
     """
 
     def __init__(self, reason: str, sent: bool, bad_answer: bool = False) -> None:
@@ -174,7 +174,7 @@
 
 
 class RequestError(CloverhookError):
-    """A request that ends with an error kind.  `retry_after_ms` is 0 where there is none."""
+    """The end of a request with an error kind.  `retry_after_ms` is 0 if there is none."""
 
     def __init__(self, kind: ErrorKind, detail: str = "", retry_after_ms: float = 0) -> None:
         super().__init__(detail or kind.value)
--- a/cloverhook/event_reader.py
+++ b/cloverhook/event_reader.py
@@ -1,4 +1,4 @@
-"""Reads the time line of daemons from their operators' listeners, page by page.
+"""Reads the time lines of daemons from their operators' listeners, page by page.
 
 Layer: transport.
 """
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EventFilter:
-    """Which events are wanted; an empty field asks for all."""
+    """Selects events; an empty field matches all."""
 
     request_id: str = ""
     address: str = ""
     change_id: str = ""
 
     def to_query(self) -> dict[str, str]:
-        """Return the filter as parameters of a URL."""
+        """Return the filter as the query parameters of a URL."""
         query = {
             "request": self.request_id,
             "endpoint": self.address,
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FoundEvents:
-    """Events in causal order, and the daemons whose part is missing, each with the reason."""
+    """Events in causal order, and the daemons whose events are missing, each with the reason."""
 
     events: tuple[TimeLineEvent, ...]
     missing: dict[str, str] = field(default_factory=dict)
@@ -51,9 +51,8 @@
 ) -> FoundEvents:
     """Return the merged time line of the daemons at these operators' addresses.
 
-    It ends with the newest event that each daemon had when it was first asked.
-
-    A daemon that gives no usable answer is named in `missing`; nothing is raised for it.
+    It ends with the newest event that each daemon had at the first request.  A daemon that gives no
+    usable answer is listed in `missing`; no exception is raised for it.
     """
     timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_MS / 1000)
     headers = {"Authorization": f"Bearer {token}"}
--- a/cloverhook/event_view.py
+++ b/cloverhook/event_view.py
@@ -1,9 +1,9 @@
-"""The time line of all daemons together: merged, and written as text, JSON lines or a trace.
+"""Merges the time lines of daemons and formats them as text, JSON lines or a trace.
 
 Layer: protocol, free of input and output.  `merge_events` orders the events of any number of
-daemons by their stamps, so that no effect stands before its cause.  `to_trace` writes the Trace
-Event Format, which the trace viewers of browsers open: each VM is a process, requests and their
-attempts are bars, and everything else is an instant.
+daemons by their stamps, so that no effect precedes its cause.  `to_trace` produces the Trace Event
+Format, which the trace viewers of browsers can open: each VM is a process, requests and their
+attempts are bars, and all other events are instants.
 """
 
 import json
@@ -27,24 +27,24 @@
 
 
 def merge_events(events: Iterable[TimeLineEvent]) -> list[TimeLineEvent]:
-    """Return events of any daemons in a causal order, the same for every order of arrival."""
+    """Return events of any daemons in causal order, independent of the order of the input."""
     return sorted(events, key=lambda event: (event.stamp, event.vm, event.sequence))
 
 
 def to_text(events: Iterable[TimeLineEvent]) -> str:
-    """Return one line for each event; times are UTC on the clock of the event's own VM."""
+    """Return one line for each event; times are in UTC by the clock of the event's own VM."""
     return "\n".join(_text_line(event) for event in events)
 
 
 def to_json_lines(events: Iterable[TimeLineEvent]) -> str:
-    """Return one JSON object on a line for each event."""
+    """Return one line with a JSON object for each event."""
     return "\n".join(json.dumps(event.to_document()) for event in events)
 
 
 def to_trace(events: Iterable[TimeLineEvent]) -> dict[str, Any]:
     """Return a document in the Trace Event Format for events in causal order.
 
-    Times are those of the causal stamps, in microseconds.
+    Times are taken from the causal stamps, in microseconds.
     """
     by_vm: dict[str, list[TimeLineEvent]] = defaultdict(list)
     for event in events:
@@ -75,7 +75,7 @@
 
 @dataclass(slots=True)
 class _Bar:
-    """Something that lasts, on one lane of the viewer."""
+    """A request or an attempt, with its start, on one lane of the viewer."""
 
     name: str
     start_us: float
@@ -127,7 +127,7 @@
 
 
 class _Lanes:
-    """Numbers the lanes, so that bars that overlap never share one."""
+    """Allocates lane numbers, so that requests that overlap never share a lane."""
 
     def __init__(self) -> None:
         self._free: list[int] = []
--- a/cloverhook/events_command.py
+++ b/cloverhook/events_command.py
@@ -1,7 +1,7 @@
 """The command `cloverhook events`: the time line of all daemons, filtered and merged.
 
-Layer: transport.  With `--output=json` it prints one JSON object on a line; with `--trace=FILE` it
-writes a trace file for a browser's trace viewer and says so.
+Layer: transport.  With `--output=json` it prints one JSON object per line.  With `--trace=FILE` it
+writes a file for a browser's trace viewer and reports the number of events.
 """
 
 import json
@@ -24,7 +24,10 @@
     missing = [{"address": key, "missing": reason} for key, reason in found.missing.items()]
     document = [event.to_document() for event in found.events]
     text = "\n".join(
-        [to_text(found.events), *(f"no events of {x['address']}: {x['missing']}" for x in missing)]
+        [
+            to_text(found.events),
+            *(f"no events from {x['address']}: {x['missing']}" for x in missing),
+        ]
     )
     return Output([*document, *missing], text.strip("\n"), code, as_lines=True)
 
--- a/cloverhook/explain.py
+++ b/cloverhook/explain.py
@@ -1,8 +1,8 @@
-"""Tells a request's story from the log lines of gateways.
+"""Explains how a request ended, from the log lines of gateways.
 
-Layer: protocol.  The lines may come from many processes and in any order, with whatever a log
-collector has put before each JSON object.  The story holds the request's own lines in the order of
-its attempts, and what the gateway that served it had come to believe shortly before.
+Layer: protocol.  The lines may come from many processes and in any order, and a log collector may
+have put text before each JSON object.  An explanation holds the request's own lines in the order of
+its attempts, and the state changes that the gateway which served it logged shortly before.
 """
 
 import json
@@ -35,21 +35,21 @@
     "log-dropped",
 )
 STATE_CHANGE_WINDOW_MS = 5_000.0
-"""How long before a request's end a change of belief may be what decided it."""
+"""State changes up to this long before a request's end may have decided its outcome."""
 
 CAUSES = {
-    "answered": "a backend server's answer was passed on",
-    "overloaded": "no backend server had room in time, so it was refused; it has not run",
-    "refused": "every backend server that was asked rejected it; it has not run",
-    "no-backend-server": "no backend server could be reached, or none is known; it has not run",
-    "evacuated": "all backend servers of its service lie in evacuated data centres; it has not run",
-    "rate-limited": "this gateway's part of what its endpoints take is used up; it has not run",
-    "quarantined": "endpoints crashed under requests with this content; it has not run",
+    "answered": "a backend server's answer was forwarded",
+    "overloaded": "no backend server had free capacity in time, so it was rejected; it has not run",
+    "refused": "every backend server that was tried rejected it; it has not run",
+    "no-backend-server": "no backend server is reachable, or none is registered; it has not run",
+    "evacuated": "its service's backend servers are all in evacuated data centres; it has not run",
+    "rate-limited": "its gateway's share of the endpoints' rate limits is used up; it has not run",
+    "quarantined": "endpoints crashed on requests with this content; it has not run",
     "unknown-host": "no route of the configuration in force matches its host and path",
-    "deadline-in-run": "a backend server had it and gave no answer in time; it may have run",
-    "connection-cut": "a backend server had it and the connection broke; it may have run",
-    "caller-gone": "its caller left before the answer",
-    "internal": "the gateway met a fault of its own; the line `fault` has the trace",
+    "deadline-in-run": "a backend server received it and did not answer in time; it may have run",
+    "connection-cut": "a backend server received it and the connection broke; it may have run",
+    "caller-gone": "its caller disconnected before the answer",
+    "internal": "the gateway had an internal error; the line `fault` has the trace",
 }
 
 
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """A request's lines, what its gateway believed, and the cause of its end."""
+    """A request's lines, its gateway's earlier state changes, and the cause of its end."""
 
     request_id: str
     lines: tuple[LogLine, ...]
@@ -73,19 +73,19 @@
     cause: str
 
     def to_text(self) -> str:
-        """Return the story for people."""
+        """Return the explanation as human-readable text."""
         if not self.lines:
             return f"request {self.request_id}: no line names it; it may not have been sampled"
         start_ms = self.lines[0].time_ms
         parts = [f"request {self.request_id}: {self.cause}"]
         parts += [_format_line(line, line.time_ms - start_ms) for line in self.lines]
         if self.state_changes:
-            parts.append(f"what {self.lines[-1].vm} had learned before:")
+            parts.append(f"state changes of {self.lines[-1].vm} before:")
             parts += [_format_line(line, line.time_ms - start_ms) for line in self.state_changes]
         return "\n".join(parts)
 
     def to_document(self) -> dict[str, Any]:
-        """Return the story as JSON can hold it."""
+        """Return the explanation as a JSON object."""
         return {
             "request_id": self.request_id,
             "cause": self.cause,
@@ -95,7 +95,7 @@
 
 
 def read_lines(text_lines: Iterable[str]) -> list[LogLine]:
-    """Return the log lines among lines of text; what is no log line is left out."""
+    """Return the log lines among lines of text; all other lines are skipped."""
     found = []
     for text in text_lines:
         start = text.find('{"time_ms"')
@@ -111,7 +111,7 @@
 
 
 def explain_request(request_id: str, lines: list[LogLine]) -> Explanation:
-    """Return the story of a request; its lines are empty where no line names it."""
+    """Return the explanation of a request; it has no lines if no log line names the request."""
     own = [
         line
         for line in lines
@@ -119,7 +119,7 @@
     ]
     own.sort(key=lambda line: line.time_ms)
     if not own:
-        return Explanation(request_id, (), (), "nothing is known of it")
+        return Explanation(request_id, (), (), "no log line names it")
     end = own[-1]
     keys = {line.fields.get(name) for line in own for name in KEY_FIELDS}
     state_changes = [
@@ -136,9 +136,10 @@
 
 
 def _is_relevant(line: LogLine, end_ms: float, keys: set[Any]) -> bool:
-    """Return whether a belief may have decided a request with these keys.
+    """Return whether a state change may have determined the end of a request with these keys.
 
-    A quarantine counts for the requests that it is about alone, and for them however old it is.
+    A quarantine is relevant only to the requests that it concerns, and to these regardless of its
+    age.
     """
     if line.kind == QUARANTINE_KIND:
         return line.fields.get("key") in keys
@@ -148,7 +149,7 @@
 def _cause(own: list[LogLine]) -> str:
     answer = next((line for line in reversed(own) if line.kind in ANSWER_KINDS), None)
     if answer is None:
-        return "its end is not in these lines"
+        return "the log lines do not contain its end"
     name = answer.fields.get("cause", "")
     meaning = CAUSES.get(name, name)
     status = answer.fields.get("status", 0)
--- a/cloverhook/explain_command.py
+++ b/cloverhook/explain_command.py
@@ -1,4 +1,4 @@
-"""The command `cloverhook explain`: a request's story from the logs of gateways.
+"""The command `cloverhook explain`: explains from the logs of gateways how a request ended.
 
 Layer: transport.
 """
@@ -16,9 +16,9 @@
 
 async def _explain(context: Context, arguments: list[str]) -> Output:
     request_id, source = arguments
-    story = explain_request(request_id, _lines_of(source))
-    code = ExitCode.OK if story.lines else ExitCode.REJECTED
-    return Output(story.to_document(), story.to_text(), code)
+    explanation = explain_request(request_id, _lines_of(source))
+    code = ExitCode.OK if explanation.lines else ExitCode.REJECTED
+    return Output(explanation.to_document(), explanation.to_text(), code)
 
 
 def _lines_of(source: str) -> list[LogLine]:
--- a/cloverhook/fleet.py
+++ b/cloverhook/fleet.py
@@ -1,8 +1,8 @@
-"""What operators configure: brands, services, the places where they run, and presets.
+"""The configuration model: brands, services, the places where they run, and presets.
 
-Layer: state.  Everything here is frozen.  A brand is built from a document (the parsed TOML of an
-operator's file, which is also what the log carries) by `Brand.from_document`, which reports all
-faults at once.
+Layer: state.  All objects are immutable.  `Brand.from_document` builds a brand from a document and
+reports all of its faults at once; the document is the parsed TOML of an operator's file, and the
+log stores it in the same form.
 """
 
 from collections.abc import Iterator, Mapping, Sequence
@@ -33,7 +33,7 @@
 
 
 class Preset(Enum):
-    """The three presets; exactly one is in force for a brand at a time."""
+    """The three presets; exactly one is in force for each brand at any time."""
 
     ORDINARY = "ordinary"
     PEAK = "peak"
@@ -41,7 +41,7 @@
 
 
 class Priority(IntEnum):
-    """How important a request is.  Under overload the largest value is refused first."""
+    """The priority of a request.  Under overload, the largest value is shed first."""
 
     HIGH = 0
     NORMAL = 1
@@ -50,7 +50,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One backend server's address (`ip:port`), its data centre and what it can take at once."""
+    """A backend server's address (`ip:port`), its data centre and its concurrency limits.
+
+    `slots` limits its concurrent requests and `connections` its connections.  `leaving` is whether
+    it is draining: it receives no new requests.
+    """
 
     address: str
     data_center: str
@@ -61,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Requests whose path starts with `path_prefix` have this priority."""
+    """The priority of requests whose path starts with `path_prefix`."""
 
     path_prefix: str
     priority: Priority
@@ -69,9 +73,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """What a preset may change for a service.  Times are milliseconds, ratios are 0 to 1.
+    """The values that a preset may change for a service.  Times are in ms, ratios are 0 to 1.
 
-    `measuring_ms_per_s` is the measuring budget: the time of probes, all VMs together, per second.
+    `measuring_ms_per_s` is the probe budget: the total time of the probes of all VMs per second.
     """
 
     timeout_ms: float = kind_field(Number(1, HOUR_MS), 10_000)
@@ -84,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A service of a brand: the host names that callers use, its endpoints and its policies."""
+    """A service of a brand: its callers' host names, its endpoints and its policy per preset."""
 
     name: str
     hosts: tuple[str, ...]
@@ -98,7 +102,7 @@
         return self.policies.get(preset, Policy())
 
     def priority_of(self, path: str) -> Priority:
-        """Return the priority of the longest route that matches a path, else the service's."""
+        """Return the priority of the longest route that matches a path, or else the service's."""
         matches = [route for route in self.routes if path.startswith(route.path_prefix)]
         if not matches:
             return self.priority
--- a/cloverhook/timeline.py
+++ b/cloverhook/timeline.py
@@ -1,14 +1,15 @@
-"""The time line: what happened in this process, as typed events with a causal stamp.
+"""The time line: the events of this process, with causal timestamps.
 
-Layer: state.  Each event carries a hybrid logical clock (wall time in microseconds and a
-counter).  Stamps travel with the messages between daemons and with the records of the log, so
-that events of many processes merge into an order in which no effect stands before its cause, also
-where the wall clocks disagree.
+Layer: state.  Each event has a stamp of a hybrid logical clock (wall time in microseconds and a
+counter).  Messages between daemons and records of the log carry stamps, so that the events of many
+processes can be merged into an order in which no effect precedes its cause, even if the wall clocks
+disagree.
 
-Memory is bounded: a fixed number of request events and a fixed number of all others are kept, so
-that a flood of requests does not push a change out.  The events of an ordinary request are kept
-for a sample of the requests, told by a hash of the request's identifier: every VM keeps or skips
-the same requests.  Failures, changes and members are always kept.
+Memory is bounded: a fixed number of request events and a fixed number of all other events are kept.
+They are counted separately, so that many requests don't evict the events of a change.  The events
+of ordinary requests are kept only for a sample of the requests.  A hash of the request's identifier
+selects the sample, so every VM keeps or skips the same requests.  Events of failures, changes and
+members are always kept, regardless of the sample.
 
 >>> line = TimeLine("vm-1")
 >>> line.add(1_000.0, EventName.MEMBER_JOINED, detail="vm-2")
@@ -31,17 +32,17 @@
 
 
 class EventName(StrEnum):
-    """What can happen, as the time line names it.
+    """The kinds of events on the time line.
 
-    `of_request` tells the events of requests from all others, and `sampled` those of them that
-    are kept for a sample of the requests only.
+    `of_request` is whether it is an event of a request, and `sampled` whether it is kept only for a
+    sample of the requests.
     """
 
     of_request: bool
     sampled: bool
 
     def __new__(cls, value: str, of_request: bool = False, sampled: bool = False) -> "EventName":
-        """Return a member; its attributes are cheaper to ask than a set of members."""
+        """Return a member; reading its attributes is cheaper than a look-up in a set of members."""
         member = str.__new__(cls, value)
         member._value_ = value
         member.of_request = of_request
@@ -72,26 +73,29 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Stamp:
-    """A point on the hybrid logical clock."""
+    """A time of the hybrid logical clock."""
 
     wall_us: int
     counter: int
 
 
 class HybridClock:
-    """The hybrid logical clock of one process: later stamps are greater, also across processes."""
+    """The hybrid logical clock of one process.
+
+    Later stamps are greater, also across processes that exchange stamps.
+    """
 
     def __init__(self) -> None:
         self._wall_us = 0
         self._counter = 0
 
     def next_stamp(self, wall_ms: float) -> Stamp:
-        """Return a stamp later than all that this process has given or witnessed."""
+        """Return a stamp that is greater than all stamps this process has issued or received."""
         self.advance_by_wall(wall_ms)
         return Stamp(self._wall_us, self._counter)
 
     def advance_by_wall(self, wall_ms: float) -> tuple[int, int]:
-        """Do as `stamp` does, without an object, for the path of each request."""
+        """Do as `next_stamp` does but create no object, since this runs for every request."""
         wall_us = int(wall_ms * 1000)
         if wall_us > self._wall_us:
             self._wall_us = wall_us
@@ -101,7 +105,7 @@
         return self._wall_us, self._counter
 
     def advance_past(self, stamp: Stamp) -> None:
-        """Take a stamp that came with a message: later stamps of this process stand after it."""
+        """Advance the clock to a received stamp, so that this process's next stamps are greater."""
         if (stamp.wall_us, stamp.counter) > (self._wall_us, self._counter):
             self._wall_us = stamp.wall_us
             self._counter = stamp.counter
@@ -109,9 +113,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TimeLineEvent:
-    """Something that happened: `name` says what, and the identifiers say to whom.
+    """An event: `name` is its kind, and the identifiers name what it concerns.
 
-    `sequence` counts the events of the process; `wall_ms` is its own wall clock.
+    `sequence` is the event's number in its process, and `wall_ms` the process's wall clock.
     """
 
     stamp: Stamp
@@ -140,7 +144,7 @@
 
     @classmethod
     def from_document(cls, document: dict[str, Any]) -> "TimeLineEvent":
-        """Return the event for the object that `to_document` gave.
+        """Return the event for an object that `to_document` returned.
 
         Raises `KeyError`, `TypeError` or `ValueError` for anything else.
         """
@@ -155,9 +159,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EventPage:
-    """Events in the order of their sequence.
+    """Events in the order of their sequence numbers.
 
-    `after` is where the next page starts, and `last` the newest sequence there is.
+    The next page starts after the sequence number `after`; `last` is the newest sequence number.
     """
 
     events: tuple[TimeLineEvent, ...]
@@ -188,7 +192,7 @@
 
     @property
     def dropped(self) -> int:
-        """The number of events that newer ones have pushed out."""
+        """The number of events that newer ones have evicted."""
         return self._of_requests.dropped + self._others.dropped
 
     def add(
@@ -201,7 +205,7 @@
         change_id: str = "",
         detail: str = "",
     ) -> None:
-        """Add an event that happened now."""
+        """Add an event that happens now; it is skipped if its request is outside the sample."""
         if name.sampled and not self.is_sampled(request_id):
             self.skipped += 1
             return
@@ -211,7 +215,7 @@
         ring.append((self._sequence, stamp, wall_ms, name, request_id, address, change_id, detail))
 
     def is_sampled(self, request_id: str) -> bool:
-        """Return whether the ordinary events of a request are kept, the same on every VM."""
+        """Return whether the ordinary events of a request are kept; it is the same on every VM."""
         return zlib.crc32(request_id.encode()) < self._sample_below
 
     def page(
@@ -222,10 +226,10 @@
         address: str = "",
         change_id: str = "",
     ) -> EventPage:
-        """Return kept events whose sequence is greater than `after`.
+        """Return the kept events with a sequence number greater than `after`.
 
-        An identifier that is given keeps only the events that carry it.  A page looks at no more
-        than `limit` events, so that a reader does not hold requests up.
+        If an identifier is given, only the events that have it are returned.  A page scans at most
+        `limit` events, so that reading the time line does not delay requests.
         """
         first_request = self._of_requests.position_after(after)
         first_other = self._others.position_after(after)
@@ -245,7 +249,7 @@
         return EventPage(wanted, next_after, self._sequence)
 
     def events(self) -> tuple[TimeLineEvent, ...]:
-        """Return all events kept, oldest first."""
+        """Return all kept events, oldest first."""
         return self.page(limit=max(1, self._sequence)).events
 
     def _event(self, entry: tuple) -> TimeLineEvent:
@@ -254,7 +258,7 @@
 
 
 class _Ring:
-    """The newest entries, each a tuple that starts with a growing sequence number."""
+    """A ring buffer of the newest entries: tuples that start with an increasing sequence number."""
 
     def __init__(self, size: int) -> None:
         self._size = size
@@ -270,7 +274,7 @@
         self._appended += 1
 
     def position_after(self, sequence: int) -> int:
-        """Return the position of the first entry with a greater sequence, by bisection."""
+        """Return the position of the first entry with a greater sequence number, by bisection."""
         low, high = self.dropped, self._appended
         while low < high:
             middle = (low + high) // 2
