--- a/cloverhook/logs.py
+++ b/cloverhook/logs.py
@@ -1,7 +1,8 @@
-"""The form of the log: text as absl writes it, or one JSON object on a line.
+"""The log format: text as absl writes it, or one JSON object per line.
 
-Layer: state.  Every log message is a short sentence after the fixed prefix of its part, such as
-"peering: refused a stranger: a wrong proof."  The JSON form gives the prefix as `part`.
+Layer: state.  Every log message is a short sentence after a fixed prefix that names the part of the
+daemon, such as "peering: authentication of a peer failed."  The JSON format gives the prefix as
+`part`.
 """
 
 import json
@@ -18,14 +19,14 @@
 
 
 class JsonFormatter(std_logging.Formatter):
-    """Writes a log record as one JSON object on one line."""
+    """Formats a log record as a JSON object on one line."""
 
     def __init__(self, vm: str) -> None:
         super().__init__()
         self._vm = vm
 
     def format(self, record: std_logging.LogRecord) -> str:
-        """Return the line for a record."""
+        """Return a record's line.  The part is "other" if the message has no prefix."""
         message = record.getMessage()
         part, colon, sentence = message.partition(": ")
         has_part = bool(colon) and part.isidentifier()
@@ -42,7 +43,7 @@
 
 
 def configure_logs(log_format: str, vm: str) -> None:
-    """Put a form of the log in force.  Raises `SettingsError` for one that is not known."""
+    """Set the log format.  Raises `SettingsError` if it is unknown."""
     if log_format not in LOG_FORMATS:
         allowed = f"one of: {', '.join(LOG_FORMATS)}"
         raise SettingsError((Fault("log_format", repr(log_format), allowed),))
--- a/cloverhook/metrics.py
+++ b/cloverhook/metrics.py
@@ -1,8 +1,8 @@
-"""Every metric of a daemon, declared in one place with its help text and unit.
+"""Declares all metrics of a daemon in one place, with help texts and units, and renders them.
 
-Layer: state.  The parts of a daemon keep plain counts.  A `MetricsPage` reads them from its sources
-when it is asked for the page and hands them to the metrics library, since a call of that library
-for each request would cost more than the request's own bookkeeping.
+Layer: state.  The modules of a daemon keep plain counts.  A `MetricsPage` collects them from its
+sources only when it renders the page and passes them to the metrics library then, because calling
+that library for each request would cost more than the request's own bookkeeping.
 
 >>> page = MetricsPage()
 >>> page.add_source(lambda: [Sample(Metric.MEMBERS, 3)])
@@ -25,7 +25,7 @@
 
 
 class MetricKind(Enum):
-    """The kinds of metrics in use."""
+    """The kinds of metrics that a daemon has."""
 
     COUNTER = "counter"
     GAUGE = "gauge"
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricSpec:
-    """A metric: its name, what it says, its unit and the names of its labels."""
+    """A metric: its name, kind, help text, unit and the names of its labels."""
 
     name: str
     kind: MetricKind
@@ -175,13 +175,13 @@
 
     @property
     def spec(self) -> MetricSpec:
-        """What the metric is."""
+        """The metric's specification."""
         return self.value
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """The present value of one series; `labels` are in the order of the metric's label names."""
+    """The current value of a series; `labels` are in the order of the metric's label names."""
 
     metric: Metric
     value: float | HistogramCounts
@@ -192,18 +192,18 @@
 
 
 class MetricsPage:
-    """The page at /metrics.  At most `series_limit` series of a metric are shown."""
+    """The page at /metrics.  It has at most `series_limit` series of each metric."""
 
     def __init__(self, series_limit: int = SERIES_LIMIT) -> None:
         self._series_limit = series_limit
         self._sources: list[Source] = []
 
     def add_source(self, source: Source) -> None:
-        """Add a function that returns samples when the page is asked for."""
+        """Add a function that returns samples; it is called for each rendering of the page."""
         self._sources.append(source)
 
     def render(self, accept: str) -> tuple[bytes, dict[str, str]]:
-        """Return the page and its headers in the best format that `accept` allows."""
+        """Return the page and its HTTP headers, in the best format that `accept` allows."""
         registry = Registry()
         collectors = {metric: _collector(metric.spec, registry) for metric in Metric}
         dropped = 0
@@ -228,7 +228,7 @@
 
 
 def _escaped(value: str) -> str:
-    """Escape a label's value, which the library writes as it is."""
+    """Escape a label's value, which the library writes without escaping it."""
     return value.replace("\\", r"\\").replace('"', r"\"").replace("\n", r"\n")
 
 
--- a/cloverhook/observed_app.py
+++ b/cloverhook/observed_app.py
@@ -1,8 +1,8 @@
-"""Watches the callers' listener from outside: the events and counts of every request.
+"""Records the time line events and the counts of every request to the callers' listener.
 
 Layer: transport.  `ObservedApp` wraps an ASGI application and puts an `Observation` into each
-request's scope.  The application writes into it what only it knows: the identifier, the service,
-the error kind and the time of its attempts.
+request's scope.  The application adds what only it knows: the identifier, the service, the error
+kind and the time of its attempts.
 """
 
 from collections.abc import Awaitable, Callable
@@ -28,7 +28,10 @@
 
 @dataclass(slots=True)
 class Observation:
-    """What is known about one request; `upstream_ms` is the time that its attempts took."""
+    """The facts about one request; `upstream_ms` is the total time of its attempts.
+
+    `complete` is whether the whole answer was sent.
+    """
 
     request_id: str = ""
     brand: str = NO_BRAND
@@ -42,11 +45,11 @@
 
     @classmethod
     def from_scope(cls, scope: dict[str, Any]) -> "Observation":
-        """Return the observation in a request's scope, or a new one that nobody reads."""
+        """Return the observation in a request's scope, or a new, unused one if there is none."""
         return scope.get(OBSERVATION) or cls()
 
     def record_head(self, message: Message) -> None:
-        """Take the head of the answer; the last outcome header in it is this daemon's own."""
+        """Record the head of the answer; its last outcome header is the one of this daemon."""
         self.status = message["status"]
         for name, value in reversed(message["headers"]):
             if name == h.OUTCOME:
@@ -55,13 +58,13 @@
         self.outcome = Outcome.RAN.value
 
     def record_attempt(self, latency_ms: float) -> None:
-        """Add an attempt that took `latency_ms`."""
+        """Record an attempt and its latency."""
         self.upstream_ms += latency_ms
         self.attempts += 1
 
 
 class ObservedApp:
-    """An ASGI application whose requests are counted and put on the time line."""
+    """An ASGI application that counts its requests and adds them to the time line."""
 
     def __init__(
         self,
@@ -73,7 +76,7 @@
         self._time_line = observer.time_line
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
-        """Serve one request by the application inside."""
+        """Serve a request with the wrapped application."""
         started_ms = monotonic_ms()
         scope[OBSERVATION] = observation = Observation()
         self._stats.in_flight += 1
--- a/cloverhook/observer.py
+++ b/cloverhook/observer.py
@@ -1,7 +1,7 @@
-"""What a daemon shows of itself: its part of the time line, its counts and its metrics page.
+"""Observability of a daemon: its part of the time line, its counts and its metrics page.
 
-Layer: coordination.  The daemon tells its `Observer` what happens, once for each fact; the observer
-keeps the events and counts, and gathers samples of the other parts when metrics are asked for.
+Layer: coordination.  The daemon reports each fact to its `Observer` once.  The observer keeps the
+events and counts, and collects the samples of the other modules when the metrics page is requested.
 """
 
 from collections.abc import Iterable, Mapping
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class ProbeCounts:
-    """The probes of one service's endpoints by this daemon."""
+    """The probes that this daemon made of one service's endpoints."""
 
     count: int = 0
     spent_ms: float = 0.0
@@ -38,7 +38,7 @@
 class Observer:
     """The events and counts of one daemon.
 
-    `records_from` says where the records come from that are folded now: the log or a peer.
+    `records_source` is the source of the records that are being folded: the log or a peer's VM.
     """
 
     def __init__(self, settings: DaemonSettings) -> None:
@@ -60,15 +60,15 @@
 
     @property
     def log_age_ms(self) -> float:
-        """How long ago the platform's log answered."""
+        """The time since the platform's log last answered."""
         return monotonic_ms() - self._log_answered_ms
 
     def note(self, name: EventName, detail: str = "", change_id: str = "") -> None:
-        """Put an event that concerns no request on the time line."""
+        """Add an event that concerns no request to the time line."""
         self.time_line.add(wall_ms(), name, change_id=change_id, detail=detail)
 
     def record_change(self, change: Change, result: FoldResult) -> None:
-        """Note a change of the configuration and what became of it."""
+        """Record a change of the configuration and whether it was accepted."""
         accepted = result.verdict is Verdict.ACCEPTED
         name = EventName.CHANGE_ACCEPTED if accepted else EventName.CHANGE_REJECTED
         detail = f"{change.brand}: {result.verdict.value} {result.reason}".strip()
@@ -76,7 +76,7 @@
         self.note(name, detail, change.change_id)
 
     def record_log_read(self, answered: bool) -> None:
-        """Note whether the platform's log has answered."""
+        """Record whether the platform's log answered, with an event when that changes."""
         if answered:
             self._log_answered_ms = monotonic_ms()
         if answered == self._log_unavailable:
@@ -84,7 +84,7 @@
             self.note(EventName.LOG_BACK if answered else EventName.LOG_SILENT)
 
     def record_members(self, version: int, members: Iterable[Member]) -> None:
-        """Note which daemons have come, gone or fallen silent, if the version is a new one."""
+        """Record which daemons joined, left, are suspected or lost, if `version` is new."""
         if version == self._members_version:
             return
         self._members_version = version
@@ -92,7 +92,7 @@
             self.note(change.name, change.vm)
 
     def record_endpoint_state(self, address: str, probation_reason: int) -> None:
-        """Note what is wrong with an endpoint, if that has changed."""
+        """Record the number of an endpoint's `ProbationReason`, if it has changed."""
         if self._probation_reasons.get(address, 0) != probation_reason:
             self._probation_reasons[address] = probation_reason
             now_ms = wall_ms()
@@ -100,22 +100,22 @@
             self.time_line.add(now_ms, EventName.ENDPOINT_STATE, address=address, detail=detail)
 
     def record_probe(self, target: Target, latency_ms: float) -> None:
-        """Count a probe and the time it took."""
+        """Count a completed probe and its latency."""
         probes = self._probes.setdefault(target.key, ProbeCounts())
         probes.count += 1
         probes.spent_ms += latency_ms
         probes.budget_ms_per_s = target.policy.measuring_ms_per_s
 
     def record_loop_lag(self, due_ms: float) -> None:
-        """Count how late a timer is that was due at a point of the monotonic clock."""
+        """Record how late a timer ran that was due at `due_ms` of the monotonic clock."""
         self._loop_lag_ms.add(monotonic_ms() - due_ms)
 
     def record_rejected_operator(self) -> None:
-        """Count a call of the operators' listener without the token."""
+        """Count a call to the operators' listener without a valid token."""
         self._rejected_operator_calls += 1
 
     def add_metrics_source(self, source: Source) -> None:
-        """Add a part's samples to the metrics page."""
+        """Add the samples of another module to the metrics page."""
         self.metrics.add_source(source)
 
     def page(
--- a/cloverhook/operator_app.py
+++ b/cloverhook/operator_app.py
@@ -1,6 +1,6 @@
-"""The operators' listener of a daemon: status, time line, metrics, health and readiness.
+"""The operators' listener of a daemon: status, time line, drain, metrics, health and readiness.
 
-Layer: transport.  Everything but health and readiness takes the operators' token.
+Layer: transport.  All paths except health and readiness require the operators' token.
 """
 
 import hmac
@@ -17,7 +17,7 @@
 
 
 class DaemonView(Protocol):
-    """What the operators' listener shows of a daemon."""
+    """The daemon as the operators' listener sees it."""
 
     def status(self) -> dict[str, Any]:
         """Return this daemon's status."""
@@ -28,10 +28,10 @@
         """Return a page of this daemon's part of the time line."""
 
     def ready(self) -> bool:
-        """Return whether the daemon has a configuration and takes requests."""
+        """Return whether the daemon has a configuration and accepts requests."""
 
     def drain(self) -> None:
-        """Begin a planned stop."""
+        """Start a planned shutdown."""
 
 
 class _Status:
@@ -103,7 +103,7 @@
 
 
 class _TokenCheck:
-    """Refuses and counts requests without the operators' token."""
+    """Rejects requests without the operators' token and reports each to `on_refused`."""
 
     def __init__(self, token: bytes, on_refused: Callable[[], None]) -> None:
         self._expected = b"Bearer " + token
@@ -127,7 +127,7 @@
 def _write_error(
     request: falcon.asgi.Request, response: falcon.asgi.Response, error: falcon.HTTPError
 ) -> None:
-    """Answer an error as the callers' listener does: a JSON object with `error` and `detail`."""
+    """Write an error as the callers' listener does: a JSON object with `error` and `detail`."""
     kind = (error.title or "error").lower().replace(" ", "-")
     response.media = {"error": kind, "detail": error.description or ""}
 
@@ -135,7 +135,10 @@
 def operator_app(
     view: DaemonView, metrics: MetricsPage, token: bytes, on_refused: Callable[[], None]
 ) -> falcon.asgi.App:
-    """Return the falcon application of the operators' listener."""
+    """Return the ASGI application of the operators' listener.
+
+    `on_refused` is called for each request without the token.
+    """
     app = falcon.asgi.App(middleware=[_TokenCheck(token, on_refused)])
     app.set_error_serializer(_write_error)
     app.add_route("/v1/status", _Status(view))
--- a/cloverhook/operator_client.py
+++ b/cloverhook/operator_client.py
@@ -1,4 +1,4 @@
-"""Calls the operators' listeners of daemons: status, drain, and who has a version.
+"""Calls the operators' listeners of daemons: status, drain, and waiting for a version.
 
 Layer: transport.
 """
@@ -20,7 +20,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ApplyStatus:
-    """Which daemons have a change in force: the operators' addresses and why not the others."""
+    """Which daemons have applied a change, by their operators' addresses.
+
+    `not_applied` gives the reason for each of the others.
+    """
 
     applied: tuple[str, ...]
     not_applied: dict[str, str]
@@ -29,7 +32,7 @@
 async def fetch_statuses(addresses: list[str], token: str) -> dict[str, Status]:
     """Return the status of each daemon by its operators' address.
 
-    The status of a daemon that gives no answer holds an `error`.
+    The status of a daemon that does not answer holds only an `error`.
     """
     async with _session(token) as session:
         found = await asyncio.gather(*(_status(session, address) for address in addresses))
@@ -37,7 +40,7 @@
 
 
 async def drain(address: str, token: str) -> Status:
-    """Begin a planned stop of a daemon; the answer holds an `error` when there was none."""
+    """Start a planned shutdown of a daemon; without an answer, the result holds an `error`."""
     async with _session(token) as session:
         return await _call(session, "POST", f"http://{address}/v1/drain")
 
@@ -45,7 +48,7 @@
 async def wait_applied(
     addresses: list[str], token: str, brand: str, version: int, wait_ms: float
 ) -> ApplyStatus:
-    """Wait until every daemon has a version of a brand, or the time is up."""
+    """Wait until every daemon has applied a version of a brand, at most `wait_ms`."""
     deadline = time.monotonic() + wait_ms / 1000
     while True:
         found = await fetch_statuses(addresses, token)
--- a/cloverhook/platform_api.py
+++ b/cloverhook/platform_api.py
@@ -1,11 +1,11 @@
-"""The platform behind one narrow interface: append, read from an offset, list the VMs.
+"""The interface to the platform: append a record, read from an offset, list the VMs.
 
-Layer: protocol.  `Platform` is all that the rest of the package knows of the platform.
+Layer: protocol.  The rest of the package uses the platform only through `Platform`.
 `MemoryPlatform` keeps everything in this process, for tests and stand-ins; the module
-`platform_http` holds the client that speaks HTTP and JSON.
+`platform_http` has the client for HTTP and JSON.
 
-Of the errors, `PlatformError` says that the call had no effect, and `PlatformSilentError` that
-nobody can tell.
+A call that raises `PlatformError` had no effect; after `PlatformSilentError` it is unknown whether
+the call had its effect.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 
 class VmPhase(Enum):
-    """What the platform's list says of a VM."""
+    """The state of a VM in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedVm:
-    """A VM in the platform's list, which lags behind what is true."""
+    """A VM in the platform's list, which lags behind the actual state."""
 
     vm: str
     phase: VmPhase
@@ -42,8 +42,8 @@
 class LogSlice:
     """Records read from a stream.
 
-    `first_offset` is the oldest offset that the log still keeps, and `next_offset` is the offset
-    that the next append will get.  `records` starts at `from_offset`.
+    `first_offset` is the oldest offset that the log still has, and `next_offset` is the offset that
+    the next append will get.  `records` starts at `from_offset`.
     """
 
     first_offset: int
@@ -53,23 +53,23 @@
 
 
 class Platform(Protocol):
-    """What the project needs of the platform."""
+    """The operations of the platform that the project uses."""
 
     async def append(self, stream: str, record: Mapping[str, Any]) -> int:
         """Append a record and return its offset."""
 
     async def read(self, stream: str, from_offset: int, wait_ms: float = 0) -> LogSlice:
-        """Read records from an offset; with nothing there, wait up to `wait_ms` for one."""
+        """Read records from an offset; if there is none yet, wait up to `wait_ms` for one."""
 
     async def list_vms(self) -> tuple[ListedVm, ...]:
         """Return the platform's list of VMs."""
 
     async def close(self) -> None:
-        """Release what the client holds."""
+        """Release the client's resources."""
 
 
 class MemoryPlatform:
-    """A platform in this process."""
+    """An in-memory implementation of `Platform`."""
 
     def __init__(self) -> None:
         self.streams: dict[str, list[Mapping[str, Any]]] = {}
@@ -86,7 +86,7 @@
             return self.first_offsets.get(stream, 0) + len(records) - 1
 
     async def read(self, stream: str, from_offset: int, wait_ms: float = 0) -> LogSlice:
-        """Read records from an offset."""
+        """Read records from an offset, at most `MAX_RECORDS_READ`."""
         if wait_ms and self._next_offset(stream) <= from_offset:
             await self._wait(stream, from_offset, wait_ms)
         first = self.first_offsets.get(stream, 0)
@@ -100,7 +100,7 @@
         return self.vms
 
     async def close(self) -> None:
-        """Do nothing: there is nothing to release."""
+        """Do nothing: there are no resources to release."""
 
     def truncate(self, stream: str, first_offset: int) -> None:
         """Drop the records before an offset, as the platform's retention does."""
--- a/cloverhook/platform_http.py
+++ b/cloverhook/platform_http.py
@@ -1,7 +1,7 @@
-"""The platform over HTTP and JSON.
+"""The client of the platform's HTTP and JSON interface.
 
-Layer: transport.  An answer from 400 to 499 says that the call had no effect.  After any other
-failure but a connection that was never made, the call may have had its effect.
+Layer: transport.  A call had no effect if the status is 400 to 499 or if the connection could not
+be opened.  After any other failure, the call may have had its effect.
 """
 
 from collections.abc import Callable, Mapping
@@ -21,7 +21,7 @@
 
 
 class HttpPlatform:
-    """The platform over HTTP and JSON."""
+    """An implementation of `Platform` over HTTP and JSON."""
 
     def __init__(self, base_url: str, timeout_ms: float = 2_000) -> None:
         self._base_url = base_url.rstrip("/")
@@ -34,7 +34,7 @@
         return await self._call("POST", path, self._timeout_ms, _offset, json=record)
 
     async def read(self, stream: str, from_offset: int, wait_ms: float = 0) -> LogSlice:
-        """Read records from an offset; with nothing there, wait up to `wait_ms` for one."""
+        """Read records from an offset; if there is none yet, wait up to `wait_ms` for one."""
         path = f"/v1/streams/{stream}/records"
         params = {"from": str(from_offset), "wait_ms": str(int(wait_ms))}
         return await self._call("GET", path, self._timeout_ms + wait_ms, _slice, params=params)
--- a/cloverhook/porcelain.py
+++ b/cloverhook/porcelain.py
@@ -1,8 +1,8 @@
-"""What operators do to the configuration, as functions: check, publish, switch, settle, history.
+"""The operators' actions on the configuration: check, publish, switch, settle, history.
 
-Layer: transport.  The command-line tool is a thin layer over this module, and other programs may
-use it in the same way.  A change's identifier is chosen before the first append; when the log
-gives no answer, the identifier is looked for before the change is appended again.
+Layer: transport.  The command-line tool is a thin layer over these functions, and other programs
+may use them in the same way.  A change gets its identifier before the first append.  If the log
+does not answer, the identifier is looked up in the log before the change is appended again.
 """
 
 import asyncio
@@ -52,9 +52,9 @@
 
 
 class Settlement(Enum):
-    """What became of a change.
+    """The outcome of a change.
 
-    A rejected change is in the log and lost; a refused one never got there.
+    A rejected change is in the log but has no effect; a refused change was not appended to the log.
     """
 
     ACCEPTED = "accepted"
@@ -65,10 +65,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeResult:
-    """What became of a change, with its identifier and the reason.
+    """The outcome of a change, with its identifier and the reason.
 
-    `version` is the brand's version that an accepted change made.  For a change that lost against
-    another, `winner` names that one and `differences` tells what is in force in its place.
+    `version` is the brand's version that an accepted change created.  If a change was rejected in
+    favour of another, `winner` describes the other one, and `differences` lists how what is in
+    force differs from the rejected change.
     """
 
     settlement: Settlement
@@ -82,10 +83,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Operator:
-    """Who makes changes, and the least versions that are known to be in force by brand.
+    """The author of changes, and the newest version of each brand that is known to be in force.
 
-    The versions that daemons report guard against a log that has lost records: a change that
-    builds on less is not sent.
+    The versions are those that daemons report.  They protect against a log that has lost records: a
+    change that is based on an older version is not sent.
     """
 
     name: str
@@ -93,7 +94,7 @@
 
 
 def load(path: str) -> dict[str, Any]:
-    """Return a TOML file's document.  Raises `ConfigError` when it can't be read."""
+    """Return the document of a TOML file.  Raises `ConfigError` if it can't be read."""
     return read_toml(path, ConfigError)
 
 
@@ -106,20 +107,20 @@
 
 
 def diff(state: State, document: Mapping[str, Any]) -> tuple[Difference, ...]:
-    """Return what differs between what is in force for a brand and a document."""
+    """Return the differences between what is in force for a document's brand and the document."""
     current = state.brands.get(document.get("brand", ""))
     return differences(current.document if current else {}, document)
 
 
 async def read_state(platform: Platform) -> State:
-    """Return the state that the log's records fold to.  Raises `PlatformError`."""
+    """Return the state that results from the log's records.  Raises `PlatformError`."""
     reader = LogReader(platform)
     await reader.read_to_end()
     return reader.state
 
 
 async def history(platform: Platform) -> tuple[ChangeOutcome, ...]:
-    """Return the changes that the log still holds and what became of each."""
+    """Return the changes that the log still has, with their outcomes."""
     reader = LogReader(platform)
     await reader.read_to_end()
     return reader.change_outcomes()
@@ -128,7 +129,7 @@
 async def publish(
     platform: Platform, document: Mapping[str, Any], operator: Operator
 ) -> ChangeResult:
-    """Publish a brand's document.  Raises `ConfigError` before anything is sent."""
+    """Publish a brand's document.  Raises `ConfigError`, before sending, if it is invalid."""
     brand = Brand.from_document(document)
     return await _change(platform, brand.name, operator, lambda state: Publish(document))
 
@@ -151,10 +152,10 @@
     operator: Operator,
     change: Callable[[Mapping[str, Any]], Mapping[str, Any]],
 ) -> ChangeResult:
-    """Change the document in force of a brand and publish it on the version that was read.
+    """Edit the document in force for a brand and publish it, based on the version that was read.
 
-    Raises `ConfigError` before anything is sent when the brand is not in force or the changed
-    document is not valid.
+    Raises `ConfigError`, before anything is sent, if the brand is not in force or the edited
+    document is invalid.
     """
 
     def publication(state: State) -> Publish:
@@ -168,7 +169,7 @@
 
 
 async def settle(platform: Platform, change_id: str) -> ChangeResult:
-    """Tell what became of a change whose answer was lost."""
+    """Return the outcome of a change whose answer was lost."""
     reader = LogReader(platform)
     try:
         return await _find_result(reader, change_id)
@@ -187,7 +188,7 @@
         return ChangeResult(Settlement.REFUSED, change_id, str(error))
     version = reader.state.version_of(brand)
     if version < operator.known_versions.get(brand, 0):
-        reason = "the log has lost records: daemons have a newer version; try again soon"
+        reason = "the log has lost records: daemons have a newer version; try again later"
         return ChangeResult(Settlement.REFUSED, change_id, reason)
     chosen = action(reader.state)
     change = Change(change_id, brand, version, operator.name, chosen, int(time.time() * 1000))
@@ -199,7 +200,7 @@
 
 
 async def _append(platform: Platform, reader: LogReader, change: Change) -> ChangeResult:
-    """Append a change until the log shows it, a few times at most."""
+    """Append a change and search the log for it, at most `APPEND_ATTEMPTS` times."""
     for attempt in range(APPEND_ATTEMPTS):
         try:
             await platform.append(CONFIG_STREAM, encode_record(change))
@@ -218,7 +219,7 @@
 
 
 async def _find_result(reader: LogReader, change_id: str) -> ChangeResult:
-    """Look for a change in the log, a few times.  Raises `PlatformError` when the last fails."""
+    """Search the log for a change, a few times.  Raises `PlatformError` if the last read fails."""
     for attempt in range(SEARCH_ATTEMPTS):
         await asyncio.sleep(SEARCH_BACKOFF_MS * attempt / 1000)
         try:
@@ -266,7 +267,7 @@
 
 
 def _lost_differences(state: State, change: Change) -> tuple[Difference, ...]:
-    """Return what is in force against what a change that lost wanted."""
+    """Return the differences between what is in force and what a rejected change would set."""
     current = state.brands.get(change.brand)
     if current is None:
         return ()
--- a/cloverhook/settings.py
+++ b/cloverhook/settings.py
@@ -1,8 +1,8 @@
-"""A daemon's settings: a TOML file, checked whole.
+"""A daemon's settings, read from a TOML file and validated.
 
-Layer: state.  All faults are reported at once, each with its key, what was found and what is
-allowed. Secrets never stand in the settings: a setting names the file or the environment
-variable that holds one.
+Layer: state.  All faults are reported at once, each with its key, the value found and what is
+allowed.  The settings never contain secrets: a secret is in a file that a setting names, or in an
+environment variable.
 """
 
 import os
@@ -35,15 +35,16 @@
 
 @dataclass(frozen=True, slots=True)
 class DaemonSettings:
-    """What a daemon has to know before it starts.
+    """The settings that a daemon needs before it starts.
 
-    Addresses are `ip:port`; port 0 takes any free one.  A secret is read from the file that
+    Addresses are `ip:port`; port 0 means any free port.  A secret is read from the file that
     `peer_key_file` or `operator_token_file` names, or else from the environment variable
     `CLOVERHOOK_PEER_KEY` or `CLOVERHOOK_OPERATOR_TOKEN`.
 
-    `drain_ms` bounds how long a planned stop goes on taking requests; requests still in flight
-    `drain_in_flight_ms` after that are reported, and not cut.  `peer_addresses` names peers,
-    divided by commas, for a start at which the platform's list can't be read.
+    `drain_ms` limits how long requests are still accepted during a planned shutdown.  Requests that
+    are still in flight `drain_in_flight_ms` after that are reported but not cut off.
+    `peer_addresses` lists peers, separated by commas, for starts at which the platform's list can't
+    be read.
     """
 
     vm: str = kind_field(NAME)
@@ -89,11 +90,11 @@
         return cls(**document)
 
     def peer_key(self) -> bytes:
-        """Return the key that daemons share.  Raises `SettingsError` when there is none."""
+        """Return the key that all daemons share.  Raises `SettingsError` if there is none."""
         return _secret(self.peer_key_file, "CLOVERHOOK_PEER_KEY", "peer_key_file")
 
     def operator_token(self) -> bytes:
-        """Return the operators' token.  Raises `SettingsError` when there is none."""
+        """Return the operators' token.  Raises `SettingsError` if there is none."""
         return _secret(self.operator_token_file, "CLOVERHOOK_OPERATOR_TOKEN", "operator_token_file")
 
 
