--- a/cloverhook/caller_app.py
+++ b/cloverhook/caller_app.py
@@ -63,7 +63,7 @@
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send) -> None:
         """Serve one request."""
-        observation = Observation.of(scope)
+        observation = Observation.from_scope(scope)
         observation.request_id = request_id = self._assign_id(scope["headers"])
         self._note(EventName.REQUEST_ARRIVED, request_id, detail=scope["method"])
         try:
@@ -223,7 +223,7 @@
                 will_retry,
                 is_server_draining,
             )
-            exchange.observation.attempt_ended(latency_ms)
+            exchange.observation.record_attempt(latency_ms)
             self._note_attempt(ended)
             if not will_retry:
                 self._dispatcher.record_attempt_end(exchange.target, ended, self._clock_ms())
--- a/cloverhook/cli.py
+++ b/cloverhook/cli.py
@@ -1,4 +1,4 @@
-"""The command-line tool for operators: flags, dispatch to a command, output and exit code.
+"""The operators' command-line tool: parses flags, runs a command, prints its output and exits.
 
 Layer: transport.
 """
@@ -27,7 +27,7 @@
     for command in (*CONFIG_COMMANDS, *FLEET_COMMANDS, *EVENTS_COMMANDS, *EXPLAIN_COMMANDS)
 }
 HELP_FLAGS = frozenset(("--help", "-help", "-h"))
-OWN_FLAGS = (
+TOOL_FLAGS = (
     "settings",
     "platform",
     "daemons",
@@ -43,7 +43,7 @@
     "change",
     "trace",
 )
-OPTIONS = OWN_FLAGS[OWN_FLAGS.index("wait") :]
+COMMAND_FLAGS = TOOL_FLAGS[TOOL_FLAGS.index("wait") :]
 
 FLAGS = flags.FLAGS
 flags.DEFINE_string("settings", None, "A TOML file with the tool's settings; flags override it.")
@@ -63,10 +63,10 @@
 
 
 def _find(arguments: list[str]) -> tuple[Command, list[str]]:
-    """Return the command that the arguments name and the rest of them."""
+    """Return the command that the first words name, and the remaining arguments."""
     for words in (min(2, len(arguments)), 1):
         command = COMMANDS.get(" ".join(arguments[:words]))
-        if command is not None and command.takes(len(arguments) - words):
+        if command is not None and command.accepts_count(len(arguments) - words):
             return command, arguments[words:]
         if command is not None:
             raise UsageError(f"usage: {command.usage}")
@@ -74,7 +74,10 @@
 
 
 def _settings() -> ToolSettings:
-    """Return the settings of the file with those of the flags over them."""
+    """Return the settings of the file, overridden by those given as flags.
+
+    The operator defaults to the login name.
+    """
     settings = ToolSettings.from_file(FLAGS.settings) if FLAGS.settings else ToolSettings()
     given = {
         name: FLAGS[name].value
@@ -90,14 +93,14 @@
 async def _run(command: Command, arguments: list[str]) -> Output:
     settings = _settings()
     platform = HttpPlatform(settings.platform)
-    options = {name: FLAGS[name].value for name in OPTIONS}
+    options = {name: FLAGS[name].value for name in COMMAND_FLAGS}
     try:
         return await command.handler(Context(platform, settings, options), arguments)
     finally:
         await platform.close()
 
 
-def _complain(code: ExitCode, reason: str, faults: ConfigError | None = None) -> int:
+def _report_error(code: ExitCode, reason: str, faults: ConfigError | None = None) -> int:
     if FLAGS.output == "json":
         document = {"error": reason}
         if faults is not None:
@@ -119,26 +122,29 @@
         command, rest = _find(words)
         output = asyncio.run(_run(command, rest))
     except UsageError as error:
-        return _complain(ExitCode.USAGE, str(error))
+        return _report_error(ExitCode.USAGE, str(error))
     except SettingsError as error:
-        return _complain(ExitCode.USAGE, f"the settings are not valid:\n{error}", error)
+        return _report_error(ExitCode.USAGE, f"invalid settings:\n{error}", error)
     except ConfigError as error:
-        return _complain(ExitCode.REJECTED, f"not valid:\n{error}", error)
+        return _report_error(ExitCode.REJECTED, f"invalid configuration:\n{error}", error)
     except CloverhookError as error:
-        return _complain(ExitCode.UNAVAILABLE, str(error))
+        return _report_error(ExitCode.UNAVAILABLE, str(error))
     except KeyboardInterrupt:
-        return _complain(ExitCode.INTERRUPTED, "interrupted: nothing was sent")
+        return _report_error(ExitCode.INTERRUPTED, "interrupted: nothing was sent")
     print(output.to_json() if FLAGS.output == "json" else output.text)
     return output.code
 
 
 def run() -> None:
-    """Run the `cloverhook` program."""
+    """Run the `cloverhook` program.
+
+    The help flags print the commands and the tool's own flags.
+    """
     if HELP_FLAGS.intersection(sys.argv[1:]):
         words = [word for word in sys.argv[1:] if not word.startswith("-")]
         print(help_text(COMMANDS, " ".join(words)))
         print("\nFlags:")
-        print("\n".join(f"  --{name:12} {FLAGS[name].help}" for name in OWN_FLAGS))
+        print("\n".join(f"  --{name:12} {FLAGS[name].help}" for name in TOOL_FLAGS))
         sys.exit(ExitCode.OK)
     app.run(_main)
 
--- a/cloverhook/event_reader.py
+++ b/cloverhook/event_reader.py
@@ -1,4 +1,4 @@
-"""Reads the time line of daemons from their operators' listeners, page by page.
+"""Reads the time lines of daemons from their operators' listeners, page by page.
 
 Layer: transport.
 """
@@ -9,7 +9,7 @@
 
 import aiohttp
 
-from cloverhook.event_view import merged
+from cloverhook.event_view import merge_events
 from cloverhook.timeline import TimeLineEvent
 
 __all__ = ["EventFilter", "FoundEvents", "read_events"]
@@ -19,14 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EventFilter:
-    """Which events are wanted; an empty field asks for all."""
+    """Selects events; an empty field matches all."""
 
     request_id: str = ""
     address: str = ""
     change_id: str = ""
 
     def to_query(self) -> dict[str, str]:
-        """Return the filter as parameters of a URL."""
+        """Return the filter as the query parameters of a URL."""
         query = {
             "request": self.request_id,
             "endpoint": self.address,
@@ -35,25 +35,24 @@
         return {key: value for key, value in query.items() if value}
 
 
-EVERYTHING = EventFilter()
+ALL_EVENTS = EventFilter()
 
 
 @dataclass(frozen=True, slots=True)
 class FoundEvents:
-    """Events in causal order, and the daemons whose part is missing, each with the reason."""
+    """Events in causal order, and the daemons whose events are missing, each with the reason."""
 
     events: tuple[TimeLineEvent, ...]
     missing: dict[str, str] = field(default_factory=dict)
 
 
 async def read_events(
-    addresses: Sequence[str], token: str, wanted: EventFilter = EVERYTHING
+    addresses: Sequence[str], token: str, wanted: EventFilter = ALL_EVENTS
 ) -> FoundEvents:
     """Return the merged time line of the daemons at these operators' addresses.
 
-    It ends with the newest event that each daemon had when it was first asked.
-
-    A daemon that gives no usable answer is named in `missing`; nothing is raised for it.
+    It ends with the newest event that each daemon had at the first request.  A daemon that gives no
+    usable answer is listed in `missing`; no exception is raised for it.
     """
     timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_MS / 1000)
     headers = {"Authorization": f"Bearer {token}"}
@@ -71,7 +70,7 @@
             raise part
         else:
             events.extend(part)
-    return FoundEvents(tuple(merged(events)), missing)
+    return FoundEvents(tuple(merge_events(events)), missing)
 
 
 async def _read_all(
--- a/cloverhook/fleet_commands.py
+++ b/cloverhook/fleet_commands.py
@@ -1,4 +1,4 @@
-"""The commands that ask and drive daemons.
+"""The commands that query daemons and drain them.
 
 Layer: transport.
 """
@@ -13,20 +13,20 @@
 
 async def _status(context: Context, arguments: list[str]) -> Output:
     settings = context.settings
-    found = await operator_client.statuses(list(settings.daemons), settings.token())
-    lines = [_line(address, status) for address, status in found.items()]
+    found = await operator_client.fetch_statuses(list(settings.daemons), settings.token())
+    lines = [_status_line(address, status) for address, status in found.items()]
     silent = any("error" in status for status in found.values())
     code = ExitCode.NOT_EVERYWHERE if silent else ExitCode.OK
-    return Output(found, "\n".join(lines) or "no daemon is named: see --daemons", code)
+    return Output(found, "\n".join(lines) or "no daemon is given: see --daemons", code)
 
 
 async def _drain(context: Context, arguments: list[str]) -> Output:
     vm = arguments[0]
     settings = context.settings
-    found = await operator_client.statuses(list(settings.daemons), settings.token())
+    found = await operator_client.fetch_statuses(list(settings.daemons), settings.token())
     addresses = [address for address, status in found.items() if status.get("vm") == vm]
     if not addresses:
-        reason = f"{vm}: no daemon of this name gave an answer"
+        reason = f"{vm}: no daemon with this name answered"
         return Output({"error": reason}, reason, ExitCode.NOT_EVERYWHERE)
     answer = await operator_client.drain(addresses[0], settings.token())
     if "error" in answer:
@@ -35,7 +35,7 @@
     return Output({"vm": vm, **answer}, f"{vm}: draining")
 
 
-def _line(address: str, status: dict[str, Any]) -> str:
+def _status_line(address: str, status: dict[str, Any]) -> str:
     if "error" in status:
         return f"{address}  no answer: {status['error']}"
     brands = ", ".join(
--- a/cloverhook/peering.py
+++ b/cloverhook/peering.py
@@ -165,7 +165,7 @@
         """Return the metrics of links and messages."""
         return [
             Sample(Metric.LINKS, len(self._links)),
-            Sample(Metric.REFUSED_STRANGERS, self.authentication_failures),
+            Sample(Metric.AUTHENTICATION_FAILURES, self.authentication_failures),
             Sample(Metric.DROPPED_MESSAGES, self.dropped_messages),
             Sample(Metric.PEER_MESSAGES, self.sent.messages, ("sent",)),
             Sample(Metric.PEER_MESSAGES, self.received.messages, ("received",)),
@@ -318,14 +318,14 @@
                 if not isinstance(message, MAINTENANCE_MESSAGES):
                     link.used_ms = link.received_ms
                 if self._links.get(vm) is link:
-                    self._hybrid_clock.witness(stamp)
+                    self._hybrid_clock.advance_past(stamp)
                     self._events.message_received(vm, message)
 
     async def _write(self, link: _Link, outbox: Outbox) -> None:
         with contextlib.suppress(websockets.ConnectionClosed):
             while True:
                 message = await outbox.get()
-                data = encode(message, self._hybrid_clock.stamp(wall_ms()))
+                data = encode(message, self._hybrid_clock.next_stamp(wall_ms()))
                 self.sent.add(len(data))
                 await link.connection.send(data)
 
