--- a/bench/added.py
+++ b/bench/added.py
@@ -54,12 +54,12 @@
 async def start_daemon(fleet: Fleet, arguments: Sequence[str] = ()) -> tuple[str, str]:
     """Start an instant backend server and one daemon before it; return both addresses."""
     server = await fleet.start_process("instant", "bench.instant_server")
-    direct = (await server.listening())[0]
+    direct = (await server.wait_until_listening())[0]
     daemon = await fleet.start_daemon("vm-0", "papine", "bench.bench_daemon", arguments)
-    await fleet.list_vms()
+    await fleet.publish_vm_list()
     path = fleet.folder / "brand.toml"
     path.write_text(CONFIG.format(host=HOST, address=direct))
-    code, output, errors = await fleet.tool("publish", str(path))
+    code, output, errors = await fleet.run_tool("publish", str(path))
     if code != 0:
         raise RuntimeError(f"cloverhook publish: exit code {code}: {output}{errors}")
     await wait_until_ready(fleet, "brathwaite")
@@ -73,7 +73,7 @@
         forwarder = await fleet.start_process("forwarder", "bench.forwarder", f"--target={direct}")
         addresses = {
             "direct": direct,
-            "forwarder": (await forwarder.listening())[0],
+            "forwarder": (await forwarder.wait_until_listening())[0],
             "cloverhook": through_daemon,
         }
         refused: Counter[str] = Counter()
--- a/bench/capacity_serving.py
+++ b/bench/capacity_serving.py
@@ -43,7 +43,7 @@
     async with Fleet() as fleet:
         endpoints = await fleet.start_backend("--work_ms=1", "--slots=64", count=4)
         daemon = await fleet.start_daemon("vm-0", "papine", caller_idle_ms=120_000)
-        await fleet.list_vms()
+        await fleet.publish_vm_list()
         await _publish(fleet, endpoints)
         pid = daemon.process.process.pid
         memory = await _memory(pid, daemon.caller_address)
@@ -57,7 +57,7 @@
     path = fleet.folder / "capacity.toml"
     listed = ", ".join(f'"{address}"' for address in endpoints)
     path.write_text(CONFIG.format(host=HOST, endpoints=listed))
-    code, output, errors = await fleet.tool("publish", str(path))
+    code, output, errors = await fleet.run_tool("publish", str(path))
     if code != 0:
         raise RuntimeError(output + errors)
     while "capacity" not in (await fleet.status("vm-0"))["brands"]:
--- a/bench/control_cost.py
+++ b/bench/control_cost.py
@@ -74,7 +74,7 @@
             for index in range(first, min(daemons, first + STARTED_TOGETHER)):
                 center = DATA_CENTERS[index % len(DATA_CENTERS)]
                 group.create_task(fleet.start_daemon(f"vm-{index}", center))
-        await fleet.list_vms()
+        await fleet.publish_vm_list()
 
 
 async def _measure(daemons: int, services: int) -> tuple[object, ...]:
--- a/bench/fleets.py
+++ b/bench/fleets.py
@@ -42,7 +42,7 @@
         cls, fleet: Fleet, file: str, service: str, way: str, daemons: int, work_ms: float
     ) -> "ServiceFleet":
         """Start backend servers and daemons that choose by a way."""
-        deployment = Deployment.from_file(EXAMPLES / file).only(service)
+        deployment = Deployment.from_file(EXAMPLES / file).with_only_service(service)
         if way != "cloverhook":
             deployment = deployment.with_home_vms(daemons)
         centers = deployment.data_centers
@@ -54,9 +54,9 @@
                 group.create_task(
                     fleet.start_daemon(f"vm-{index}", center, BENCH_DAEMON, arguments)
                 )
-        await fleet.list_vms()
+        await fleet.publish_vm_list()
         path = await deployment.start(fleet, f"--work_ms={work_ms}")
-        code, output, errors = await fleet.tool("publish", str(path))
+        code, output, errors = await fleet.run_tool("publish", str(path))
         if code != 0:
             raise RuntimeError(f"cloverhook publish: exit code {code}: {output}{errors}")
         brand = deployment.brand.name
--- a/bench/rolling.py
+++ b/bench/rolling.py
@@ -36,7 +36,7 @@
 
 async def measure_rolling(vms: int, calls_per_s: int) -> bool:
     """Run the replacement and print its figures; return whether the promise holds."""
-    deployment = Deployment.from_file(EXAMPLES / FILE).only(SERVICE)
+    deployment = Deployment.from_file(EXAMPLES / FILE).with_only_service(SERVICE)
     brand = deployment.brand.name
     host = deployment.service(SERVICE).hosts[0]
     centers = deployment.data_centers
@@ -51,9 +51,9 @@
 
     async with Fleet() as fleet:
         await asyncio.gather(*(start(f"vm-{number}") for number in range(vms)))
-        await fleet.list_vms()
+        await fleet.publish_vm_list()
         path = await deployment.start(fleet, f"--work_ms={WORK_MS}")
-        code, output, errors = await fleet.tool("publish", str(path))
+        code, output, errors = await fleet.run_tool("publish", str(path))
         if code != 0:
             raise RuntimeError(f"cloverhook publish: exit code {code}: {output}{errors}")
         await wait_until_ready(fleet, brand)
@@ -64,7 +64,7 @@
         codes = await replace_all(fleet, start, serves)
         print(f"replaced={len(codes)} in {time.monotonic() - started_s:.0f} s", flush=True)
         load.stop()
-        return _conclude(await running, await fleet.ran(), codes)
+        return _conclude(await running, await fleet.run_records(), codes)
 
 
 def _plan(fleet: Fleet, brand: str, host: str, calls_per_s: int) -> LoadPlan:
@@ -74,18 +74,18 @@
 
 
 def _conclude(result: LoadResult, ran: list[RunRecord], codes: list[int]) -> bool:
-    report = invariants.check(ran, result.told)
-    unreached = sum(end.status == 0 and not end.sent for end in result.ends)
-    lost = len(report.lost) + unreached + result.calls - len(result.ends)
+    report = invariants.check(ran, result.request_records)
+    unreached = sum(end.status == 0 and not end.sent for end in result.final_records)
+    lost = len(report.lost) + unreached + result.calls - len(result.final_records)
     outcomes = result.phases[0].outcomes
     print(f"calls={result.calls} outcomes={dict(outcomes)}")
-    print(f"requests={len(result.told)} exit_codes={sorted(set(codes))}")
+    print(f"requests={len(result.request_records)} exit_codes={sorted(set(codes))}")
     print(
         f"lost={lost} doubled={len(report.doubled)} crossed={len(report.crossed)} "
         f"cut={len(report.cut)} false_not_run={len(report.false_not_run)}",
         flush=True,
     )
-    return report.holds and not lost and not any(codes)
+    return report.is_clean and not lost and not any(codes)
 
 
 def _main(arguments: list[str]) -> int:
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -70,7 +70,7 @@
             url = f"http://{self.proxy.address}" if index % 2 else self.fleet.platform_url
             center = DATA_CENTERS[index % 3]
             await self.fleet.start_daemon(f"vm-{index}", center, platform_url=url)
-        await self.fleet.list_vms()
+        await self.fleet.publish_vm_list()
         await self._wait(lambda status: len(status["members"]) == DAEMONS)
 
     async def publish(self, action: Publish | SwitchPreset) -> tuple[str, float]:
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -135,7 +135,7 @@
         spread = "--spread" if way != "cloverhook" else "--nospread"
         told, ends, lag_ms = await running.load(phases, start_ms, "--callers=60", spread)
         await faults
-        report = invariants.check(await fleet.ran(), told)
+        report = invariants.check(await fleet.run_records(), told)
         probes = sum(item["probes"] for item in (await fleet.counts()).values())
         by_step = _by_step(ends, start_ms)
         return WayResult(way, service, by_step, report, probes / len(ends) * 1000, lag_ms)
--- a/cloverhook_emulator/backend_control.py
+++ b/cloverhook_emulator/backend_control.py
@@ -11,14 +11,14 @@
 from cloverhook_emulator.faults import Faults
 from cloverhook_emulator.run_record import RunRecord
 
-__all__ = ["Controlled", "control_app"]
+__all__ = ["ControlledServer", "control_app"]
 
 
-class Controlled(Protocol):
+class ControlledServer(Protocol):
     """What the control port sees of a server."""
 
     faults: Faults
-    ran: list[RunRecord]
+    run_records: list[RunRecord]
 
     def set_faults(self, faults: Faults) -> None:
         """Put other faults in force."""
@@ -27,11 +27,11 @@
         """Return how much the server has done and refused."""
 
 
-class _Servers:
-    def __init__(self, servers: Mapping[str, Controlled]) -> None:
+class _ServerResource:
+    def __init__(self, servers: Mapping[str, ControlledServer]) -> None:
         self._servers = servers
 
-    def named(self, request: falcon.asgi.Request) -> dict[str, Controlled]:
+    def selected(self, request: falcon.asgi.Request) -> dict[str, ControlledServer]:
         """Return the servers that the query names, or all."""
         names = request.get_param_as_list("server", delimiter=",")
         if not names:
@@ -41,18 +41,18 @@
         return {name: self._servers[name] for name in names}
 
 
-class _Control(_Servers):
+class _ControlResource(_ServerResource):
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
         response.media = {
             address: {"faults": asdict(server.faults), "counts": server.counts()}
-            for address, server in self.named(request).items()
+            for address, server in self.selected(request).items()
         }
 
     async def on_put(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
         document = await request.get_media()
-        servers = self.named(request).values()
+        servers = self.selected(request).values()
         try:
-            changes = [(server, server.faults.changed(document)) for server in servers]
+            changes = [(server, server.faults.with_changes(document)) for server in servers]
         except ValueError as error:
             raise falcon.HTTPBadRequest(description=str(error)) from error
         for server, faults in changes:
@@ -60,19 +60,19 @@
         response.media = {"changed": len(changes)}
 
 
-class _Ran(_Servers):
+class _RunRecordsResource(_ServerResource):
     async def on_get(self, request: falcon.asgi.Request, response: falcon.asgi.Response) -> None:
-        servers = self.named(request).values()
+        servers = self.selected(request).values()
         response.media = {
-            "ran": [record.to_document() for server in servers for record in server.ran]
+            "ran": [record.to_document() for server in servers for record in server.run_records]
         }
 
 
-async def control_app(servers: Mapping[str, Controlled], address: str) -> Listener:
+async def control_app(servers: Mapping[str, ControlledServer], address: str) -> Listener:
     """Start the control port for servers by their addresses."""
     application = falcon.asgi.App()
-    application.add_route("/control", _Control(servers))
-    application.add_route("/control/ran", _Ran(servers))
+    application.add_route("/control", _ControlResource(servers))
+    application.add_route("/control/ran", _RunRecordsResource(servers))
     listener = Listener(application, address)
     await listener.start()
     return listener
--- a/cloverhook_emulator/backend_server.py
+++ b/cloverhook_emulator/backend_server.py
@@ -41,12 +41,12 @@
 flags.DEFINE_integer("seed", 1, "The seed of the work's random source.")
 flags.DEFINE_string("journal", None, "A file for the record of what ran, as it happens.")
 
-LAG_SAMPLE_MS = 10
-LAG_SAMPLES = 1_000
-NOT_RUN = (b"cloverhook-outcome", b"not-run")
-LEAVING = (b"cloverhook-leaving", b"1")
-RETRY_AFTER = (b"retry-after", b"1")
-JSON_TYPE = (b"content-type", b"application/json")
+LOAD_SAMPLE_INTERVAL_MS = 10
+MAX_LOAD_SAMPLES = 1_000
+NOT_RUN_HEADER = (b"cloverhook-outcome", b"not-run")
+DRAINING_HEADER = (b"cloverhook-leaving", b"1")
+RETRY_AFTER_HEADER = (b"retry-after", b"1")
+JSON_TYPE_HEADER = (b"content-type", b"application/json")
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,27 +77,27 @@
     record: RunRecord | None = None
     work_ms: float = 0.0
     timer: asyncio.TimerHandle | None = None
-    over: bool = False
+    ended: bool = False
 
 
 class BackendServer:
     """One server: an address, its slots and its record."""
 
     def __init__(
-        self, settings: ServerSettings, source: random.Random, journal: RunJournal | None = None
+        self, settings: ServerSettings, rng: random.Random, journal: RunJournal | None = None
     ) -> None:
         self._settings = settings
         self._journal = journal
-        self._random = source
+        self._random = rng
         self._loop = asyncio.get_running_loop()
         self._http = HttpServer(self._on_request, settings.connections)
-        self._working: set[_Work] = set()
+        self._running: set[_Work] = set()
         self._queue: deque[_Work] = deque()
-        self._loads: deque[int] = deque(maxlen=LAG_SAMPLES)
-        self._coming_up: asyncio.Task[None] | None = None
+        self._load_samples: deque[int] = deque(maxlen=MAX_LOAD_SAMPLES)
+        self._restart: asyncio.Task[None] | None = None
         self.faults = Faults()
-        self.ran: list[RunRecord] = []
-        self.refused = 0
+        self.run_records: list[RunRecord] = []
+        self.rejected = 0
         self.probes = 0
 
     @property
@@ -108,7 +108,7 @@
     @property
     def in_flight(self) -> int:
         """Requests that are worked on or wait for a slot."""
-        return len(self._working) + len(self._queue)
+        return len(self._running) + len(self._queue)
 
     async def start(self, address: str) -> None:
         """Listen, and sample the load for reports that lag."""
@@ -123,9 +123,9 @@
         if faults.down:
             self._http.close()
         elif was_down:
-            self._coming_up = self._loop.create_task(self._http.start(self.address))
+            self._restart = self._loop.create_task(self._http.start(self.address))
         if hung:
-            for work in tuple(self._working):
+            for work in tuple(self._running):
                 if work.timer is None:
                     work.timer = self._loop.call_later(0, self._work_done, work)
 
@@ -134,8 +134,8 @@
         return {
             "in_flight": self.in_flight,
             "waiting": len(self._queue),
-            "ran": len(self.ran),
-            "refused": self.refused,
+            "ran": len(self.run_records),
+            "refused": self.rejected,
             "probes": self.probes,
             "connections": len(self._http.connections),
             "refused_connections": self._http.refused_connections,
@@ -143,36 +143,36 @@
 
     def _on_request(self, request: IncomingRequest) -> None:
         if request.path == "/health":
-            self._report(request, 503 if self.faults.drain else 200, self._health())
+            self._answer_probe(request, 503 if self.faults.drain else 200, self._health_document())
         elif request.path == "/load":
-            self._report(request, 200, self._load())
+            self._answer_probe(request, 200, self._load_document())
         else:
-            self._take(request)
+            self._accept(request)
 
-    def _take(self, request: IncomingRequest) -> None:
-        if self._has_no_room():
-            self._refuse(request)
+    def _accept(self, request: IncomingRequest) -> None:
+        if self._must_reject():
+            self._reject(request)
             return
         timeout = request.headers.get(b"cloverhook-timeout-ms", b"")
         limit_ms = float(timeout) if timeout.isdigit() else math.inf
         work = _Work(request, self._now_ms() + limit_ms)
-        request.on_gone = lambda: self._gone(work)
-        if len(self._working) < self._settings.slots:
+        request.on_disconnect = lambda: self._caller_disconnected(work)
+        if len(self._running) < self._settings.slots:
             self._start(work)
         else:
             self._queue.append(work)
 
-    def _has_no_room(self) -> bool:
+    def _must_reject(self) -> bool:
         if self.faults.drain or self._random.random() < self.faults.shed_ratio:
             return True
-        slots_taken = len(self._working) >= self._settings.slots
+        slots_taken = len(self._running) >= self._settings.slots
         return slots_taken and len(self._queue) >= self._settings.queue
 
-    def _refuse(self, request: IncomingRequest) -> None:
-        self.refused += 1
-        headers = [NOT_RUN, RETRY_AFTER, self._load_header(), self._brand_header()]
+    def _reject(self, request: IncomingRequest) -> None:
+        self.rejected += 1
+        headers = [NOT_RUN_HEADER, RETRY_AFTER_HEADER, self._load_header(), self._brand_header()]
         if self.faults.drain:
-            headers.append(LEAVING)
+            headers.append(DRAINING_HEADER)
         request.respond(503, headers, b"")
 
     def _start(self, work: _Work) -> None:
@@ -181,14 +181,14 @@
         work.record = RunRecord(
             self.address,
             self._settings.brand,
-            request.text(b"x-request-id"),
-            request.text(b"idempotency-key"),
+            request.header_text(b"x-request-id"),
+            request.header_text(b"idempotency-key"),
             request.method,
             now_ms,
         )
-        self.ran.append(work.record)
-        self._write(work.record)
-        self._working.add(work)
+        self.run_records.append(work.record)
+        self._write_journal(work.record)
+        self._running.add(work)
         if self.faults.hang:
             return
         work.work_ms = self._work_time_ms()
@@ -205,14 +205,14 @@
         sigma = self._settings.work_sigma
         mean = math.log(self._settings.work_ms) - sigma * sigma / 2
         factor = faults.slow_factor
-        if len(self.ran) <= faults.cold_requests:
+        if len(self.run_records) <= faults.cold_requests:
             factor *= faults.cold_factor
         return self._random.lognormvariate(mean, sigma) * factor
 
     def _work_done(self, work: _Work) -> None:
         if self.faults.cut:
             self._end(work, RunOutcome.CUT)
-            work.request.connection.cut()
+            work.request.connection.reset_connection()
         elif self.faults.fail_fast:
             self._end(work, RunOutcome.FAILED)
             self._answer(work, 500)
@@ -224,35 +224,35 @@
         self._end(work, RunOutcome.STOPPED)
         self._answer(work, 504)
 
-    def _gone(self, work: _Work) -> None:
+    def _caller_disconnected(self, work: _Work) -> None:
         if work.record is None:
-            work.over = True
+            work.ended = True
             self._queue.remove(work)
-        elif not work.over:
+        elif not work.ended:
             self._end(work, RunOutcome.CANCELLED)
 
     def _end(self, work: _Work, outcome: RunOutcome) -> None:
-        work.over = True
+        work.ended = True
         if work.timer is not None:
             work.timer.cancel()
         record = work.record
         record.end_ms = self._now_ms()
         record.outcome = outcome
         record.result = record.request_id if outcome is RunOutcome.DONE else ""
-        self._write(record)
-        self._working.discard(work)
-        self._start_waiting()
+        self._write_journal(record)
+        self._running.discard(work)
+        self._start_queued()
 
-    def _write(self, record: RunRecord) -> None:
+    def _write_journal(self, record: RunRecord) -> None:
         if self._journal is not None:
             self._journal.write(record)
 
-    def _start_waiting(self) -> None:
-        while self._queue and len(self._working) < self._settings.slots:
+    def _start_queued(self) -> None:
+        while self._queue and len(self._running) < self._settings.slots:
             work = self._queue.popleft()
             if work.deadline_ms <= self._now_ms():
-                work.over = True
-                self._refuse(work.request)
+                work.ended = True
+                self._reject(work.request)
             else:
                 self._start(work)
 
@@ -273,30 +273,32 @@
     def _reported_load(self, lag_ms: float) -> int:
         if self.faults.mislead >= 0:
             return self.faults.mislead
-        if lag_ms and self._loads:
-            steps = min(len(self._loads), max(1, round(lag_ms / LAG_SAMPLE_MS)))
-            return self._loads[-steps]
+        if lag_ms and self._load_samples:
+            steps = min(len(self._load_samples), max(1, round(lag_ms / LOAD_SAMPLE_INTERVAL_MS)))
+            return self._load_samples[-steps]
         return self.in_flight
 
-    def _health(self) -> dict[str, object]:
+    def _health_document(self) -> dict[str, object]:
         return {"healthy": not self.faults.drain, "draining": self.faults.drain}
 
-    def _load(self) -> dict[str, object]:
+    def _load_document(self) -> dict[str, object]:
         load = self._reported_load(self.faults.report_lag_ms)
         draining = self.faults.drain
         return {"in_flight": load, "slots": self._settings.slots, "draining": draining}
 
-    def _report(self, request: IncomingRequest, status: int, document: dict[str, object]) -> None:
+    def _answer_probe(
+        self, request: IncomingRequest, status: int, document: dict[str, object]
+    ) -> None:
         self.probes += 1
         if self.faults.hang:
             return
         body = json.dumps(document).encode()
         delay_s = self._settings.probe_ms / 1000
-        self._loop.call_later(delay_s, request.respond, status, [JSON_TYPE], body)
+        self._loop.call_later(delay_s, request.respond, status, [JSON_TYPE_HEADER], body)
 
     def _sample_load(self) -> None:
-        self._loads.append(self.in_flight)
-        self._loop.call_later(LAG_SAMPLE_MS / 1000, self._sample_load)
+        self._load_samples.append(self.in_flight)
+        self._loop.call_later(LOAD_SAMPLE_INTERVAL_MS / 1000, self._sample_load)
 
     @staticmethod
     def _now_ms() -> float:
--- a/cloverhook_emulator/caller.py
+++ b/cloverhook_emulator/caller.py
@@ -21,7 +21,7 @@
 ADDRESSES_PATH = "/.well-known/cloverhook/addresses"
 ADDRESSES_TIMEOUT_S = 2
 NOT_RUN = "not-run"
-LONGEST_WAIT_S = 2.0
+MAX_RETRY_DELAY_S = 2.0
 
 
 def now_ms() -> float:
@@ -45,7 +45,7 @@
         return self.method == "GET"
 
     @property
-    def may_repeat(self) -> bool:
+    def retryable(self) -> bool:
         """Whether a repeat is safe although the call may have run."""
         return self.is_read or self.keyed
 
@@ -62,33 +62,33 @@
         self,
         host: str,
         brand: str,
-        seeds: list[str],
-        source: random.Random,
-        told: Callable[[ToldRecord], None],
-        repeats: int = 2,
-        stale_ms: float = 0.0,
+        seed_addresses: list[str],
+        rng: random.Random,
+        on_record: Callable[[ToldRecord], None],
+        max_retries: int = 2,
+        min_lifetime_ms: float = 0.0,
         spread: bool = False,
     ) -> None:
         self._host = host
         self._brand = brand
-        self._seeds = list(seeds)
-        self._random = source
-        self._told = told
-        self._repeats = repeats
-        self._stale_ms = stale_ms
+        self._seed_addresses = list(seed_addresses)
+        self._random = rng
+        self._on_record = on_record
+        self._max_retries = max_retries
+        self._min_lifetime_ms = min_lifetime_ms
         self._spread = spread
         self._addresses: list[str] = []
-        self._fresh_until_ms = 0.0
-        self._asking: asyncio.Task[None] | None = None
+        self._addresses_expire_ms = 0.0
+        self._refresh_task: asyncio.Task[None] | None = None
         self._pool = ClientPool()
 
     async def call(self, call: Call) -> ToldRecord:
         """Make a call with its repeats and return what was told last."""
         key = uuid.uuid4().hex if call.keyed else ""
-        for attempt in range(self._repeats + 1):
-            record, wait_s = await self._once(call, key, attempt)
-            self._told(record)
-            if wait_s is None or attempt == self._repeats:
+        for attempt in range(self._max_retries + 1):
+            record, wait_s = await self._send_request(call, key, attempt)
+            self._on_record(record)
+            if wait_s is None or attempt == self._max_retries:
                 return record
             if now_ms() + wait_s * 1000 > call.intended_ms + call.timeout_ms:
                 return record
@@ -99,7 +99,9 @@
         """Close all connections."""
         self._pool.close()
 
-    async def _once(self, call: Call, key: str, attempt: int) -> tuple[ToldRecord, float | None]:
+    async def _send_request(
+        self, call: Call, key: str, attempt: int
+    ) -> tuple[ToldRecord, float | None]:
         request_id = uuid.uuid4().hex
         address = ""
         try:
@@ -108,19 +110,19 @@
                 address, self._request(call, request_id, key), call.timeout_ms / 1000 + 1
             )
         except CallError as error:
-            wait_s = 0.0 if not error.sent or call.may_repeat else None
-            self._fresh_until_ms = 0.0
+            wait_s = 0.0 if not error.sent or call.retryable else None
+            self._addresses_expire_ms = 0.0
             record = self._record(call, request_id, key, address, None, error)
             return record, wait_s
         record = self._record(call, request_id, key, address, answer, None)
-        return record, self._repeat_after(answer)
+        return record, self._retry_delay_s(answer)
 
-    def _repeat_after(self, answer: HttpAnswer) -> float | None:
-        if answer.status != 503 or answer.text(b"cloverhook-outcome") != NOT_RUN:
+    def _retry_delay_s(self, answer: HttpAnswer) -> float | None:
+        if answer.status != 503 or answer.header_text(b"cloverhook-outcome") != NOT_RUN:
             return None
-        seconds = answer.text(b"retry-after")
+        seconds = answer.header_text(b"retry-after")
         base_s = float(seconds) if seconds.isdigit() else 1.0
-        return min(LONGEST_WAIT_S, base_s * self._random.uniform(1.0, 1.25))
+        return min(MAX_RETRY_DELAY_S, base_s * self._random.uniform(1.0, 1.25))
 
     def _record(
         self,
@@ -141,11 +143,11 @@
             call.intended_ms,
             now_ms() - call.intended_ms,
             found.status,
-            found.text(b"cloverhook-outcome"),
+            found.header_text(b"cloverhook-outcome"),
             found.body.decode("latin-1") if found.status == 200 else "",
-            found.text(b"emulator-brand"),
+            found.header_text(b"emulator-brand"),
             float(found.headers.get(b"emulator-work-ms", b"0")),
-            str(error) if error is not None else found.text(b"cloverhook-error"),
+            str(error) if error is not None else found.header_text(b"cloverhook-error"),
             error is None or error.sent,
             call.path,
         )
@@ -165,7 +167,7 @@
         return ("\r\n".join(lines) + "\r\n\r\n" + body).encode()
 
     async def _address(self, attempt: int) -> str:
-        if now_ms() >= self._fresh_until_ms or not self._addresses:
+        if now_ms() >= self._addresses_expire_ms or not self._addresses:
             await self._refresh()
         if not self._addresses:
             raise CallError("no daemon tells addresses", sent=False)
@@ -174,12 +176,15 @@
         return self._addresses[attempt % len(self._addresses)]
 
     async def _refresh(self) -> None:
-        if self._asking is None or self._asking.done():
-            self._asking = asyncio.create_task(self._ask())
-        await asyncio.shield(self._asking)
-
-    async def _ask(self) -> None:
-        known = [*self._addresses, *self._random.sample(self._seeds, len(self._seeds))]
+        if self._refresh_task is None or self._refresh_task.done():
+            self._refresh_task = asyncio.create_task(self._fetch_addresses())
+        await asyncio.shield(self._refresh_task)
+
+    async def _fetch_addresses(self) -> None:
+        known = [
+            *self._addresses,
+            *self._random.sample(self._seed_addresses, len(self._seed_addresses)),
+        ]
         request = f"GET {ADDRESSES_PATH} HTTP/1.1\r\nhost: {self._host}\r\n\r\n".encode()
         for address in known:
             try:
@@ -187,10 +192,10 @@
             except CallError:
                 continue
             if answer.status == 200:
-                self._take(json.loads(answer.body))
+                self._store_addresses(json.loads(answer.body))
                 return
 
-    def _take(self, document: dict) -> None:
+    def _store_addresses(self, document: dict) -> None:
         self._addresses = document["addresses"]
-        lifetime_ms = max(document["lifetime_ms"], self._stale_ms)
-        self._fresh_until_ms = now_ms() + lifetime_ms
+        lifetime_ms = max(document["lifetime_ms"], self._min_lifetime_ms)
+        self._addresses_expire_ms = now_ms() + lifetime_ms
--- a/cloverhook_emulator/cut_proxy.py
+++ b/cloverhook_emulator/cut_proxy.py
@@ -44,22 +44,22 @@
     ONE_WAY = "one_way"
 
 
-class _Pair:
+class _ConnectionPair:
     """A caller's connection and the one to the target that belongs to it."""
 
     def __init__(self, caller: asyncio.StreamWriter, target: asyncio.StreamWriter) -> None:
         self.writers = (caller, target)
-        self.forward = True
-        self.back = True
+        self.forwards_requests = True
+        self.forwards_answers = True
 
     def apply(self, mode: Mode) -> None:
         """Take a mode; what was dropped once is dropped for good."""
         if mode is Mode.CUT:
             self.abort()
         if mode is Mode.SILENT:
-            self.forward = False
+            self.forwards_requests = False
         if mode in (Mode.SILENT, Mode.ONE_WAY):
-            self.back = False
+            self.forwards_answers = False
 
     def abort(self) -> None:
         """Reset both connections."""
@@ -74,7 +74,7 @@
         self.target = target
         self.address = ""
         self.mode = Mode.PASS
-        self._pairs: set[_Pair] = set()
+        self._pairs: set[_ConnectionPair] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self, address: str = "127.0.0.1:0") -> None:
@@ -108,13 +108,13 @@
         except OSError:
             writer.transport.abort()
             return
-        pair = _Pair(writer, back_writer)
+        pair = _ConnectionPair(writer, back_writer)
         pair.apply(self.mode)
         self._pairs.add(pair)
         try:
             await asyncio.gather(
-                self._copy(reader, back_writer, lambda: pair.forward),
-                self._copy(back_reader, writer, lambda: pair.back),
+                self._copy(reader, back_writer, lambda: pair.forwards_requests),
+                self._copy(back_reader, writer, lambda: pair.forwards_answers),
             )
         finally:
             pair.abort()
--- a/cloverhook_emulator/demo.py
+++ b/cloverhook_emulator/demo.py
@@ -22,8 +22,8 @@
 
 __all__ = ["run_demo"]
 
-FILES = ("brathwaite.toml", "saltbush.toml")
-ENDPOINTS_PER_PLACE = 2
+DEPLOYMENT_FILES = ("brathwaite.toml", "saltbush.toml")
+ENDPOINTS_PER_DATA_CENTER = 2
 WORK_MS = 20
 CALLS_PER_S = 40
 LOAD_S = 12
@@ -31,25 +31,25 @@
 STOP_AFTER_S = 4
 CALLERS = 10
 READY_TIMEOUT_S = 20
-EXIT_VIOLATED = 1
+EXIT_VIOLATION = 1
 EXIT_INTERRUPTED = 130
 
 
 async def run_demo() -> int:
     """Run the demo and return the exit code."""
-    deployments = [Deployment.from_file(EXAMPLES / name) for name in FILES]
+    deployments = [Deployment.from_file(EXAMPLES / name) for name in DEPLOYMENT_FILES]
     async with Fleet() as fleet:
         await _start(fleet, deployments)
-        _say(f"{len(fleet.daemons)} daemons serve {len(deployments)} brands")
+        _print_progress(f"{len(fleet.daemons)} daemons serve {len(deployments)} brands")
         plans = [
             _plan(fleet, deployment.brand.name, service, seed)
             for deployment in deployments
             for seed, service in enumerate(deployment.brand.services)
         ]
-        operations = asyncio.create_task(_operate(fleet, deployments[0].brand.name))
+        operations = asyncio.create_task(_run_operations(fleet, deployments[0].brand.name))
         results = await asyncio.gather(*(run_load(plan) for plan in plans))
-        stopped_well = await operations
-        return await _conclude(fleet, results, stopped_well)
+        stopped_cleanly = await operations
+        return await _report_outcome(fleet, results, stopped_cleanly)
 
 
 async def _start(fleet: Fleet, deployments: list[Deployment]) -> None:
@@ -57,18 +57,18 @@
         for deployment in deployments:
             for data_center in deployment.data_centers:
                 group.create_task(fleet.start_daemon(f"vm-{data_center}", data_center))
-    await fleet.list_vms()
+    await fleet.publish_vm_list()
     for deployment in deployments:
         path = await deployment.start(
-            fleet, f"--work_ms={WORK_MS}", endpoints_per_place=ENDPOINTS_PER_PLACE
+            fleet, f"--work_ms={WORK_MS}", endpoints_per_data_center=ENDPOINTS_PER_DATA_CENTER
         )
-        await _tool(fleet, "publish", str(path))
+        await _run_tool(fleet, "publish", str(path))
     async with asyncio.timeout(READY_TIMEOUT_S):
-        while not await _everywhere(fleet, {item.brand.name for item in deployments}):
+        while not await _is_ready(fleet, {item.brand.name for item in deployments}):
             await asyncio.sleep(0.1)
 
 
-async def _everywhere(fleet: Fleet, brands: set[str]) -> bool:
+async def _is_ready(fleet: Fleet, brands: set[str]) -> bool:
     statuses = [await fleet.status(vm) for vm in fleet.daemons]
     vms = set(fleet.daemons)
     return all(brands <= set(item["brands"]) and vms <= set(item["members"]) for item in statuses)
@@ -86,45 +86,45 @@
     )
 
 
-async def _operate(fleet: Fleet, brand: str) -> bool:
+async def _run_operations(fleet: Fleet, brand: str) -> bool:
     """Switch a preset and stop a daemon; return whether it stopped well."""
     await asyncio.sleep(SWITCH_AFTER_S)
-    await _tool(fleet, "switch", brand, "peak")
+    await _run_tool(fleet, "switch", brand, "peak")
     await asyncio.sleep(STOP_AFTER_S - SWITCH_AFTER_S)
     daemon = next(iter(fleet.daemons.values()))
-    _say(f"{daemon.vm} is stopped under load")
+    _print_progress(f"{daemon.vm} is stopped under load")
     code = await daemon.process.stop(signal.SIGTERM)
-    _say(f"{daemon.vm} has ended with exit code {code}")
+    _print_progress(f"{daemon.vm} has ended with exit code {code}")
     return code == 0
 
 
-async def _conclude(fleet: Fleet, results: list[LoadResult], stopped_well: bool) -> int:
-    told = [record for result in results for record in result.told]
-    report = invariants.check(await fleet.ran(), told)
-    ends = [record for result in results for record in result.ends]
+async def _report_outcome(fleet: Fleet, results: list[LoadResult], stopped_cleanly: bool) -> int:
+    told = [record for result in results for record in result.request_records]
+    report = invariants.check(await fleet.run_records(), told)
+    ends = [record for result in results for record in result.final_records]
     calls = sum(result.calls for result in results)
     answered = sum(record.status != 0 for record in ends)
     never_answered = sum(record.status == 0 and not record.sent for record in ends)
     lost = len(report.lost) + never_answered + calls - len(ends)
-    holds = report.holds and not lost and stopped_well
-    if not holds:
+    passed = report.is_clean and not lost and stopped_cleanly
+    if not passed:
         print(f"demo: {report}", file=sys.stderr)
     print(
         f"calls={calls} answered={answered} lost={lost} doubled={len(report.doubled)} "
         f"crossed={len(report.crossed)} cut={len(report.cut)}",
         flush=True,
     )
-    return 0 if holds else EXIT_VIOLATED
+    return 0 if passed else EXIT_VIOLATION
 
 
-async def _tool(fleet: Fleet, *arguments: str) -> None:
-    _say("cloverhook " + " ".join(argument.rpartition("/")[2] for argument in arguments))
-    code, output, errors = await fleet.tool(*arguments)
+async def _run_tool(fleet: Fleet, *arguments: str) -> None:
+    _print_progress("cloverhook " + " ".join(argument.rpartition("/")[2] for argument in arguments))
+    code, output, errors = await fleet.run_tool(*arguments)
     if code != 0:
         raise RuntimeError(f"cloverhook {arguments[0]}: exit code {code}: {output}{errors}")
 
 
-def _say(text: str) -> None:
+def _print_progress(text: str) -> None:
     print(f"demo: {text}", flush=True)
 
 
--- a/cloverhook_emulator/deployment.py
+++ b/cloverhook_emulator/deployment.py
@@ -43,7 +43,7 @@
         """Return a service by its name."""
         return next(service for service in self.brand.services if service.name == name)
 
-    def only(self, name: str) -> "Deployment":
+    def with_only_service(self, name: str) -> "Deployment":
         """Return the deployment with a single service."""
         head, *parts = re.split(r"(?m)^(?=\[\[services\]\]$)", self.text)
         text = head + next(part for part in parts if f'name = "{name}"' in part)
@@ -55,7 +55,7 @@
         return Deployment(text, Brand.from_document(tomllib.loads(text)))
 
     async def start(
-        self, fleet: Fleet, *arguments: str, endpoints_per_place: int | None = None
+        self, fleet: Fleet, *arguments: str, endpoints_per_data_center: int | None = None
     ) -> Path:
         """Start the backend servers, one process a service, and return the file to publish.
 
@@ -63,7 +63,10 @@
         """
         addresses: list[list[str]] = []
         for service in self.brand.services:
-            counts = [min(count, endpoints_per_place or count) for count in _counts(service)]
+            counts = [
+                min(count, endpoints_per_data_center or count)
+                for count in _endpoint_counts(service)
+            ]
             first = service.endpoints[0]
             started = iter(
                 await fleet.start_backend(
@@ -86,7 +89,7 @@
         return ENDPOINTS.sub(endpoints, self.text)
 
 
-def _counts(service: Service) -> list[int]:
+def _endpoint_counts(service: Service) -> list[int]:
     counts: dict[str, int] = {}
     for endpoint in service.endpoints:
         counts[endpoint.data_center] = counts.get(endpoint.data_center, 0) + 1
--- a/cloverhook_emulator/faults.py
+++ b/cloverhook_emulator/faults.py
@@ -34,7 +34,7 @@
     cold_requests: int = 0
     cold_factor: float = 5.0
 
-    def changed(self, document: dict[str, Any]) -> "Faults":
+    def with_changes(self, document: dict[str, Any]) -> "Faults":
         """Return these faults with some replaced.  Raises `ValueError` for an unknown name."""
         unknown = set(document) - {field.name for field in fields(self)}
         if unknown:
--- a/cloverhook_emulator/faulty_platform.py
+++ b/cloverhook_emulator/faulty_platform.py
@@ -49,7 +49,7 @@
 
     async def append(self, stream: str, record: Mapping[str, Any]) -> int:
         """Append a record, or fail as the faults say."""
-        await self._fail()
+        await self._apply_faults()
         if self.faults.refuse_appends or not self._within_limit():
             self.refused_appends += 1
             raise PlatformError("the append was refused")
@@ -62,14 +62,14 @@
 
     async def read(self, stream: str, from_offset: int, wait_ms: float = 0) -> LogSlice:
         """Read records, or fail as the faults say."""
-        await self._fail()
+        await self._apply_faults()
         found = await super().read(stream, from_offset, wait_ms)
-        await self._fail()
+        await self._apply_faults()
         return found
 
     async def list_vms(self) -> tuple[ListedVm, ...]:
         """Return the list of VMs, or fail as the faults say."""
-        await self._fail()
+        await self._apply_faults()
         return await super().list_vms()
 
     def reset(self, stream: str) -> None:
@@ -77,7 +77,7 @@
         self.streams.pop(stream, None)
         self.first_offsets.pop(stream, None)
 
-    async def _fail(self) -> None:
+    async def _apply_faults(self) -> None:
         if self.faults.slow_ms:
             await asyncio.sleep(self.faults.slow_ms / 1000)
         if self.faults.down:
--- a/cloverhook_emulator/fleet_runner.py
+++ b/cloverhook_emulator/fleet_runner.py
@@ -60,7 +60,7 @@
             )
         return cls(name, process, log)
 
-    async def listening(self, count: int = 1) -> list[str]:
+    async def wait_until_listening(self, count: int = 1) -> list[str]:
         """Wait until the process has told `count` addresses and return them."""
         async with asyncio.timeout(START_TIMEOUT_S):
             while True:
@@ -71,7 +71,7 @@
                     raise RuntimeError(f"{self.name} has ended:\n{self.log.read_text()}")
                 await asyncio.sleep(0.02)
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal unless the process has ended.
 
         `subprocess` would look for the process's end first and take its exit code away from the
@@ -83,12 +83,12 @@
 
     async def stop(self, number: signal.Signals = signal.SIGTERM) -> int:
         """Send a signal, wait for the end and return the exit code."""
-        self.send(number)
+        self.send_signal(number)
         try:
             async with asyncio.timeout(STOP_TIMEOUT_S):
                 return await self.process.wait()
         except TimeoutError:
-            self.send(signal.SIGKILL)
+            self.send_signal(signal.SIGKILL)
             return await self.process.wait()
 
 
@@ -121,7 +121,7 @@
             self.platform = await self.start_process(
                 "platform", "cloverhook_emulator.platform_server", "--address=127.0.0.1:0"
             )
-            self.platform_url = f"http://{(await self.platform.listening())[0]}"
+            self.platform_url = f"http://{(await self.platform.wait_until_listening())[0]}"
         except BaseException:
             await self.__aexit__()
             raise
@@ -129,7 +129,7 @@
 
     async def __aexit__(self, *exception: object) -> None:
         for process in self._processes:
-            process.send(signal.SIGKILL)
+            process.send_signal(signal.SIGKILL)
         await asyncio.gather(*(process.stop(signal.SIGKILL) for process in self._processes))
         self._folder.cleanup()
 
@@ -149,7 +149,7 @@
         addresses = ",".join(["127.0.0.1:0"] * count)
         name = f"backend-{len(self.backends)}"
         if journal:
-            arguments = (*arguments, f"--journal={self._journal(name)}")
+            arguments = (*arguments, f"--journal={self._journal_path(name)}")
         process = await self.start_process(
             name,
             "cloverhook_emulator.backend_server",
@@ -157,7 +157,7 @@
             *arguments,
         )
         self.backends.append(process)
-        return (await process.listening(count + 1))[:count]
+        return (await process.wait_until_listening(count + 1))[:count]
 
     async def set_faults(self, faults: dict[str, object], servers: Sequence[str] = ()) -> None:
         """Give faults to backend servers by their addresses, or to all."""
@@ -182,13 +182,13 @@
                 counts |= {address: item["counts"] for address, item in found.items()}
         return counts
 
-    async def ran(self) -> list[RunRecord]:
+    async def run_records(self) -> list[RunRecord]:
         """Return what the backend servers have run; of a killed one, what its journal holds."""
         records: list[RunRecord] = []
         async with aiohttp.ClientSession() as session:
             for process in self.backends:
                 if process.process.returncode is not None:
-                    records += RunJournal.read(self._journal(process.name))
+                    records += RunJournal.read(self._journal_path(process.name))
                     continue
                 url = f"http://{process.addresses[-1]}/control/ran"
                 async with session.get(url) as answer:
@@ -196,7 +196,7 @@
                 records += [RunRecord.from_document(document) for document in found]
         return records
 
-    def _journal(self, name: str) -> Path:
+    def _journal_path(self, name: str) -> Path:
         return self.folder / f"{name}.runs"
 
     async def start_daemon(
@@ -222,17 +222,17 @@
         process = await self.start_process(
             vm, module, f"--settings={path}", "--stderrthreshold=info", *arguments
         )
-        callers, operators, peers = (await process.listening(3))[:3]
+        callers, operators, peers = (await process.wait_until_listening(3))[:3]
         daemon = DaemonProcess(vm, data_center, process, callers, operators, peers)
         self.daemons[vm] = daemon
         return daemon
 
-    async def list_vms(self, leaving: frozenset[str] = frozenset()) -> None:
+    async def publish_vm_list(self, leaving_vms: frozenset[str] = frozenset()) -> None:
         """Put the daemons that were started on the platform's list."""
         vms = [
             {
                 "vm": daemon.vm,
-                "phase": "leaving" if daemon.vm in leaving else "live",
+                "phase": "leaving" if daemon.vm in leaving_vms else "live",
                 "data_center": daemon.data_center,
                 "caller_address": daemon.caller_address,
                 "peer_address": daemon.peer_address,
@@ -245,7 +245,7 @@
         ):
             answer.raise_for_status()
 
-    async def tool(self, *arguments: str) -> tuple[int, str, str]:
+    async def run_tool(self, *arguments: str) -> tuple[int, str, str]:
         """Run the command-line tool; return its exit code, output and errors."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
--- a/cloverhook_emulator/http_client.py
+++ b/cloverhook_emulator/http_client.py
@@ -30,7 +30,7 @@
     headers: dict[bytes, bytes] = field(default_factory=dict)
     body: bytes = b""
 
-    def text(self, name: bytes) -> str:
+    def header_text(self, name: bytes) -> str:
         """Return a header's value, or an empty string."""
         return self.headers.get(name, b"").decode("latin-1")
 
@@ -44,7 +44,7 @@
         self._parser: httptools.HttpResponseParser | None = None
         self._answer = HttpAnswer()
         self.closed = False
-        self.unasked_bytes = 0
+        self.unexpected_bytes = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
@@ -59,7 +59,7 @@
     def data_received(self, data: bytes) -> None:
         """Feed the answer; bytes that nobody asked for close the connection."""
         if self._future is None or self._future.done():
-            self.unasked_bytes += len(data)
+            self.unexpected_bytes += len(data)
             self.close()
             return
         try:
--- a/cloverhook_emulator/http_server.py
+++ b/cloverhook_emulator/http_server.py
@@ -14,7 +14,7 @@
 __all__ = ["Handler", "HttpServer", "IncomingRequest", "ServerConnection"]
 
 BACKLOG = 2_048
-REASONS = {200: b"OK", 404: b"Not Found", 500: b"Internal Server Error", 503: b"Unavailable"}
+REASON_PHRASES = {200: b"OK", 404: b"Not Found", 500: b"Internal Server Error", 503: b"Unavailable"}
 
 
 @dataclass(eq=False, slots=True)
@@ -26,13 +26,13 @@
     path: str
     headers: dict[bytes, bytes]
     body_bytes: int = 0
-    on_gone: Callable[[], None] | None = None
+    on_disconnect: Callable[[], None] | None = None
 
     def respond(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
         """Send the answer, unless the caller has gone."""
         self.connection.respond(self, status, headers, body)
 
-    def text(self, name: bytes) -> str:
+    def header_text(self, name: bytes) -> str:
         """Return a header's value, or an empty string."""
         return self.headers.get(name, b"").decode("latin-1")
 
@@ -50,28 +50,28 @@
         self._url = b""
         self._headers: dict[bytes, bytes] = {}
         self._body_bytes = 0
-        self._waiting: deque[IncomingRequest] = deque()
+        self._pipelined: deque[IncomingRequest] = deque()
         self._current: IncomingRequest | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport, or close it at once when the server has no room."""
         self._transport = transport
-        if not self._server.admit(self):
+        if not self._server.try_add(self):
             transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Cancel the request in flight."""
-        self._server.forget(self)
+        self._server.remove(self)
         current, self._current = self._current, None
-        if current is not None and current.on_gone is not None:
-            current.on_gone()
+        if current is not None and current.on_disconnect is not None:
+            current.on_disconnect()
 
     def data_received(self, data: bytes) -> None:
         """Parse; a request that can't be parsed closes the connection."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.cut()
+            self.reset_connection()
 
     def on_message_begin(self) -> None:
         """Start another request (called by the parser)."""
@@ -93,8 +93,8 @@
         """Hand the request on (called by the parser)."""
         method = self._parser.get_method().decode()
         path = self._url.decode("latin-1")
-        self._waiting.append(IncomingRequest(self, method, path, self._headers, self._body_bytes))
-        self._next()
+        self._pipelined.append(IncomingRequest(self, method, path, self._headers, self._body_bytes))
+        self._handle_next()
 
     def respond(
         self,
@@ -107,21 +107,21 @@
         if request is not self._current:
             return
         self._current = None
-        parts = [b"HTTP/1.1 %d %b\r\n" % (status, REASONS.get(status, b"Answer"))]
+        parts = [b"HTTP/1.1 %d %b\r\n" % (status, REASON_PHRASES.get(status, b"Answer"))]
         parts += [b"%b: %b\r\n" % pair for pair in headers]
         parts.append(b"content-length: %d\r\n\r\n" % len(body))
         if request.method != "HEAD":
             parts.append(body)
         self._transport.write(b"".join(parts))
-        self._next()
+        self._handle_next()
 
-    def cut(self) -> None:
+    def reset_connection(self) -> None:
         """Close the connection without an answer."""
         self._transport.abort()
 
-    def _next(self) -> None:
-        if self._current is None and self._waiting:
-            self._current = self._waiting.popleft()
+    def _handle_next(self) -> None:
+        if self._current is None and self._pipelined:
+            self._current = self._pipelined.popleft()
             self._server.handler(self._current)
 
 
@@ -134,17 +134,17 @@
     address: str = ""
     refused_connections: int = 0
     connections: set[ServerConnection] = field(default_factory=set)
-    _listening: asyncio.Server | None = None
+    _listener: asyncio.Server | None = None
 
     async def start(self, address: str) -> None:
         """Listen on `ip:port`; port 0 takes any free one."""
         host, _, port = address.rpartition(":")
-        self._listening = await asyncio.get_running_loop().create_server(
+        self._listener = await asyncio.get_running_loop().create_server(
             lambda: ServerConnection(self), host, int(port), backlog=BACKLOG
         )
-        self.address = "{}:{}".format(*self._listening.sockets[0].getsockname())
+        self.address = "{}:{}".format(*self._listener.sockets[0].getsockname())
 
-    def admit(self, connection: ServerConnection) -> bool:
+    def try_add(self, connection: ServerConnection) -> bool:
         """Return whether there is room for another connection."""
         if len(self.connections) >= self.connection_limit:
             self.refused_connections += 1
@@ -152,13 +152,13 @@
         self.connections.add(connection)
         return True
 
-    def forget(self, connection: ServerConnection) -> None:
+    def remove(self, connection: ServerConnection) -> None:
         """Take note that a connection has gone."""
         self.connections.discard(connection)
 
     def close(self) -> None:
         """Stop to listen and cut all connections."""
-        if self._listening is not None:
-            self._listening.close()
+        if self._listener is not None:
+            self._listener.close()
         for connection in tuple(self.connections):
-            connection.cut()
+            connection.reset_connection()
--- a/cloverhook_emulator/invariants.py
+++ b/cloverhook_emulator/invariants.py
@@ -43,41 +43,49 @@
     false_not_run: tuple[str, ...] = ()
 
     @property
-    def holds(self) -> bool:
+    def is_clean(self) -> bool:
         """Whether there is no violation."""
         return not any(getattr(self, field.name) for field in fields(self))
 
-    def joined(self, other: "Report") -> "Report":
+    def merged_with(self, other: "Report") -> "Report":
         """Return the violations of both reports."""
         names = [field.name for field in fields(self)]
         return Report(*(getattr(self, name) + getattr(other, name) for name in names))
 
 
-def check(ran: Sequence[RunRecord], told: Sequence[ToldRecord], sent: Iterable[str] = ()) -> Report:
+def check(
+    run_records: Sequence[RunRecord],
+    caller_records: Sequence[ToldRecord],
+    sent_ids: Iterable[str] = (),
+) -> Report:
     """Compare records and return the violations.
 
     `sent` holds the identifiers of all requests that callers sent, to find those that were never
     told anything.
     """
     runs: dict[str, list[RunRecord]] = defaultdict(list)
-    for record in ran:
+    for record in run_records:
         runs[record.request_id].append(record)
-    keys = {(record.brand, record.idempotency_key) for record in ran}
-    known = {item.request_id for item in told}
-    without_run = (item.request_id for item in told if not _is_borne_out(item, runs, keys))
-    without_answer = (request_id for request_id in sent if request_id not in known)
+    keys = {(record.brand, record.idempotency_key) for record in run_records}
+    known = {item.request_id for item in caller_records}
+    without_run = (
+        item.request_id for item in caller_records if not _has_expected_run(item, runs, keys)
+    )
+    without_answer = (request_id for request_id in sent_ids if request_id not in known)
     return Report(
         lost=(*without_run, *without_answer),
-        doubled=_doubled_requests(runs) + _doubled_keys(ran),
-        crossed=tuple(item.request_id for item in told if _is_crossed(item, runs)),
-        cut=tuple(item.request_id for item in told if _is_cut(item)),
+        doubled=_doubled_requests(runs) + _doubled_keys(run_records),
+        crossed=tuple(item.request_id for item in caller_records if _is_crossed(item, runs)),
+        cut=tuple(item.request_id for item in caller_records if _is_cut(item)),
         false_not_run=tuple(
-            item.request_id for item in told if item.outcome == NOT_RUN and item.request_id in runs
+            item.request_id
+            for item in caller_records
+            if item.outcome == NOT_RUN and item.request_id in runs
         ),
     )
 
 
-def _is_borne_out(
+def _has_expected_run(
     item: ToldRecord, runs: dict[str, list[RunRecord]], keys: set[tuple[str, str]]
 ) -> bool:
     """Return whether a request that was told as run has a run on record.
--- a/cloverhook_emulator/load.py
+++ b/cloverhook_emulator/load.py
@@ -44,11 +44,11 @@
 flags.DEFINE_bool("spin", False, "Spin for exact starts; takes a whole core.")
 flags.DEFINE_string("report", None, "The file for the report, with all records.")
 
-LONGEST_US = 120_000_000
-STALE_MS = 30_000.0
-DIGITS = 3
-SPIN_S = 0.002
-HEAVY_PART = 10
+MAX_LATENCY_US = 120_000_000
+STALE_ADDRESS_LIFETIME_MS = 30_000.0
+SIGNIFICANT_DIGITS = 3
+SPIN_BEFORE_START_S = 0.002
+CALLERS_PER_HEAVY_CALLER = 10
 PERCENTILES = {"p50": 50.0, "p99": 99.0, "p999": 99.9}
 
 
@@ -79,12 +79,12 @@
     paths: tuple[str, ...] = ("/",)
     timeout_ms: int = 5_000
 
-    def call(self, intended_ms: float, source: random.Random) -> Call:
+    def next_call(self, intended_ms: float, rng: random.Random) -> Call:
         """Return the next call."""
-        path = source.choice(self.paths)
-        if source.random() >= self.write_ratio:
+        path = rng.choice(self.paths)
+        if rng.random() >= self.write_ratio:
             return Call("GET", path, intended_ms, self.timeout_ms)
-        keyed = source.random() < self.keyed_ratio
+        keyed = rng.random() < self.keyed_ratio
         return Call("POST", path, intended_ms, self.timeout_ms, keyed)
 
 
@@ -98,14 +98,14 @@
 
     host: str
     brand: str
-    daemons: tuple[str, ...]
+    daemon_addresses: tuple[str, ...]
     phases: tuple[Phase, ...]
     mix: CallMix = CallMix()
     callers: int = 20
     unequal: bool = False
     stale_ratio: float = 0.0
     spread: bool = False
-    repeats: int = 2
+    max_retries: int = 2
     seed: int = 1
     start_at_ms: float = 0.0
     spin: bool = False
@@ -131,7 +131,7 @@
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(1, LONGEST_US, DIGITS)
+    return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 def _percentiles(histogram: HdrHistogram) -> dict[str, float]:
@@ -150,7 +150,7 @@
     waiting: HdrHistogram = field(default_factory=_histogram)
     lag: HdrHistogram = field(default_factory=_histogram)
     calls: int = 0
-    good: int = 0
+    succeeded: int = 0
     outcomes: Counter[str] = field(default_factory=Counter)
 
     def add(self, record: ToldRecord) -> None:
@@ -158,7 +158,7 @@
         self.outcomes[f"{record.status} {record.outcome} {record.error}".strip()] += 1
         if record.status != 200:
             return
-        self.good += 1
+        self.succeeded += 1
         waiting_ms = record.latency_ms - record.work_ms
         self.latency.record_value(max(1, int(record.latency_ms * 1000)))
         self.waiting.record_value(max(1, int(waiting_ms * 1000)))
@@ -169,7 +169,7 @@
             "calls_per_s": self.phase.calls_per_s,
             "duration_s": self.phase.duration_s,
             "calls": self.calls,
-            "good": self.good,
+            "good": self.succeeded,
             "outcomes": dict(self.outcomes),
             "latency_ms": _percentiles(self.latency),
             "waiting_ms": _percentiles(self.waiting),
@@ -185,8 +185,8 @@
     """
 
     phases: list[PhaseResult]
-    told: list[ToldRecord] = field(default_factory=list)
-    ends: list[ToldRecord] = field(default_factory=list)
+    request_records: list[ToldRecord] = field(default_factory=list)
+    final_records: list[ToldRecord] = field(default_factory=list)
 
     @property
     def calls(self) -> int:
@@ -198,8 +198,8 @@
         return {
             "calls": self.calls,
             "phases": [phase.to_document() for phase in self.phases],
-            "told": [record.to_document() for record in self.told],
-            "ends": [record.to_document() for record in self.ends],
+            "told": [record.to_document() for record in self.request_records],
+            "ends": [record.to_document() for record in self.final_records],
         }
 
 
@@ -210,8 +210,8 @@
         self._plan = plan
         self._random = random.Random(plan.seed)
         self.result = LoadResult([PhaseResult(phase) for phase in plan.phases])
-        self._callers = [self._caller(index) for index in range(plan.callers)]
-        heavy = max(1, plan.callers // HEAVY_PART)
+        self._callers = [self._make_caller(index) for index in range(plan.callers)]
+        heavy = max(1, plan.callers // CALLERS_PER_HEAVY_CALLER)
         weights = [1.0] * plan.callers
         if plan.unequal and heavy < plan.callers:
             weights[:heavy] = [(plan.callers - heavy) / heavy] * heavy
@@ -237,7 +237,7 @@
         return self.result
 
     async def _run_phase(self, result: PhaseResult, start_ms: float, end_ms: float) -> None:
-        due_ms = start_ms + self._gap_ms(result.phase)
+        due_ms = start_ms + self._next_gap_ms(result.phase)
         while due_ms < end_ms:
             await self._wait_until(due_ms)
             if self._stopped:
@@ -247,41 +247,41 @@
             self._calls.add(task)
             task.add_done_callback(self._calls.discard)
             result.calls += 1
-            due_ms += self._gap_ms(result.phase)
+            due_ms += self._next_gap_ms(result.phase)
 
     async def _wait_until(self, due_ms: float) -> None:
         ahead_s = (due_ms - now_ms()) / 1000
         if self._plan.spin:
-            if ahead_s > SPIN_S:
-                await asyncio.sleep(ahead_s - SPIN_S)
+            if ahead_s > SPIN_BEFORE_START_S:
+                await asyncio.sleep(ahead_s - SPIN_BEFORE_START_S)
             while now_ms() < due_ms:
                 await asyncio.sleep(0)
         elif ahead_s > 0:
             await asyncio.sleep(ahead_s)
 
     async def _call(self, result: PhaseResult, due_ms: float) -> None:
-        call = self._plan.mix.call(due_ms, self._random)
+        call = self._plan.mix.next_call(due_ms, self._random)
         caller = self._random.choices(self._callers, cum_weights=self._cumulative_weights)[0]
         end = await caller.call(call)
         result.add(end)
-        self.result.ends.append(end)
+        self.result.final_records.append(end)
 
-    def _gap_ms(self, phase: Phase) -> float:
+    def _next_gap_ms(self, phase: Phase) -> float:
         if phase.calls_per_s <= 0:
             return phase.duration_s * 1000
         return self._random.expovariate(phase.calls_per_s) * 1000
 
-    def _caller(self, index: int) -> Caller:
+    def _make_caller(self, index: int) -> Caller:
         plan = self._plan
         stale = index >= plan.callers * (1 - plan.stale_ratio)
         return Caller(
             plan.host,
             plan.brand,
-            list(plan.daemons),
+            list(plan.daemon_addresses),
             random.Random(plan.seed * 10_007 + index),
-            self.result.told.append,
-            plan.repeats,
-            STALE_MS if stale else 0.0,
+            self.result.request_records.append,
+            plan.max_retries,
+            STALE_ADDRESS_LIFETIME_MS if stale else 0.0,
             plan.spread,
         )
 
--- a/cloverhook_emulator/log_store_server.py
+++ b/cloverhook_emulator/log_store_server.py
@@ -17,7 +17,7 @@
 __all__ = ["LogStoreServer", "Topic"]
 
 LENGTH = struct.Struct(">I")
-POSITIONS = struct.Struct(">QQ")
+READ_HEADER = struct.Struct(">QQ")
 JSON = [(b"content-type", b"application/json")]
 DEFAULT_MAX_KB = 1_024
 """An answer to a read holds so much, or one record."""
@@ -30,39 +30,39 @@
     """The records of a topic's only partition, from `first` on; `history` has those before too."""
 
     records: list[bytes] = field(default_factory=list)
-    first: int = 0
+    first_offset: int = 0
     history: list[bytes] = field(default_factory=list)
     newest: dict[str, tuple[bytes, int]] = field(default_factory=dict)
 
     @property
-    def end(self) -> int:
+    def end_offset(self) -> int:
         """The offset that the next record will get."""
-        return self.first + len(self.records)
+        return self.first_offset + len(self.records)
 
     def append(self, record: bytes) -> None:
         """Append one record and keep it as the newest of its key."""
         key_end = 1 + record[0]
         key, value = record[1:key_end].decode(), record[key_end:]
         if value:
-            self.newest[key] = (value, self.end)
+            self.newest[key] = (value, self.end_offset)
         else:
             self.newest.pop(key, None)
         self.records.append(record)
         self.history.append(record)
 
-    def without_last(self, lost: int) -> "Topic":
+    def without_last(self, count: int) -> "Topic":
         """Return the topic as it was some records ago."""
         earlier = Topic()
-        for record in self.history[: max(0, len(self.history) - lost)]:
+        for record in self.history[: max(0, len(self.history) - count)]:
             earlier.append(record)
-        forgotten = min(self.first, earlier.end)
+        forgotten = min(self.first_offset, earlier.end_offset)
         del earlier.records[:forgotten]
-        earlier.first = forgotten
+        earlier.first_offset = forgotten
         return earlier
 
-    def forget(self) -> None:
+    def drop_records(self) -> None:
         """Drop all records; the newest of each key stay."""
-        self.first = self.end
+        self.first_offset = self.end_offset
         self.records.clear()
 
 
@@ -76,9 +76,9 @@
     def __init__(self) -> None:
         self.topics: dict[str, Topic] = {}
         self.calls: list[str] = []
-        self.refuse_status = 0
+        self.error_status = 0
         self.silent = False
-        self.lost_answers = 0
+        self.answers_to_lose = 0
         self.delay_ms = 0.0
         self.era = b"1"
         self._changed = asyncio.Event()
@@ -119,8 +119,8 @@
         if self.silent:
             await asyncio.Event().wait()
         await asyncio.sleep(self.delay_ms / 1000)
-        if self.refuse_status:
-            return CallerAnswer(self.refuse_status, JSON, b"{}")
+        if self.error_status:
+            return CallerAnswer(self.error_status, JSON, b"{}")
         query = dict(parse_qsl(request.target.partition(b"?")[2].decode()))
         topic = self.topic(query["topic"])
         match request.path:
@@ -135,9 +135,9 @@
         return CallerAnswer(404, JSON, b"{}")
 
     async def _append(self, topic: Topic, query: dict[str, str], body: bytes) -> CallerAnswer:
-        if "at" in query and int(query["at"]) != topic.end:
-            return _json({"endOffset": topic.end}, 412)
-        start = topic.end
+        if "at" in query and int(query["at"]) != topic.end_offset:
+            return _json({"endOffset": topic.end_offset}, 412)
+        start = topic.end_offset
         place = 0
         while place < len(body):
             (size_bytes,) = LENGTH.unpack_from(body, place)
@@ -145,21 +145,21 @@
             topic.append(body[place : place + size_bytes])
             place += size_bytes
         self._changed.set()
-        if self.lost_answers:
-            self.lost_answers -= 1
+        if self.answers_to_lose:
+            self.answers_to_lose -= 1
             await asyncio.Event().wait()
-        return _json({"offset": start, "endOffset": topic.end})
+        return _json({"offset": start, "endOffset": topic.end_offset})
 
     async def _read(
         self, topic: Topic, start: int, wait_ms: int, largest_bytes: int
     ) -> CallerAnswer:
-        if start >= topic.end:
+        if start >= topic.end_offset:
             await self._wait(topic, start, wait_ms)
-        if not topic.first <= start <= topic.end:
-            return _json({"firstOffset": topic.first}, 410)
-        parts = [POSITIONS.pack(topic.end, topic.first)]
+        if not topic.first_offset <= start <= topic.end_offset:
+            return _json({"firstOffset": topic.first_offset}, 410)
+        parts = [READ_HEADER.pack(topic.end_offset, topic.first_offset)]
         size_bytes = 0
-        for record in topic.records[start - topic.first :]:
+        for record in topic.records[start - topic.first_offset :]:
             size_bytes += LENGTH.size + len(record)
             if size_bytes > largest_bytes and len(parts) > 1:
                 break
@@ -169,7 +169,7 @@
     async def _wait(self, topic: Topic, start: int, wait_ms: int) -> None:
         try:
             async with asyncio.timeout(wait_ms / 1000):
-                while start >= topic.end:
+                while start >= topic.end_offset:
                     self._changed.clear()
                     await self._changed.wait()
         except TimeoutError:
@@ -187,7 +187,7 @@
             for name in page
         ]
         more = len(names) > len(page)
-        return _json({"items": items, "hasMore": more, "endOffset": topic.end})
+        return _json({"items": items, "hasMore": more, "endOffset": topic.end_offset})
 
 
 def _json(document: dict[str, object], status: int = 200) -> CallerAnswer:
--- a/cloverhook_emulator/platform_server.py
+++ b/cloverhook_emulator/platform_server.py
@@ -115,7 +115,7 @@
         response.media = {}
 
 
-async def _refuse(
+async def _answer_rejected(
     request: falcon.asgi.Request,
     response: falcon.asgi.Response,
     error: PlatformError,
@@ -125,7 +125,7 @@
     response.media = {"error": str(error)}
 
 
-async def _cut(
+async def _cut_connection(
     request: falcon.asgi.Request,
     response: falcon.asgi.Response,
     error: PlatformSilentError,
@@ -144,8 +144,8 @@
 def platform_app(platform: FaultyPlatform) -> falcon.asgi.App:
     """Return the stand-in's application over a platform in memory."""
     application = falcon.asgi.App()
-    application.add_error_handler(PlatformError, _refuse)
-    application.add_error_handler(PlatformSilentError, _cut)
+    application.add_error_handler(PlatformError, _answer_rejected)
+    application.add_error_handler(PlatformSilentError, _cut_connection)
     application.add_route("/v1/streams/{stream}/records", _Records(platform))
     application.add_route("/v1/streams/{stream}/truncate", _Truncate(platform))
     application.add_route("/v1/streams/{stream}/reset", _Reset(platform))
--- a/cloverhook_emulator/replacement.py
+++ b/cloverhook_emulator/replacement.py
@@ -8,18 +8,18 @@
 
 from cloverhook_emulator.fleet_runner import DaemonProcess, Fleet
 
-__all__ = ["is_handed_out", "replace_all"]
+__all__ = ["is_advertised", "replace_all"]
 
 ADDRESSES_PATH = "/.well-known/cloverhook/addresses"
-LOOK_EVERY_S = 0.05
-SERVES_TIMEOUT_S = 60
+POLL_INTERVAL_S = 0.05
+SERVING_TIMEOUT_S = 60
 
 
-async def is_handed_out(
-    session: aiohttp.ClientSession, fleet: Fleet, vm: str, host: str, asked: str
+async def is_advertised(
+    session: aiohttp.ClientSession, fleet: Fleet, vm: str, host: str, queried_vm: str
 ) -> bool:
     """Return whether a daemon, when asked, tells callers of a host the address of `vm`."""
-    url = f"http://{fleet.daemons[asked].caller_address}{ADDRESSES_PATH}"
+    url = f"http://{fleet.daemons[queried_vm].caller_address}{ADDRESSES_PATH}"
     async with session.get(url, headers={"Host": host}) as answer:
         addresses = (await answer.json()).get("addresses", [])
     return fleet.daemons[vm].caller_address in addresses
@@ -28,7 +28,7 @@
 async def replace_all(
     fleet: Fleet,
     start: Callable[[str], Awaitable[DaemonProcess]],
-    serves: Callable[[str], Awaitable[bool]],
+    is_serving: Callable[[str], Awaitable[bool]],
 ) -> list[int]:
     """Replace the daemons one by one and return the exit codes of the old ones.
 
@@ -43,10 +43,10 @@
         await start(new)
         if stopping is not None:
             codes.append(await stopping)
-        await fleet.list_vms(leaving=frozenset((old,)))
-        async with asyncio.timeout(SERVES_TIMEOUT_S):
-            while not await serves(new):
-                await asyncio.sleep(LOOK_EVERY_S)
+        await fleet.publish_vm_list(leaving_vms=frozenset((old,)))
+        async with asyncio.timeout(SERVING_TIMEOUT_S):
+            while not await is_serving(new):
+                await asyncio.sleep(POLL_INTERVAL_S)
         process = fleet.daemons.pop(old).process
         stopping = asyncio.create_task(process.stop(signal.SIGTERM))
     return codes if stopping is None else [*codes, await stopping]
--- a/features/gateway_soak.py
+++ b/features/gateway_soak.py
@@ -349,25 +349,25 @@
 
     async def store_trouble(self):
         """Let the store refuse, be silent or slow for a while."""
-        self.store.refuse_status = self.source.choice((0, 429, 503))
+        self.store.error_status = self.source.choice((0, 429, 503))
         self.store.silent = self.source.random() < 0.3
         self.store.delay_ms = self.source.choice((0, 300))
         loop = asyncio.get_running_loop()
         loop.call_later(self.source.uniform(0.3, 2.0), self._store_well)
 
     def _store_well(self):
-        self.store.refuse_status, self.store.silent, self.store.delay_ms = 0, False, 0
+        self.store.error_status, self.store.silent, self.store.delay_ms = 0, False, 0
 
     async def store_forgets(self):
         """Drop the store's history."""
         for topic in self.store.topics.values():
-            topic.forget()
+            topic.drop_records()
 
     async def store_restored(self):
         """Let the store be away and come back from an older copy; what was written is again."""
         away_s = self.source.uniform(0.1, 1.0)
         lost = {topic: self.source.randrange(12) for topic in self.store.topics}
-        self.store.refuse_status = 503
+        self.store.error_status = 503
         loop = asyncio.get_running_loop()
         loop.call_later(away_s, self.store.restore, lost)
         loop.call_later(away_s, self._store_well)
--- a/features/loaded_fleet.py
+++ b/features/loaded_fleet.py
@@ -21,7 +21,7 @@
 from cloverhook_emulator.cut_proxy import CutProxy
 from cloverhook_emulator.fleet_runner import Fleet, Process
 from cloverhook_emulator.load import CallMix, Load, LoadPlan, Phase
-from cloverhook_emulator.replacement import is_handed_out, replace_all
+from cloverhook_emulator.replacement import is_advertised, replace_all
 from cloverhook_emulator.run_record import RunRecord, ToldRecord
 
 BRAND = "brathwaite"
@@ -83,7 +83,7 @@
             self._start_backends(servers_each, proxied),
             *(self.start_daemon(name) for name in names),
         )
-        await self.fleet.list_vms()
+        await self.fleet.publish_vm_list()
         self.published_ms = now_ms()
         await self.publish()
         await self.until(self._ready)
@@ -121,10 +121,10 @@
 
     async def until_answered(self, count, matches=lambda record: True):
         """Wait until so many more calls have been answered by a backend server."""
-        start = len(self.load.result.ends)
+        start = len(self.load.result.final_records)
 
         async def enough():
-            ends = self.load.result.ends[start:]
+            ends = self.load.result.final_records[start:]
             return sum(end.status == 200 and matches(end) for end in ends) >= count
 
         try:
@@ -136,7 +136,7 @@
         """Return how the calls since a number ended, and the last lines that each daemon wrote."""
         ends = Counter(
             (end.method, bool(end.idempotency_key), end.address, end.status, end.error)
-            for end in self.load.result.ends[start:]
+            for end in self.load.result.final_records[start:]
         )
         lines = [f"{count} x {end}" for end, count in ends.most_common()]
         for vm, daemon in self.fleet.daemons.items():
@@ -147,7 +147,7 @@
     async def serves(self, vm):
         """Return whether a daemon has the brand and every daemon hands its address out."""
         for asked in self.fleet.daemons:
-            if not await is_handed_out(self.session, self.fleet, vm, HOST, asked):
+            if not await is_advertised(self.session, self.fleet, vm, HOST, asked):
                 return False
         return True
 
@@ -193,12 +193,12 @@
         """End the load and return the checker's report and what ran."""
         self.load.stop()
         result = await self._running
-        assert len(result.ends) == result.calls, (len(result.ends), result.calls)
-        ran = await self.fleet.ran()
+        assert len(result.final_records) == result.calls, (len(result.final_records), result.calls)
+        ran = await self.fleet.run_records()
         for daemon in self.fleet.daemons.values():
             log = daemon.process.log.read_text()
             assert not any(text in log for text in FAULT_TEXTS), log
-        return invariants.check(ran, [*result.told, *self.told]), ran
+        return invariants.check(ran, [*result.request_records, *self.told]), ran
 
     async def close(self):
         """End what runs in this process."""
--- a/features/shared.py
+++ b/features/shared.py
@@ -43,4 +43,4 @@
         await context.fleet.start_daemon(
             f"vm-{index}", data_center, **{"drain_ms": 500, **settings}
         )
-    await context.fleet.list_vms()
+    await context.fleet.publish_vm_list()
--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -58,7 +58,7 @@
         text = CONFIG.format(host=host, endpoints=f'"{backend.address}"') + PATIENT_POLICY
         path = context.fleet.folder / f"{brand}.toml"
         path.write_text(text.replace('"brathwaite"', f'"{brand}"'))
-        code, output, errors = await context.fleet.tool("publish", str(path))
+        code, output, errors = await context.fleet.run_tool("publish", str(path))
         assert code == 0, output + errors
 
     async def followed():
--- a/features/steps/claim_steps.py
+++ b/features/steps/claim_steps.py
@@ -254,7 +254,7 @@
         await context.fleet.start_daemon(f"vm-{index}", "papine", drain_ms=100)
     path = context.fleet.folder / "brand.toml"
     path.write_text(CONFIG.format(host=HOST, endpoints=f'"{context.backend.address}"'))
-    code, output, errors = await context.fleet.tool("publish", str(path))
+    code, output, errors = await context.fleet.run_tool("publish", str(path))
     assert code == 0, output + errors
 
     async def followed():
--- a/features/steps/failure_change_steps.py
+++ b/features/steps/failure_change_steps.py
@@ -129,7 +129,7 @@
     assert seconds == LEAVING_LIMIT_S
 
     async def records():
-        return await context.fleet.counts(), await context.fleet.ran()
+        return await context.fleet.counts(), await context.fleet.run_records()
 
     counts, ran = run(context, records())
     before, after = context.counts[context.leaving], counts[context.leaving]
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -65,7 +65,7 @@
     keys = {uuid.uuid4().hex for _ in range(WRITES)}
 
     async def some_run():
-        return any(record.idempotency_key in keys for record in await fleet.ran())
+        return any(record.idempotency_key in keys for record in await fleet.run_records())
 
     await fleet.set_faults({"hang": True})
     writes = [asyncio.create_task(loaded.write(vm, key)) for key in keys]
@@ -79,7 +79,7 @@
 
 @when('"{vm}" gets {name}')
 def step_signal(context, vm, name):
-    context.fleet.daemons[vm].process.send(signal.Signals[name])
+    context.fleet.daemons[vm].process.send_signal(signal.Signals[name])
 
 
 @when("{count:d} keyed writes hang at {first} and are repeated at {second}")
@@ -111,7 +111,7 @@
     if name == "SIGKILL":
         run(context, process.stop(signal.SIGKILL))
     else:
-        process.send(signal.Signals[name])
+        process.send_signal(signal.Signals[name])
 
 
 @when("the links to backend servers are {modes}")
@@ -131,7 +131,7 @@
     async def refused():
         return any(
             record.error == "log-unavailable" and record.outcome == "unknown"
-            for record in context.loaded.load.result.told
+            for record in context.loaded.load.result.request_records
         )
 
     async def both():
@@ -144,10 +144,10 @@
 @when("a call is told that its deadline passed")
 def step_deadline(context):
     result = context.loaded.load.result
-    seen = len(result.ends)
+    seen = len(result.final_records)
 
     async def told():
-        return any(end.status == DEADLINE_STATUS for end in result.ends[seen:])
+        return any(end.status == DEADLINE_STATUS for end in result.final_records[seen:])
 
     run(context, context.loaded.until(told))
 
@@ -193,7 +193,7 @@
             and end.idempotency_key
             and end.address == address
             and end.intended_ms > asked_ms
-            for end in loaded.load.result.ends
+            for end in loaded.load.result.final_records
         )
 
     for daemon in context.fleet.daemons.values():
@@ -224,5 +224,5 @@
 def step_planned(context):
     report, _ = run(context, context.loaded.end())
     result = context.loaded.load.result
-    unreached = [record for record in result.ends if record.status == 0]
-    assert report.holds and not unreached, (report, unreached)
+    unreached = [record for record in result.final_records if record.status == 0]
+    assert report.is_clean and not unreached, (report, unreached)
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -18,7 +18,7 @@
     path = context.fleet.folder / "brand.toml"
     endpoints = ", ".join(f'"{address}"' for address in context.endpoints)
     path.write_text(CONFIG.format(host=HOST, endpoints=endpoints))
-    code, output, errors = run(context, context.fleet.tool("publish", str(path)))
+    code, output, errors = run(context, context.fleet.run_tool("publish", str(path)))
     assert code == 0, output + errors
 
 
--- a/features/steps/http_steps.py
+++ b/features/steps/http_steps.py
@@ -116,7 +116,7 @@
     endpoints = ", ".join(f'"{backend.address}"' for backend in backends)
     path = context.fleet.folder / "brand.toml"
     path.write_text(CONFIG.format(host=HOST, endpoints=endpoints) + policy)
-    code, output, errors = await context.fleet.tool("publish", str(path))
+    code, output, errors = await context.fleet.run_tool("publish", str(path))
     assert code == 0, output + errors
 
     async def followed():
--- a/features/steps/invariant_steps.py
+++ b/features/steps/invariant_steps.py
@@ -83,7 +83,7 @@
 @then("the checker finds no violation")
 def step_none(context):
     assert not _found(context), _found(context)
-    assert Report().holds
+    assert Report().is_clean
 
 
 @then('the checker finds only "{violation}" of "{identifier}"')
--- a/features/steps/membership_fleet_steps.py
+++ b/features/steps/membership_fleet_steps.py
@@ -33,7 +33,7 @@
     endpoints = ", ".join(f'"{address}"' for address in context.endpoints)
     path = context.fleet.folder / "brand.toml"
     path.write_text(CONFIG.format(host=HOST, endpoints=endpoints, lifetime_ms=LIFETIME_MS))
-    code, output, errors = await context.fleet.tool("publish", str(path))
+    code, output, errors = await context.fleet.run_tool("publish", str(path))
     assert code == 0, output + errors
 
 
@@ -52,7 +52,7 @@
         for index in range(count)
     ]
     await asyncio.gather(*starts)
-    await context.fleet.list_vms()
+    await context.fleet.publish_vm_list()
     await _publish(context)
     await _versions(context, 1)
     await _hand_out(context, list(context.fleet.daemons))
@@ -117,7 +117,7 @@
     callers = [asyncio.create_task(_keep_calling(context, stop, delay)) for delay in delays_ms]
     await asyncio.sleep(2 * LIFETIME_MS / 1000)
     process = context.fleet.daemons[vm].process
-    process.send(signal.SIGTERM)
+    process.send_signal(signal.SIGTERM)
     await asyncio.sleep(LIFETIME_MS / 1000)
     context.exit_code = await process.stop(signal.SIGTERM)
     stop.set()
@@ -141,13 +141,13 @@
 
 @when('"{vm}" is stopped until the others have dropped it')
 def step_paused(context, vm):
-    context.fleet.daemons[vm].process.send(signal.SIGSTOP)
+    context.fleet.daemons[vm].process.send_signal(signal.SIGSTOP)
     run(context, _hand_out(context, [name for name in context.fleet.daemons if name != vm]))
 
 
 @when('"{vm}" goes on')
 def step_goes_on(context, vm):
-    context.fleet.daemons[vm].process.send(signal.SIGCONT)
+    context.fleet.daemons[vm].process.send_signal(signal.SIGCONT)
 
 
 @when("the proxy cuts and an operator publishes again")
--- a/features/steps/operators_steps.py
+++ b/features/steps/operators_steps.py
@@ -20,7 +20,7 @@
 @then("these commands give")
 def step_commands(context):
     for row in context.table:
-        code, output, errors = run(context, context.fleet.tool(*row["command"].split()))
+        code, output, errors = run(context, context.fleet.run_tool(*row["command"].split()))
         told = f"{row['command']}: {code}\n{output}{errors}"
         assert code == int(row["code"]), told
         assert row["output"] in output + errors, told
@@ -32,7 +32,7 @@
     """Ask until it does: a read that waits hears of an outage only when its wait ends."""
 
     async def given():
-        found, text, errors = await context.fleet.tool(*command.split())
+        found, text, errors = await context.fleet.run_tool(*command.split())
         assert found == code and "Traceback" not in errors, (found, errors)
         return output in text
 
@@ -71,7 +71,7 @@
 def step_another(context):
     async def start():
         await context.fleet.start_daemon("vm-9", "papine", drain_ms=500)
-        await context.fleet.list_vms()
+        await context.fleet.publish_vm_list()
 
         async def follows():
             return "saltbush" in (await context.fleet.status("vm-9"))["brands"]
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -203,24 +203,24 @@
 
 @then("a read of lost history says so")
 def step_lost(context):
-    context.server.topic(SERVERS).forget()
+    context.server.topic(SERVERS).drop_records()
     error = raised(context, context.client.changes(Feed.SERVERS, 2, 100))
     assert isinstance(error, HistoryLostError)
 
 
 @then("a refused call is known to have done nothing")
 def step_refused(context):
-    context.server.refuse_status = 429
+    context.server.error_status = 429
     error = raised(context, context.client.newest(Feed.SERVERS))
     assert isinstance(error, PlatformError) and not isinstance(error, PlatformSilentError)
-    context.server.refuse_status = 0
+    context.server.error_status = 0
 
 
 @then("a call without an answer is not, and the next one works on a new connection")
 def step_silent(context):
     before, store_client.TIMEOUT_MS = store_client.TIMEOUT_MS, SHORT_MS
     try:
-        context.server.lost_answers = 1
+        context.server.answers_to_lose = 1
         own = MemberRecord("vm-own", "papine", "10.0.0.3:1", "10.0.0.3:2")
         assert isinstance(raised(context, context.client.announce(own)), PlatformSilentError)
     finally:
--- a/features/steps/silent_link_steps.py
+++ b/features/steps/silent_link_steps.py
@@ -30,10 +30,10 @@
     context.stack.push_async_callback(context.proxy.close)
     context.fleet = await context.stack.enter_async_context(Fleet())
     await context.fleet.start_daemon("vm-0", "papine", drain_ms=100)
-    await context.fleet.list_vms()
+    await context.fleet.publish_vm_list()
     path = context.fleet.folder / "brand.toml"
     path.write_text(CONFIG.format(host=HOST, endpoints=f'"{context.proxy.address}"'))
-    code, output, errors = await context.fleet.tool("publish", str(path))
+    code, output, errors = await context.fleet.run_tool("publish", str(path))
     assert code == 0, output + errors
 
     async def serves():
--- a/features/steps/stand_in_steps.py
+++ b/features/steps/stand_in_steps.py
@@ -51,7 +51,7 @@
         if call.exception() is not None:
             return False
         answer = call.result()
-        return answer.status == status and all(answer.text(name) for name in names)
+        return answer.status == status and all(answer.header_text(name) for name in names)
 
     return wanted
 
@@ -97,7 +97,7 @@
 
 @when("its faults are set to {document}")
 def step_faults(context, document):
-    context.server.set_faults(context.server.faults.changed(json.loads(document)))
+    context.server.set_faults(context.server.faults.with_changes(json.loads(document)))
 
 
 @when("the callers go")
@@ -131,7 +131,7 @@
 def step_on_record(context, count, outcome):
     async def recorded():
         while True:
-            outcomes = [record.outcome.value for record in context.server.ran]
+            outcomes = [record.outcome.value for record in context.server.run_records]
             if outcomes == [outcome] * count:
                 return
             await asyncio.sleep(0.01)
@@ -184,7 +184,9 @@
 def step_all_good(context):
     phase = context.result.phases[0]
     assert phase.calls > 20, phase.calls
-    assert phase.good == phase.calls == len(context.result.told), phase.to_document()
+    assert (
+        phase.succeeded == phase.calls == len(context.result.request_records)
+    ), phase.to_document()
 
 
 @given("{count:d} stand-in servers with a control port")
--- a/features/steps/timeline_steps.py
+++ b/features/steps/timeline_steps.py
@@ -216,7 +216,9 @@
 
 
 def _tool_events(context, *arguments):
-    code, output, errors = run(context, context.fleet.tool("events", "--output=json", *arguments))
+    code, output, errors = run(
+        context, context.fleet.run_tool("events", "--output=json", *arguments)
+    )
     assert code == 0, output + errors
     return [json.loads(line) for line in output.splitlines()]
 
@@ -228,7 +230,7 @@
     for vm in context.fleet.daemons:
         names = [event["name"] for event in events if event["vm"] == vm]
         assert names == expected, names
-    code, text, _ = run(context, context.fleet.tool("events", f"--request={REQUEST_ID}"))
+    code, text, _ = run(context, context.fleet.run_tool("events", f"--request={REQUEST_ID}"))
     assert code == 0
     assert len(text.splitlines()) == len(events)
 
@@ -252,7 +254,7 @@
 @then("the tool writes a trace with a process for each daemon")
 def step_tool_trace(context):
     path = context.fleet.folder / "trace.json"
-    code, output, errors = run(context, context.fleet.tool("events", f"--trace={path}"))
+    code, output, errors = run(context, context.fleet.run_tool("events", f"--trace={path}"))
     assert code == 0, output + errors
     entries = json.loads(path.read_text())["traceEvents"]
     names = {e["args"]["name"] for e in entries if e["name"] == "process_name"}
