--- a/cloverhook_emulator/__init__.py
+++ b/cloverhook_emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for what stands around cloverhook: the platform, backend servers and callers."""
+"""Small stand-ins for the systems around cloverhook: the platform, backend servers and callers."""
--- a/cloverhook_emulator/backend_control.py
+++ b/cloverhook_emulator/backend_control.py
@@ -1,4 +1,4 @@
-"""The control port of a process of stand-in backend servers."""
+"""The control port of a process that runs stand-in backend servers."""
 
 from collections.abc import Mapping
 from dataclasses import asdict
@@ -15,16 +15,16 @@
 
 
 class ControlledServer(Protocol):
-    """What the control port sees of a server."""
+    """The part of a backend server that the control port uses."""
 
     faults: Faults
     run_records: list[RunRecord]
 
     def set_faults(self, faults: Faults) -> None:
-        """Put other faults in force."""
+        """Replace the active faults."""
 
     def counts(self) -> dict[str, int]:
-        """Return how much the server has done and refused."""
+        """Return the counters of handled and rejected work."""
 
 
 class _ServerResource:
@@ -32,12 +32,17 @@
         self._servers = servers
 
     def selected(self, request: falcon.asgi.Request) -> dict[str, ControlledServer]:
-        """Return the servers that the query names, or all."""
+        """Return the servers that the query names, or all when it names none.
+
+        Raises `HTTPNotFound` for an unknown server.
+        """
         names = request.get_param_as_list("server", delimiter=",")
         if not names:
             return dict(self._servers)
         if any(name not in self._servers for name in names):
-            raise falcon.HTTPNotFound(description=f"the servers are {', '.join(self._servers)}")
+            raise falcon.HTTPNotFound(
+                description=f"unknown server; known servers: {', '.join(self._servers)}"
+            )
         return {name: self._servers[name] for name in names}
 
 
@@ -69,7 +74,7 @@
 
 
 async def control_app(servers: Mapping[str, ControlledServer], address: str) -> Listener:
-    """Start the control port for servers by their addresses."""
+    """Start the control port; `servers` maps the address of each server to the server."""
     application = falcon.asgi.App()
     application.add_route("/control", _ControlResource(servers))
     application.add_route("/control/ran", _RunRecordsResource(servers))
--- a/cloverhook_emulator/backend_server.py
+++ b/cloverhook_emulator/backend_server.py
@@ -1,12 +1,12 @@
-"""A stand-in backend server: slots, a queue, work that takes time, and a record of what ran.
+"""A stand-in backend server with slots, a queue, simulated work and a record of what ran.
 
-One process runs many servers, one port each, and one control port for all of them:
+One process runs many servers, each on its own port, and one control port for all of them:
 
-    GET  /control/ran?server=ip:port     what ran (of all servers when none is named)
+    GET  /control/ran?server=ip:port     what ran (on all servers when none is named)
     PUT  /control?server=ip:port         change faults, for example {"slow_factor": 5}
-    GET  /control                        the faults in force, by server
+    GET  /control                        the active faults, by server
 
-See `Faults` for what can be set.
+`Faults` describes what can be set.
 """
 
 import asyncio
@@ -29,17 +29,17 @@
 __all__ = ["BackendServer", "ServerSettings"]
 
 FLAGS = flags.FLAGS
-flags.DEFINE_list("addresses", ["127.0.0.1:0"], "The addresses to listen on, one server each.")
-flags.DEFINE_string("control_address", "127.0.0.1:0", "The address for control.")
-flags.DEFINE_string("brand", "", "The brand whose servers these are; told in every answer.")
-flags.DEFINE_integer("slots", 4, "Requests that are worked on at once; others wait.")
-flags.DEFINE_integer("queue", 100, "Requests that may wait for a slot; others are refused.")
-flags.DEFINE_integer("connections", 200, "Connections that may be open; others are closed.")
-flags.DEFINE_float("work_ms", 20.0, "The mean work of a request.")
-flags.DEFINE_float("work_sigma", 0.8, "The sigma of the work's log-normal distribution.")
-flags.DEFINE_float("probe_ms", 6.0, "What an answer to a health or load request takes.")
-flags.DEFINE_integer("seed", 1, "The seed of the work's random source.")
-flags.DEFINE_string("journal", None, "A file for the record of what ran, as it happens.")
+flags.DEFINE_list("addresses", ["127.0.0.1:0"], "The addresses to listen on; each gets a server.")
+flags.DEFINE_string("control_address", "127.0.0.1:0", "The address of the control port.")
+flags.DEFINE_string("brand", "", "The brand of the servers; sent in a header of answers.")
+flags.DEFINE_integer("slots", 4, "Requests processed at the same time; others are queued.")
+flags.DEFINE_integer("queue", 100, "Requests queued at most; further ones are rejected.")
+flags.DEFINE_integer("connections", 200, "Connections open at most; further ones are closed.")
+flags.DEFINE_float("work_ms", 20.0, "The mean work time of a request, in milliseconds.")
+flags.DEFINE_float("work_sigma", 0.8, "The sigma of the log-normal work time.")
+flags.DEFINE_float("probe_ms", 6.0, "The time to answer a health or load probe, in ms.")
+flags.DEFINE_integer("seed", 1, "The seed of the random work times.")
+flags.DEFINE_string("journal", None, "The file that run records are appended to as they happen.")
 
 LOAD_SAMPLE_INTERVAL_MS = 10
 MAX_LOAD_SAMPLES = 1_000
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerSettings:
-    """What a server can do.  Times are milliseconds."""
+    """The capacity and work times of a server.  Times are milliseconds."""
 
     brand: str = ""
     slots: int = 4
@@ -63,14 +63,14 @@
 
     @classmethod
     def from_flags(cls) -> "ServerSettings":
-        """Return the settings that the command line gives."""
+        """Return the settings given on the command line."""
         names = ("brand", "slots", "queue", "connections", "work_ms", "work_sigma", "probe_ms")
         return cls(**{name: FLAGS[name].value for name in names})
 
 
 @dataclass(eq=False, slots=True)
 class _Work:
-    """A request that waits for a slot or is worked on."""
+    """A request that is queued for a slot or being processed."""
 
     request: IncomingRequest
     deadline_ms: float
@@ -81,7 +81,7 @@
 
 
 class BackendServer:
-    """One server: an address, its slots and its record."""
+    """One backend server with its address, slots, queue and run records."""
 
     def __init__(
         self, settings: ServerSettings, rng: random.Random, journal: RunJournal | None = None
@@ -107,16 +107,20 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that are worked on or wait for a slot."""
+        """The number of requests being processed or queued."""
         return len(self._running) + len(self._queue)
 
     async def start(self, address: str) -> None:
-        """Listen, and sample the load for reports that lag."""
+        """Start listening, and start sampling the load for delayed load reports."""
         await self._http.start(address)
         self._sample_load()
 
     def set_faults(self, faults: Faults) -> None:
-        """Put other faults in force; work that hung goes on when it hangs no longer."""
+        """Replace the active faults.
+
+        Work that hung ends as soon as `hang` is cleared.  A server that was `down` listens on the
+        same address again.
+        """
         hung = self.faults.hang and not faults.hang
         was_down = self.faults.down
         self.faults = faults
@@ -130,7 +134,7 @@
                     work.timer = self._loop.call_later(0, self._work_done, work)
 
     def counts(self) -> dict[str, int]:
-        """Return how much this server has done and refused."""
+        """Return the counters of handled and rejected work."""
         return {
             "in_flight": self.in_flight,
             "waiting": len(self._queue),
@@ -322,7 +326,7 @@
 
 def _main(arguments: list[str]) -> None:
     del arguments
-    gc.disable()  # Its pauses would show up as latency; the process is short-lived.
+    gc.disable()  # Collection pauses would show up as latency; the process is short-lived.
     asyncio.run(_serve())
 
 
--- a/cloverhook_emulator/faults.py
+++ b/cloverhook_emulator/faults.py
@@ -1,4 +1,4 @@
-"""The faults that a stand-in backend server can be given while it runs."""
+"""The faults that can be set on a stand-in backend server while it runs."""
 
 from dataclasses import asdict, dataclass, fields
 from typing import Any
@@ -8,14 +8,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Faults:
-    """What is wrong with a server.
+    """The faults of a server.
 
-    `slow_factor` multiplies the work; `fail_fast` answers 500 after `fail_ms`; `hang` never ends
-    a request; `cut` closes the connection after the work; `down` refuses all connections and cuts
-    those that are open; `drain` refuses new requests and lets those in flight end; `shed_ratio` of
-    new requests is refused before work; `mislead` is the load that is reported instead of the true
-    one (-1: the true one); `report_lag_ms` is the age of what `/load` reports; the first
-    `cold_requests` take `cold_factor` times their work.
+    `slow_factor` multiplies the work time; `fail_fast` answers 500 after `fail_ms`; `hang` never
+    answers a request; `cut` closes the connection after the work; `down` refuses all connections
+    and cuts those that are open; `drain` rejects new requests and lets those in flight end;
+    `shed_ratio` is the share of new requests that are rejected before any work; `mislead` is the
+    load that is reported instead of the true one (-1: the true one); `report_lag_ms` is the age of
+    the load that `/load` reports; the first `cold_requests` requests take `cold_factor` times their
+    work time.
 
     >>> Faults().changed({"slow_factor": 5}).slow_factor
     5
@@ -35,7 +36,7 @@
     cold_factor: float = 5.0
 
     def with_changes(self, document: dict[str, Any]) -> "Faults":
-        """Return these faults with some replaced.  Raises `ValueError` for an unknown name."""
+        """Return a copy with some faults replaced.  Raises `ValueError` for an unknown name."""
         unknown = set(document) - {field.name for field in fields(self)}
         if unknown:
             raise ValueError(f"unknown faults: {', '.join(sorted(unknown))}")
--- a/cloverhook_emulator/http_server.py
+++ b/cloverhook_emulator/http_server.py
@@ -1,7 +1,7 @@
-"""A lean HTTP/1.1 server for the stand-ins: httptools on a plain asyncio protocol.
+"""A lightweight HTTP/1.1 server for the stand-ins: httptools on a plain asyncio protocol.
 
-It shares its machine with the load, so a request costs no task and no copy of its body.  One
-connection serves one request at a time; requests that are sent ahead wait.
+It runs on the same computer as the load generator, so a request costs no task and no copy of its
+body.  One connection serves one request at a time; pipelined requests are queued.
 """
 
 import asyncio
@@ -19,7 +19,11 @@
 
 @dataclass(eq=False, slots=True)
 class IncomingRequest:
-    """A whole request; `body_bytes` is the length of its body, which is not kept."""
+    """A complete request.
+
+    `body_bytes` is the length of its body, which is not kept.  `on_disconnect` is called when the
+    connection is lost before the answer.
+    """
 
     connection: "ServerConnection"
     method: str
@@ -29,7 +33,7 @@
     on_disconnect: Callable[[], None] | None = None
 
     def respond(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
-        """Send the answer, unless the caller has gone."""
+        """Send the answer, unless the connection has been lost."""
         self.connection.respond(self, status, headers, body)
 
     def header_text(self, name: bytes) -> str:
@@ -41,7 +45,7 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """One caller's connection."""
+    """A connection from a caller."""
 
     def __init__(self, server: "HttpServer") -> None:
         self._server = server
@@ -54,43 +58,43 @@
         self._current: IncomingRequest | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, or close it at once when the server has no room."""
+        """Store the transport, or close it at once when the connection limit is reached."""
         self._transport = transport
         if not self._server.try_add(self):
             transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel the request in flight."""
+        """Report the disconnection to the request in flight."""
         self._server.remove(self)
         current, self._current = self._current, None
         if current is not None and current.on_disconnect is not None:
             current.on_disconnect()
 
     def data_received(self, data: bytes) -> None:
-        """Parse; a request that can't be parsed closes the connection."""
+        """Parse requests; an invalid request closes the connection."""
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.reset_connection()
 
     def on_message_begin(self) -> None:
-        """Start another request (called by the parser)."""
+        """Start a new request (called by the parser)."""
         self._url, self._headers, self._body_bytes = b"", {}, 0
 
     def on_url(self, url: bytes) -> None:
-        """Take the target (called by the parser)."""
+        """Append a part of the request target (called by the parser)."""
         self._url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header (called by the parser)."""
+        """Store a header (called by the parser)."""
         self._headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        """Count the body (called by the parser)."""
+        """Count the bytes of the body (called by the parser)."""
         self._body_bytes += len(body)
 
     def on_message_complete(self) -> None:
-        """Hand the request on (called by the parser)."""
+        """Queue the request, and handle it if none is in flight (called by the parser)."""
         method = self._parser.get_method().decode()
         path = self._url.decode("latin-1")
         self._pipelined.append(IncomingRequest(self, method, path, self._headers, self._body_bytes))
@@ -103,7 +107,10 @@
         headers: list[tuple[bytes, bytes]],
         body: bytes,
     ) -> None:
-        """Send an answer to the request in flight and go on with the next one."""
+        """Answer the request in flight and handle the next one.
+
+        An answer to any other request is dropped.
+        """
         if request is not self._current:
             return
         self._current = None
@@ -127,7 +134,7 @@
 
 @dataclass(slots=True)
 class HttpServer:
-    """A listening address; `handler` gets each request and answers it now or later."""
+    """A listening address.  `handler` receives each request and answers it at once or later."""
 
     handler: Handler
     connection_limit: int = 1_000_000
@@ -137,7 +144,7 @@
     _listener: asyncio.Server | None = None
 
     async def start(self, address: str) -> None:
-        """Listen on `ip:port`; port 0 takes any free one."""
+        """Listen on `ip:port`; port 0 selects any free port."""
         host, _, port = address.rpartition(":")
         self._listener = await asyncio.get_running_loop().create_server(
             lambda: ServerConnection(self), host, int(port), backlog=BACKLOG
@@ -145,7 +152,7 @@
         self.address = "{}:{}".format(*self._listener.sockets[0].getsockname())
 
     def try_add(self, connection: ServerConnection) -> bool:
-        """Return whether there is room for another connection."""
+        """Register a connection; return False when the connection limit is reached."""
         if len(self.connections) >= self.connection_limit:
             self.refused_connections += 1
             return False
@@ -153,11 +160,11 @@
         return True
 
     def remove(self, connection: ServerConnection) -> None:
-        """Take note that a connection has gone."""
+        """Remove a connection that has been lost."""
         self.connections.discard(connection)
 
     def close(self) -> None:
-        """Stop to listen and cut all connections."""
+        """Stop listening and reset all connections."""
         if self._listener is not None:
             self._listener.close()
         for connection in tuple(self.connections):
--- a/cloverhook_emulator/invariants.py
+++ b/cloverhook_emulator/invariants.py
@@ -1,6 +1,6 @@
-"""Compares what backend servers ran with what callers were told.
+"""Compares the run records of backend servers with the answers that callers received.
 
-Free of input and output.  For example, a booking that ran twice:
+The module does no input or output.  For example, a booking that ran twice:
 
 >>> from cloverhook_emulator.run_record import RunOutcome, RunRecord, ToldRecord
 >>> run = RunRecord("s1", "b", "r1", "", "POST", 0.0, 5.0, RunOutcome.DONE, "r1")
@@ -26,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """The violations that were found, each as the request identifiers or keys concerned.
-
-    `lost`: told as run with no run on record, or left without any final answer.  `doubled`: a
-    request that is not idempotent, or an idempotency key, that was started more than once; a run
-    that was cancelled or failed counts, since nobody can tell how far it came.  `crossed`: an
-    answer that is not the request's own, or comes from another brand.  `cut`: a request that a
-    broken connection ended; only failures that were not planned excuse it.  `false_not_run`: told
-    "not run", but it ran.
+    """The violations found, each given by the request identifiers or idempotency keys concerned.
+
+    `lost`: a request that was reported as run but has no run on record, or that never got a final
+    answer.  `doubled`: a non-idempotent request, or an idempotency key, whose work was started more
+    than once; a cancelled or failed run counts, because it is unknown how far it came.  `crossed`:
+    a request that got the answer to another request or from another brand.  `cut`: a request that
+    ended with a broken connection; only unplanned failures excuse it.  `false_not_run`: a request
+    that was reported as "not run" but ran.
     """
 
     lost: tuple[str, ...] = ()
@@ -48,7 +48,7 @@
         return not any(getattr(self, field.name) for field in fields(self))
 
     def merged_with(self, other: "Report") -> "Report":
-        """Return the violations of both reports."""
+        """Return a report of the violations of both reports."""
         names = [field.name for field in fields(self)]
         return Report(*(getattr(self, name) + getattr(other, name) for name in names))
 
@@ -60,8 +60,8 @@
 ) -> Report:
     """Compare records and return the violations.
 
-    `sent` holds the identifiers of all requests that callers sent, to find those that were never
-    told anything.
+    `sent_ids` holds the identifiers of all requests that callers sent, to find those that never got
+    an answer.
     """
     runs: dict[str, list[RunRecord]] = defaultdict(list)
     for record in run_records:
@@ -88,9 +88,9 @@
 def _has_expected_run(
     item: ToldRecord, runs: dict[str, list[RunRecord]], keys: set[tuple[str, str]]
 ) -> bool:
-    """Return whether a request that was told as run has a run on record.
+    """Return whether a request that was reported as run has a run on record.
 
-    A repeat under an idempotency key is told what became of the key's first run.
+    A retry with an idempotency key gets the outcome of the first run of that key.
     """
     if item.status == OK:
         records = runs.get(item.answer_id, ()) if item.idempotency_key else ()
--- a/cloverhook_emulator/run_record.py
+++ b/cloverhook_emulator/run_record.py
@@ -1,4 +1,4 @@
-"""What backend servers keep of the requests they ran, and callers of what they were told.
+"""The records that backend servers keep of their runs, and callers of the answers they received.
 
 Both are JSON objects outside the process, so that `invariants.check` can compare them.
 """
@@ -16,8 +16,9 @@
 class RunOutcome(Enum):
     """How a run ended.
 
-    `UNFINISHED` is work that still goes on; `CUT` is work whose connection the server itself
-    closed after the work.
+    `UNFINISHED` is work still in progress.  `CANCELLED` is work whose caller disconnected,
+    `STOPPED` is work stopped at its deadline, and `CUT` is work after which the server itself
+    closed the connection.
     """
 
     UNFINISHED = "unfinished"
@@ -54,14 +55,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ToldRecord:
-    """What a caller was told in answer to one request that it sent.
-
-    `status` is 0 when there was no answer, and `error` then says why; else `error` is the value of
-    the error header, and `outcome` that of the outcome header.  `answer_id` and `answer_brand` are
-    the request identifier in the answer's body and the brand that the backend server named.
-    `intended_ms` is the wall-clock time at which the call was due, `latency_ms` counts from it,
-    and `work_ms` is the work itself as the backend server told it.  `sent` is False when no byte
-    of the request left the caller.
+    """A caller's record of one request and of the answer that it received.
+
+    `status` is 0 when there was no answer, and `error` then gives the reason; otherwise `error` is
+    the value of the error header.  `outcome` is the value of the outcome header.  `answer_id` and
+    `answer_brand` are the request identifier in the body of the answer and the brand that the
+    backend server reported.  `intended_ms` is the wall-clock time at which the call was due,
+    `latency_ms` is measured from it, and `work_ms` is the work time that the backend server
+    reported.  `sent` is False when no byte of the request was sent.
     """
 
     request_id: str
@@ -91,16 +92,16 @@
 
 
 class RunJournal:
-    """A file of what ran, which outlives a server that is killed.
+    """A file of run records that remains after a server has been killed.
 
-    A record is written when its run starts and again when it ends, before the answer leaves.
+    A record is written when its run starts and again when it ends, before the answer is sent.
     """
 
     def __init__(self, path: Path) -> None:
         self._file = os.open(path, os.O_CREAT | os.O_APPEND | os.O_WRONLY)
 
     def write(self, record: RunRecord) -> None:
-        """Append a record; `id` tells the runs of one request apart."""
+        """Append a record; its `id` distinguishes several runs of one request."""
         line = json.dumps({"run": id(record), **record.to_document()})
         os.write(self._file, f"{line}\n".encode())
 
