--- a/cloverhook_emulator/caller.py
+++ b/cloverhook_emulator/caller.py
@@ -1,8 +1,9 @@
-"""A caller: asks a daemon which addresses to use, keeps the answer for its lifetime, and calls.
+"""A caller: fetches addresses from a daemon, keeps them for their lifetime, and sends requests.
 
-It repeats a request only as an ordinary caller would: at the next address when no byte of it was
-sent, after the time that a "not run" answer gives, and after a cut when it is a read or carries
-an idempotency key.  A write without a key is never repeated when it may have run.
+It retries a request only as an ordinary caller would: at the next address when no byte of the
+request was sent, after the delay given by a "not run" answer, and after a request that got no
+complete answer when the request is a read or carries an idempotency key.  A write without a key is
+never retried when it may have run.
 """
 
 import asyncio
@@ -31,7 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """What a caller wants: one logical call, which may take several requests."""
+    """One logical call, which may take several requests.
+
+    `intended_ms` is the wall-clock time at which the call is due.  With `keyed`, its requests carry
+    an idempotency key.
+    """
 
     method: str
     path: str
@@ -41,21 +46,22 @@
 
     @property
     def is_read(self) -> bool:
-        """Whether the call only reads."""
+        """Whether the call is a read."""
         return self.method == "GET"
 
     @property
     def retryable(self) -> bool:
-        """Whether a repeat is safe although the call may have run."""
+        """Whether a retry is safe even though the call may have run."""
         return self.is_read or self.keyed
 
 
 class Caller:
     """One caller of a service.
 
-    `seeds` are addresses of daemons that it may ask first.  It uses the first of the addresses it
-    is told, or any of them at random with `spread`.  `stale_ms` keeps an answer about addresses
-    for longer than its lifetime.
+    `seed_addresses` are the daemons from which it may first fetch addresses.  A call goes to the
+    first address of the fetched list and its retries to the following ones; with `spread`, each
+    request goes to a random address of the list.  `min_lifetime_ms` keeps a list for longer than
+    its lifetime.  `on_record` receives the record of each request.
     """
 
     def __init__(
@@ -83,7 +89,7 @@
         self._pool = ClientPool()
 
     async def call(self, call: Call) -> ToldRecord:
-        """Make a call with its repeats and return what was told last."""
+        """Make a call, with retries, and return the record of its last request."""
         key = uuid.uuid4().hex if call.keyed else ""
         for attempt in range(self._max_retries + 1):
             record, wait_s = await self._send_request(call, key, attempt)
@@ -170,7 +176,7 @@
         if now_ms() >= self._addresses_expire_ms or not self._addresses:
             await self._refresh()
         if not self._addresses:
-            raise CallError("no daemon tells addresses", sent=False)
+            raise CallError("no daemon returned addresses", sent=False)
         if self._spread:
             return self._random.choice(self._addresses)
         return self._addresses[attempt % len(self._addresses)]
@@ -181,12 +187,12 @@
         await asyncio.shield(self._refresh_task)
 
     async def _fetch_addresses(self) -> None:
-        known = [
+        candidates = [
             *self._addresses,
             *self._random.sample(self._seed_addresses, len(self._seed_addresses)),
         ]
         request = f"GET {ADDRESSES_PATH} HTTP/1.1\r\nhost: {self._host}\r\n\r\n".encode()
-        for address in known:
+        for address in candidates:
             try:
                 answer = await self._pool.call(address, request, ADDRESSES_TIMEOUT_S)
             except CallError:
--- a/cloverhook_emulator/cut_proxy.py
+++ b/cloverhook_emulator/cut_proxy.py
@@ -1,7 +1,7 @@
-"""A stand-in for a network that fails: a TCP proxy whose connections can be cut or go silent.
+"""A stand-in for a failing network: a TCP proxy that can cut its connections or drop their bytes.
 
-The mode is set in process by `CutProxy.set_mode`, or with `PUT /v1/mode` and the JSON body
-`{"mode": "silent"}` on the control port.  For example, to make the open connections go silent for
+The mode is set in the process by `CutProxy.set_mode`, or with `PUT /v1/mode` and the JSON body
+`{"mode": "silent"}` on the control port.  For example, to make the open connections silent for
 good while new ones work:
 
     proxy.set_mode(Mode.SILENT)
@@ -23,19 +23,19 @@
 
 FLAGS = flags.FLAGS
 flags.DEFINE_string("proxy_address", "127.0.0.1:0", "The address that the proxy listens on.")
-flags.DEFINE_string("proxy_control_address", "127.0.0.1:0", "The address that takes the mode.")
-flags.DEFINE_string("proxy_target", "", "The address that connections are passed on to.")
+flags.DEFINE_string("proxy_control_address", "127.0.0.1:0", "The address of the control port.")
+flags.DEFINE_string("proxy_target", "", "The address to forward connections to.")
 
 CHUNK_BYTES = 64 * 1024
 
 
 class Mode(Enum):
-    """What the proxy does.
+    """How the proxy treats its connections.
 
-    `PASS` passes bytes both ways.  `SILENT` keeps connections open and drops their bytes; a
-    connection that was open in this mode stays silent for good.  `CUT` resets every connection,
-    open and new.  `ONE_WAY` passes bytes towards the target and drops those that come back; a
-    connection that lost bytes that way stays so for good.
+    `PASS` forwards bytes in both directions.  `SILENT` keeps connections open and drops their
+    bytes; a connection that was open in this mode stays silent for good.  `CUT` resets every
+    connection, open and new.  `ONE_WAY` forwards bytes to the target and drops those from the
+    target; a connection that was open in this mode stays one-way for good.
     """
 
     PASS = "pass"
@@ -45,7 +45,7 @@
 
 
 class _ConnectionPair:
-    """A caller's connection and the one to the target that belongs to it."""
+    """A connection of a caller and the corresponding connection to the target."""
 
     def __init__(self, caller: asyncio.StreamWriter, target: asyncio.StreamWriter) -> None:
         self.writers = (caller, target)
@@ -53,7 +53,7 @@
         self.forwards_answers = True
 
     def apply(self, mode: Mode) -> None:
-        """Take a mode; what was dropped once is dropped for good."""
+        """Apply a mode; a direction once disabled stays disabled."""
         if mode is Mode.CUT:
             self.abort()
         if mode is Mode.SILENT:
@@ -78,13 +78,13 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, address: str = "127.0.0.1:0") -> None:
-        """Start to accept connections; `address` tells where afterwards."""
+        """Start accepting connections, and set `self.address` to the bound address."""
         host, _, port = address.rpartition(":")
         self._server = await asyncio.start_server(self._accept, host, int(port))
         self.address = "{}:{}".format(*self._server.sockets[0].getsockname())
 
     async def close(self) -> None:
-        """Reset every connection and stop."""
+        """Stop listening and reset every connection."""
         if self._server is not None:
             self._server.close()
         while self._pairs:
--- a/cloverhook_emulator/http_client.py
+++ b/cloverhook_emulator/http_client.py
@@ -1,6 +1,6 @@
-"""A lean HTTP/1.1 client for load: httptools on an asyncio protocol, and a pool of connections.
+"""A lightweight HTTP/1.1 client for load generation: httptools on asyncio, and a connection pool.
 
-The generator of load must not be what limits it, so a call costs one future and no task.
+The load generator must not be the bottleneck, so a call costs one future and no task.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 
 class CallError(Exception):
-    """A call without a whole answer.  `sent` is False when no byte of it left."""
+    """A call that got no complete answer.  `sent` is False when no byte of it was sent."""
 
     def __init__(self, reason: str, sent: bool) -> None:
         super().__init__(reason)
@@ -36,7 +36,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection; it carries one call at a time."""
+    """One connection, which carries one call at a time."""
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
@@ -47,17 +47,17 @@
         self.unexpected_bytes = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the call in flight."""
+        """Fail the call in flight, if there is one."""
         self.closed = True
         if self._future is not None and not self._future.done():
-            self._future.set_exception(CallError(f"cut: {exc!r}", sent=True))
+            self._future.set_exception(CallError(f"connection lost: {exc!r}", sent=True))
 
     def data_received(self, data: bytes) -> None:
-        """Feed the answer; bytes that nobody asked for close the connection."""
+        """Parse the answer; bytes that arrive without a call in flight close the connection."""
         if self._future is None or self._future.done():
             self.unexpected_bytes += len(data)
             self.close()
@@ -65,19 +65,19 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._future.set_exception(CallError(f"not an answer: {error!r}", sent=True))
+            self._future.set_exception(CallError(f"invalid answer: {error!r}", sent=True))
             self.close()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header (called by the parser)."""
+        """Store a header (called by the parser)."""
         self._answer.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        """Take a piece of the body (called by the parser)."""
+        """Append a part of the body (called by the parser)."""
         self._answer.body += body
 
     def on_message_complete(self) -> None:
-        """End the call (called by the parser)."""
+        """Complete the call with its answer (called by the parser)."""
         self._answer.status = self._parser.get_status_code()
         if not self._parser.should_keep_alive():
             self.close()
@@ -85,11 +85,11 @@
             self._future.set_result(self._answer)
 
     def send(self, request: bytes) -> asyncio.Future[HttpAnswer]:
-        """Send a whole request; the future ends with the answer or a `CallError`."""
+        """Send a complete request; the returned future gets the answer or a `CallError`."""
         self._future = asyncio.get_running_loop().create_future()
         if self.closed or self._transport.is_closing():
             self.closed = True
-            self._future.set_exception(CallError("closed before use", sent=False))
+            self._future.set_exception(CallError("connection closed before use", sent=False))
             return self._future
         self._answer = HttpAnswer()
         self._parser = httptools.HttpResponseParser(self)
@@ -103,7 +103,7 @@
 
 
 class ClientPool:
-    """Idle connections by address."""
+    """A pool of idle connections, by address."""
 
     def __init__(self) -> None:
         self._idle: dict[str, deque[ClientConnection]] = {}
--- a/cloverhook_emulator/load.py
+++ b/cloverhook_emulator/load.py
@@ -1,7 +1,7 @@
-"""An open-loop load tool: arrivals are Poisson and do not wait for answers.
+"""An open-loop load tool: arrivals are a Poisson process and do not wait for answers.
 
-Latency counts from the time at which a call was due, so that a stall of the system, or of this
-tool, is not hidden.  How late the tool itself was is reported as `lag_ms`.
+Latency is measured from the time at which a call was due, so that a stall of the system, or of this
+tool, is not hidden.  The delay of the tool itself is reported as `lag_ms`.
 
     python -m cloverhook_emulator.load --daemons=127.0.0.1:8080 --host=orders.saltbush.example
         --caller_brand=saltbush --phases=200:5,400:0.2,200:5 --report=load.json
@@ -26,23 +26,23 @@
 __all__ = ["CallMix", "Load", "LoadPlan", "LoadResult", "Phase", "PhaseResult", "run_load"]
 
 FLAGS = flags.FLAGS
-flags.DEFINE_list("daemons", [], "Daemons' addresses for callers; a caller asks one of them first.")
+flags.DEFINE_list("daemons", [], "Caller addresses of daemons; a caller asks a random one first.")
 flags.DEFINE_string("host", "", "The host name of the service.")
 flags.DEFINE_string("caller_brand", "", "The brand that the callers belong to.")
-flags.DEFINE_list("phases", ["100:5"], "The phases of the load, calls_per_s:seconds each.")
-flags.DEFINE_list("paths", ["/"], "The paths that calls ask for, in equal parts.")
-flags.DEFINE_integer("callers", 20, "How many callers there are.")
+flags.DEFINE_list("phases", ["100:5"], "The phases of the load, each as calls_per_s:seconds.")
+flags.DEFINE_list("paths", ["/"], "The paths of the calls, in equal shares.")
+flags.DEFINE_integer("callers", 20, "The number of callers.")
 flags.DEFINE_bool("unequal", False, "One caller in ten sends half of the load.")
-flags.DEFINE_float("stale_ratio", 0.0, "The part of callers that keep addresses for 30 s.")
-flags.DEFINE_bool("spread", False, "Callers use any address they are told, not the first.")
-flags.DEFINE_float("write_ratio", 0.3, "The part of calls that are writes.")
-flags.DEFINE_float("keyed_ratio", 0.5, "The part of writes with an idempotency key.")
-flags.DEFINE_integer("timeout_ms", 5_000, "The deadline of a call.")
-flags.DEFINE_integer("repeats", 2, "How often a caller repeats a call at most.")
-flags.DEFINE_integer("load_seed", 1, "The seed of arrivals and choices.")
-flags.DEFINE_float("start_at_ms", 0, "The wall-clock time to start at; 0: at once.")
-flags.DEFINE_bool("spin", False, "Spin for exact starts; takes a whole core.")
-flags.DEFINE_string("report", None, "The file for the report, with all records.")
+flags.DEFINE_float("stale_ratio", 0.0, "The share of callers that keep addresses for 30 s.")
+flags.DEFINE_bool("spread", False, "Callers use a random address of the list, not the first.")
+flags.DEFINE_float("write_ratio", 0.3, "The share of calls that are writes.")
+flags.DEFINE_float("keyed_ratio", 0.5, "The share of writes with an idempotency key.")
+flags.DEFINE_integer("timeout_ms", 5_000, "The time limit of a call, in milliseconds.")
+flags.DEFINE_integer("repeats", 2, "The maximum number of retries of a call.")
+flags.DEFINE_integer("load_seed", 1, "The seed of arrival times and random choices.")
+flags.DEFINE_float("start_at_ms", 0, "The wall-clock start time in ms; 0: at once.")
+flags.DEFINE_bool("spin", False, "Busy-wait for exact start times; uses a whole core.")
+flags.DEFINE_string("report", None, "The file for the report, which includes all records.")
 
 MAX_LATENCY_US = 120_000_000
 STALE_ADDRESS_LIFETIME_MS = 30_000.0
@@ -54,14 +54,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Phase:
-    """A time with a steady rate of calls."""
+    """A period with a constant mean rate of calls."""
 
     calls_per_s: float
     duration_s: float
 
     @classmethod
     def from_text(cls, text: str) -> "Phase":
-        """Read `calls_per_s:seconds`.
+        """Parse `calls_per_s:seconds`.
 
         >>> Phase.from_text("200:0.5")
         Phase(calls_per_s=200.0, duration_s=0.5)
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallMix:
-    """What callers ask for; ratios are 0 to 1."""
+    """The kinds of calls that callers make; ratios are from 0 to 1."""
 
     write_ratio: float = 0.3
     keyed_ratio: float = 0.5
@@ -80,7 +80,7 @@
     timeout_ms: int = 5_000
 
     def next_call(self, intended_ms: float, rng: random.Random) -> Call:
-        """Return the next call."""
+        """Return a random call that is due at `intended_ms`."""
         path = rng.choice(self.paths)
         if rng.random() >= self.write_ratio:
             return Call("GET", path, intended_ms, self.timeout_ms)
@@ -90,10 +90,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadPlan:
-    """A load on one service.
+    """The parameters of a load on one service.
 
-    With `unequal`, one caller in ten sends half of the calls; `stale_ratio` of the callers keep
-    the addresses they were told for 30 s; `spread` lets callers use any address they are told.
+    With `unequal`, one caller in ten sends half of the calls; a share `stale_ratio` of the callers
+    keeps fetched addresses for 30 s; with `spread`, callers use a random address of the list.
     """
 
     host: str
@@ -112,7 +112,7 @@
 
     @classmethod
     def from_flags(cls) -> "LoadPlan":
-        """Return the plan that the command line gives."""
+        """Return the plan given on the command line."""
         return cls(
             FLAGS.host,
             FLAGS.caller_brand,
@@ -143,7 +143,11 @@
 
 @dataclass(slots=True)
 class PhaseResult:
-    """What became of the calls that were due in one phase; only good answers count in latency."""
+    """The outcomes of the calls that were due in one phase.
+
+    Only answers with status 200 count in `latency` and in `waiting`, the latency without the work
+    time.  `lag` is the delay with which the tool started its calls.
+    """
 
     phase: Phase
     latency: HdrHistogram = field(default_factory=_histogram)
@@ -154,7 +158,7 @@
     outcomes: Counter[str] = field(default_factory=Counter)
 
     def add(self, record: ToldRecord) -> None:
-        """Count the end of a call."""
+        """Count a call by the record of its last request."""
         self.outcomes[f"{record.status} {record.outcome} {record.error}".strip()] += 1
         if record.status != 200:
             return
@@ -164,7 +168,7 @@
         self.waiting.record_value(max(1, int(waiting_ms * 1000)))
 
     def to_document(self) -> dict[str, Any]:
-        """Return the figures; times are milliseconds."""
+        """Return the results as a JSON object; times are milliseconds."""
         return {
             "calls_per_s": self.phase.calls_per_s,
             "duration_s": self.phase.duration_s,
@@ -179,9 +183,10 @@
 
 @dataclass(slots=True)
 class LoadResult:
-    """What became of a load.
+    """The result of a load.
 
-    `told` holds a record for every request, and `ends` the last one of every call.
+    `request_records` holds a record for every request, and `final_records` the last one of every
+    call.
     """
 
     phases: list[PhaseResult]
@@ -190,11 +195,11 @@
 
     @property
     def calls(self) -> int:
-        """Logical calls, each of which may have taken several requests."""
+        """The number of logical calls, each of which may have taken several requests."""
         return sum(phase.calls for phase in self.phases)
 
     def to_document(self) -> dict[str, Any]:
-        """Return the report, with all records."""
+        """Return the report as a JSON object, with all records."""
         return {
             "calls": self.calls,
             "phases": [phase.to_document() for phase in self.phases],
@@ -204,7 +209,7 @@
 
 
 class Load:
-    """A load under way; `result` grows as calls end."""
+    """A running load; `result` grows as calls end."""
 
     def __init__(self, plan: LoadPlan) -> None:
         self._plan = plan
@@ -220,11 +225,11 @@
         self._stopped = False
 
     def stop(self) -> None:
-        """Make no more calls; those under way still end."""
+        """Start no more calls; calls in flight still complete."""
         self._stopped = True
 
     async def run(self) -> LoadResult:
-        """Carry the plan out and return what became of it, once every call has ended."""
+        """Execute the plan, and return its result once every call has ended."""
         start_ms = max(self._plan.start_at_ms, now_ms())
         for result in self.result.phases:
             end_ms = start_ms + result.phase.duration_s * 1000
@@ -250,14 +255,14 @@
             due_ms += self._next_gap_ms(result.phase)
 
     async def _wait_until(self, due_ms: float) -> None:
-        ahead_s = (due_ms - now_ms()) / 1000
+        remaining_s = (due_ms - now_ms()) / 1000
         if self._plan.spin:
-            if ahead_s > SPIN_BEFORE_START_S:
-                await asyncio.sleep(ahead_s - SPIN_BEFORE_START_S)
+            if remaining_s > SPIN_BEFORE_START_S:
+                await asyncio.sleep(remaining_s - SPIN_BEFORE_START_S)
             while now_ms() < due_ms:
                 await asyncio.sleep(0)
-        elif ahead_s > 0:
-            await asyncio.sleep(ahead_s)
+        elif remaining_s > 0:
+            await asyncio.sleep(remaining_s)
 
     async def _call(self, result: PhaseResult, due_ms: float) -> None:
         call = self._plan.mix.next_call(due_ms, self._random)
@@ -287,13 +292,13 @@
 
 
 async def run_load(plan: LoadPlan) -> LoadResult:
-    """Carry a plan out and return what became of it, once every call has ended."""
+    """Execute a plan, and return its result once every call has ended."""
     return await Load(plan).run()
 
 
 def _main(arguments: list[str]) -> None:
     del arguments
-    gc.disable()  # Its pauses would show up as latency; the process is short-lived.
+    gc.disable()  # Collection pauses would show up as latency; the process is short-lived.
     document = asyncio.run(run_load(LoadPlan.from_flags())).to_document()
     if FLAGS.report is not None:
         Path(FLAGS.report).write_text(json.dumps(document))
