--- a/cloverhook_emulator/demo.py
+++ b/cloverhook_emulator/demo.py
@@ -1,11 +1,12 @@
-"""Runs both example deployments at small scale on loopback and checks what became of every call.
+"""Runs both example deployments at small scale on loopback and checks the outcome of every call.
 
 While callers send load, an operator switches a preset and one daemon is stopped.  The last line
-says what was found:
+gives the result:
 
     calls=N answered=N lost=0 doubled=0 crossed=0 cut=0
 
-The exit code is 0 when nothing was lost, doubled, crossed or cut.
+The exit code is 0 when nothing was lost, doubled, crossed or cut, and the stopped daemon exited
+with code 0.
 """
 
 import asyncio
@@ -87,25 +88,25 @@
 
 
 async def _run_operations(fleet: Fleet, brand: str) -> bool:
-    """Switch a preset and stop a daemon; return whether it stopped well."""
+    """Switch a preset and stop a daemon; return whether the daemon exited with code 0."""
     await asyncio.sleep(SWITCH_AFTER_S)
     await _run_tool(fleet, "switch", brand, "peak")
     await asyncio.sleep(STOP_AFTER_S - SWITCH_AFTER_S)
     daemon = next(iter(fleet.daemons.values()))
-    _print_progress(f"{daemon.vm} is stopped under load")
+    _print_progress(f"stopping {daemon.vm} under load")
     code = await daemon.process.stop(signal.SIGTERM)
-    _print_progress(f"{daemon.vm} has ended with exit code {code}")
+    _print_progress(f"{daemon.vm} exited with code {code}")
     return code == 0
 
 
 async def _report_outcome(fleet: Fleet, results: list[LoadResult], stopped_cleanly: bool) -> int:
-    told = [record for result in results for record in result.request_records]
-    report = invariants.check(await fleet.run_records(), told)
-    ends = [record for result in results for record in result.final_records]
+    caller_records = [record for result in results for record in result.request_records]
+    report = invariants.check(await fleet.run_records(), caller_records)
+    final_records = [record for result in results for record in result.final_records]
     calls = sum(result.calls for result in results)
-    answered = sum(record.status != 0 for record in ends)
-    never_answered = sum(record.status == 0 and not record.sent for record in ends)
-    lost = len(report.lost) + never_answered + calls - len(ends)
+    answered = sum(record.status != 0 for record in final_records)
+    never_answered = sum(record.status == 0 and not record.sent for record in final_records)
+    lost = len(report.lost) + never_answered + calls - len(final_records)
     passed = report.is_clean and not lost and stopped_cleanly
     if not passed:
         print(f"demo: {report}", file=sys.stderr)
@@ -136,12 +137,12 @@
 
 def _main(arguments: list[str]) -> int:
     del arguments
-    # A shell without job control starts what runs in the background with SIGINT ignored.
+    # A shell without job control starts background commands with SIGINT ignored.
     signal.signal(signal.SIGINT, signal.default_int_handler)
     try:
         return asyncio.run(_run_until_signal())
     except (KeyboardInterrupt, asyncio.CancelledError):
-        print("demo: interrupted; everything it started has ended", file=sys.stderr)
+        print("demo: interrupted; all processes that it started have ended", file=sys.stderr)
         return EXIT_INTERRUPTED
 
 
--- a/cloverhook_emulator/deployment.py
+++ b/cloverhook_emulator/deployment.py
@@ -1,6 +1,7 @@
-"""Starts a deployment of `examples/` on loopback: its backend servers, and its file for operators.
+"""Starts an example deployment on loopback: backend servers, and the brand file to publish.
 
-The file keeps its text; only the addresses of endpoints are replaced, by those of stand-ins.
+The file keeps its text, except that the addresses of its endpoints are replaced by the addresses of
+the stand-ins.
 """
 
 import re
@@ -21,14 +22,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """A brand's file as text, and what it describes."""
+    """The text of a brand file from `examples/`, and the brand that it describes."""
 
     text: str
     brand: Brand
 
     @classmethod
     def from_file(cls, path: Path) -> "Deployment":
-        """Read an operator's file.  Raises `ConfigError` with every fault."""
+        """Read a brand file.  Raises `ConfigError`, which lists every fault of the file."""
         text = path.read_text()
         return cls(text, Brand.from_document(tomllib.loads(text)))
 
@@ -36,30 +37,31 @@
     def data_centers(self) -> list[str]:
         """The data centres of the deployment, in the order of the file."""
         services = self.brand.services
-        places = (endpoint.data_center for item in services for endpoint in item.endpoints)
-        return list(dict.fromkeys(places))
+        names = (endpoint.data_center for item in services for endpoint in item.endpoints)
+        return list(dict.fromkeys(names))
 
     def service(self, name: str) -> Service:
         """Return a service by its name."""
         return next(service for service in self.brand.services if service.name == name)
 
     def with_only_service(self, name: str) -> "Deployment":
-        """Return the deployment with a single service."""
+        """Return the deployment reduced to one service."""
         head, *parts = re.split(r"(?m)^(?=\[\[services\]\]$)", self.text)
         text = head + next(part for part in parts if f'name = "{name}"' in part)
         return Deployment(text, Brand.from_document(tomllib.loads(text)))
 
     def with_home_vms(self, count: int) -> "Deployment":
-        """Return the deployment with another number of home VMs for every service."""
+        """Return the deployment with `count` home VMs for every service that sets them."""
         text = HOME_VMS.sub(f"home_vms = {count}", self.text)
         return Deployment(text, Brand.from_document(tomllib.loads(text)))
 
     async def start(
         self, fleet: Fleet, *arguments: str, endpoints_per_data_center: int | None = None
     ) -> Path:
-        """Start the backend servers, one process a service, and return the file to publish.
+        """Start the backend servers, one process per service, and return the file to publish.
 
-        With `endpoints_per_place`, no place has more than that.
+        `arguments` are passed to the processes.  With `endpoints_per_data_center`, each service has
+        at most that many endpoints in a data centre.
         """
         addresses: list[list[str]] = []
         for service in self.brand.services:
--- a/cloverhook_emulator/faulty_platform.py
+++ b/cloverhook_emulator/faulty_platform.py
@@ -1,4 +1,4 @@
-"""A platform in memory that fails on demand, for tests in process and for the HTTP stand-in."""
+"""An in-memory platform that fails on demand, for in-process tests and for the HTTP stand-in."""
 
 import asyncio
 import time
@@ -17,10 +17,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformFaults:
-    """The faults in force.
+    """The active faults of the platform.
 
-    `lose_append_answers` is True for every append, or the number of appends whose answers are
-    still to be lost; such an append takes effect.  With `down`, no call has an effect.
+    `slow_ms` delays every call.  `lose_append_answers` is True to lose the answer to every append,
+    or the number of appends whose answers are still to be lost; such an append takes effect.  With
+    `down`, no call takes effect.
     """
 
     down: bool = False
@@ -30,7 +31,7 @@
 
 
 class FaultyPlatform(MemoryPlatform):
-    """A platform in memory with settable faults and a limit of appends per second."""
+    """An in-memory platform with settable faults and a limit of appends per second."""
 
     def __init__(self, appends_per_s: int = DEFAULT_APPENDS_PER_S) -> None:
         super().__init__()
@@ -42,13 +43,13 @@
         self._answers_to_lose: float = 0
 
     def set_faults(self, faults: PlatformFaults) -> None:
-        """Put faults in force in place of those before."""
+        """Replace the active faults."""
         self.faults = faults
         lose = faults.lose_append_answers
         self._answers_to_lose = float("inf") if lose is True else int(lose)
 
     async def append(self, stream: str, record: Mapping[str, Any]) -> int:
-        """Append a record, or fail as the faults say."""
+        """Append a record, or fail because of an active fault or the rate limit."""
         await self._apply_faults()
         if self.faults.refuse_appends or not self._within_limit():
             self.refused_appends += 1
@@ -61,19 +62,19 @@
         return offset
 
     async def read(self, stream: str, from_offset: int, wait_ms: float = 0) -> LogSlice:
-        """Read records, or fail as the faults say."""
+        """Read records, or fail because of an active fault."""
         await self._apply_faults()
         found = await super().read(stream, from_offset, wait_ms)
         await self._apply_faults()
         return found
 
     async def list_vms(self) -> tuple[ListedVm, ...]:
-        """Return the list of VMs, or fail as the faults say."""
+        """Return the list of VMs, or fail because of an active fault."""
         await self._apply_faults()
         return await super().list_vms()
 
     def reset(self, stream: str) -> None:
-        """Lose a stream: it starts over, empty, at offset 0."""
+        """Delete a stream; it restarts empty at offset 0."""
         self.streams.pop(stream, None)
         self.first_offsets.pop(stream, None)
 
--- a/cloverhook_emulator/fleet_runner.py
+++ b/cloverhook_emulator/fleet_runner.py
@@ -1,7 +1,7 @@
-"""Starts a small fleet on loopback: a platform, backend servers and daemons, each a process.
+"""Starts a small fleet on loopback: a platform, backend servers and daemons as processes.
 
-The bench, the demo and the features share it.  Ports are ephemeral: a process takes any free
-port and tells it on its standard output.  Only processes that were started here are ended, by
+The benches, the demo and the features share it.  Ports are ephemeral: a process binds any free port
+and prints its address on standard output.  Only processes that were started here are ended, by
 their pid.
 """
 
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class Process:
-    """A process that was started here."""
+    """A process started by this module, with its log file and the addresses it printed."""
 
     name: str
     process: asyncio.subprocess.Process
@@ -41,7 +41,7 @@
 
     @classmethod
     async def start(cls, name: str, folder: Path, module: str, *arguments: str) -> "Process":
-        """Start a Python module as a process of its own, with its output in a file."""
+        """Start a Python module as a separate process, with its output in a log file."""
         log = folder / f"{name}.log"
         environment = os.environ | {
             "CLOVERHOOK_PEER_KEY": PEER_KEY,
@@ -61,28 +61,36 @@
         return cls(name, process, log)
 
     async def wait_until_listening(self, count: int = 1) -> list[str]:
-        """Wait until the process has told `count` addresses and return them."""
+        """Wait until the process has printed at least `count` addresses, and return them all.
+
+        Raises `TimeoutError`, or `RuntimeError` when the process ends first.
+        """
         async with asyncio.timeout(START_TIMEOUT_S):
             while True:
                 self.addresses = LISTENING.findall(self.log.read_text())
                 if len(self.addresses) >= count:
                     return self.addresses
                 if self.process.returncode is not None:
-                    raise RuntimeError(f"{self.name} has ended:\n{self.log.read_text()}")
+                    raise RuntimeError(
+                        f"{self.name} ended before it listened:\n{self.log.read_text()}"
+                    )
                 await asyncio.sleep(0.02)
 
     def send_signal(self, number: signal.Signals) -> None:
         """Send a signal unless the process has ended.
 
-        `subprocess` would look for the process's end first and take its exit code away from the
-        event loop.
+        It uses `os.kill`, because `subprocess` would first poll the process for its end and take
+        its exit code away from the event loop.
         """
         if self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 os.kill(self.process.pid, number)
 
     async def stop(self, number: signal.Signals = signal.SIGTERM) -> int:
-        """Send a signal, wait for the end and return the exit code."""
+        """Send a signal, wait for the process to end and return its exit code.
+
+        A process that has not ended within `STOP_TIMEOUT_S` is killed.
+        """
         self.send_signal(number)
         try:
             async with asyncio.timeout(STOP_TIMEOUT_S):
@@ -94,7 +102,7 @@
 
 @dataclass(slots=True)
 class DaemonProcess:
-    """A daemon's process and the addresses it listens on."""
+    """The process of a daemon and the addresses it listens on."""
 
     vm: str
     data_center: str
@@ -105,7 +113,7 @@
 
 
 class Fleet:
-    """The processes of one run.  Use it as an asynchronous context manager."""
+    """The processes of one run, to be used as an asynchronous context manager."""
 
     def __init__(self) -> None:
         self._folder = tempfile.TemporaryDirectory(prefix="cloverhook-")
@@ -134,7 +142,7 @@
         self._folder.cleanup()
 
     async def start_process(self, name: str, module: str, *arguments: str) -> Process:
-        """Start a Python module as a process that ends with the fleet."""
+        """Start a Python module as a process that is killed when the fleet ends."""
         process = await Process.start(name, self.folder, module, *arguments)
         self._processes.append(process)
         return process
@@ -144,7 +152,7 @@
     ) -> list[str]:
         """Start a process with `count` backend servers and return their addresses.
 
-        With `journal`, what ran can still be read after the process has been killed.
+        With `journal`, the run records can still be read after the process has been killed.
         """
         addresses = ",".join(["127.0.0.1:0"] * count)
         name = f"backend-{len(self.backends)}"
@@ -160,7 +168,7 @@
         return (await process.wait_until_listening(count + 1))[:count]
 
     async def set_faults(self, faults: dict[str, object], servers: Sequence[str] = ()) -> None:
-        """Give faults to backend servers by their addresses, or to all."""
+        """Set faults on the backend servers with the given addresses, or on all by default."""
         async with aiohttp.ClientSession() as session:
             for process in self.backends:
                 named = [address for address in process.addresses[:-1] if address in servers]
@@ -172,7 +180,7 @@
                     answer.raise_for_status()
 
     async def counts(self) -> dict[str, dict[str, int]]:
-        """Return how much each backend server has done and refused, by address."""
+        """Return the counters of handled and rejected work of each backend server, by address."""
         counts: dict[str, dict[str, int]] = {}
         async with aiohttp.ClientSession() as session:
             for process in self.backends:
@@ -183,7 +191,10 @@
         return counts
 
     async def run_records(self) -> list[RunRecord]:
-        """Return what the backend servers have run; of a killed one, what its journal holds."""
+        """Return the run records of the backend servers.
+
+        Those of a process that has ended are read from its journal.
+        """
         records: list[RunRecord] = []
         async with aiohttp.ClientSession() as session:
             for process in self.backends:
@@ -207,7 +218,7 @@
         arguments: Sequence[str] = (),
         **settings: object,
     ) -> DaemonProcess:
-        """Start a daemon, or a module that stands in for it, and wait until it listens."""
+        """Start a daemon, or a module that replaces it, and wait until it listens."""
         values = {
             "vm": vm,
             "data_center": data_center,
@@ -228,7 +239,10 @@
         return daemon
 
     async def publish_vm_list(self, leaving_vms: frozenset[str] = frozenset()) -> None:
-        """Put the daemons that were started on the platform's list."""
+        """Set the platform's list of VMs to the started daemons.
+
+        Those in `leaving_vms` are listed in the phase `leaving`, all others as `live`.
+        """
         vms = [
             {
                 "vm": daemon.vm,
@@ -246,7 +260,7 @@
             answer.raise_for_status()
 
     async def run_tool(self, *arguments: str) -> tuple[int, str, str]:
-        """Run the command-line tool; return its exit code, output and errors."""
+        """Run the command-line tool; return its exit code, standard output and standard error."""
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -266,7 +280,7 @@
         return process.returncode, output.decode(), errors.decode()
 
     async def status(self, vm: str) -> dict:
-        """Return a daemon's status."""
+        """Return the status document of the daemon on a VM."""
         headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
         address = self.daemons[vm].operator_address
         async with (
--- a/cloverhook_emulator/log_store_server.py
+++ b/cloverhook_emulator/log_store_server.py
@@ -1,7 +1,8 @@
 """A small stand-in for the users' store: a log with keyed topics, over HTTP.
 
-It speaks what the adapter in `platform/` calls: appends with a condition, reads that wait, the
-newest record of each key in pages, lost history.  Trouble is switched on by its attributes.
+It serves the calls that the adapter in `platform/` makes: conditional appends, reads by long poll,
+the newest record of each key in pages, and an error for reads of lost history.  Faults are switched on
+through its attributes.
 """
 
 import asyncio
@@ -20,14 +21,18 @@
 READ_HEADER = struct.Struct(">QQ")
 JSON = [(b"content-type", b"application/json")]
 DEFAULT_MAX_KB = 1_024
-"""An answer to a read holds so much, or one record."""
+"""An answer to a read holds at most this much, or a single larger record."""
 PAGE_ITEMS = 3
-"""Far below the real page, so that tests see several."""
+"""Far smaller than a page of the real store, so that tests see several pages."""
 
 
 @dataclass
 class Topic:
-    """The records of a topic's only partition, from `first` on; `history` has those before too."""
+    """The records of the only partition of a topic.
+
+    `records` starts at `first_offset`; `history` also has the records before it.  `newest` maps
+    each key to the value and the offset of its newest record.
+    """
 
     records: list[bytes] = field(default_factory=list)
     first_offset: int = 0
@@ -36,11 +41,11 @@
 
     @property
     def end_offset(self) -> int:
-        """The offset that the next record will get."""
+        """The offset of the next record to be appended."""
         return self.first_offset + len(self.records)
 
     def append(self, record: bytes) -> None:
-        """Append one record and keep it as the newest of its key."""
+        """Append a record and store it as the newest of its key; an empty value removes the key."""
         key_end = 1 + record[0]
         key, value = record[1:key_end].decode(), record[key_end:]
         if value:
@@ -51,17 +56,17 @@
         self.history.append(record)
 
     def without_last(self, count: int) -> "Topic":
-        """Return the topic as it was some records ago."""
+        """Return the topic as it was before its last `count` records were appended."""
         earlier = Topic()
         for record in self.history[: max(0, len(self.history) - count)]:
             earlier.append(record)
-        forgotten = min(self.first_offset, earlier.end_offset)
-        del earlier.records[:forgotten]
-        earlier.first_offset = forgotten
+        dropped_count = min(self.first_offset, earlier.end_offset)
+        del earlier.records[:dropped_count]
+        earlier.first_offset = dropped_count
         return earlier
 
     def drop_records(self) -> None:
-        """Drop all records; the newest of each key stay."""
+        """Drop all records; the newest record of each key stays available."""
         self.first_offset = self.end_offset
         self.records.clear()
 
@@ -69,8 +74,9 @@
 class LogStoreServer:
     """The store and its listener.
 
-    `refuse_status` refuses every call, `silent` answers none, `lost_answers` lets as many writes
-    take effect without an answer, `delay_ms` delays every answer.
+    A non-zero `error_status` is the status with which every call is rejected.  With `silent`, no
+    call is answered.  `answers_to_lose` is the number of writes that will take effect without an
+    answer.  `delay_ms` delays every answer.  Every answer carries `era` in its `store-era` header.
     """
 
     def __init__(self) -> None:
@@ -94,16 +100,19 @@
         self._ingress.close_idle()
 
     def topic(self, name: str) -> Topic:
-        """Return a topic, made at its first use."""
+        """Return a topic, which is created on first use."""
         return self.topics.setdefault(name, Topic())
 
     def put(self, topic: str, key: str, value: bytes = b"") -> None:
-        """Append a record of a key; without a value the key is dropped."""
+        """Append a record for a key; an empty value removes the key."""
         self.topic(topic).append(bytes([len(key)]) + key.encode() + value)
         self._changed.set()
 
     def restore(self, lost: dict[str, int]) -> None:
-        """Come back from an older copy, in which topics lack their last records."""
+        """Restore the store from an older copy, and start a new era.
+
+        `lost` maps names of topics to the number of their last records that the copy lacks.
+        """
         for name, count in lost.items():
             self.topics[name] = self.topic(name).without_last(count)
         self.era = b"%d" % (int(self.era) + 1)
@@ -127,9 +136,9 @@
             case "/api/log-append":
                 return await self._append(topic, query, request.body)
             case "/api/log-read":
-                largest_bytes = 1_024 * int(query.get("maxKb", DEFAULT_MAX_KB))
+                limit_bytes = 1_024 * int(query.get("maxKb", DEFAULT_MAX_KB))
                 wait_ms = int(query.get("waitMs", 0))
-                return await self._read(topic, int(query["from"]), wait_ms, largest_bytes)
+                return await self._read(topic, int(query["from"]), wait_ms, limit_bytes)
             case "/api/log-newest":
                 return self._newest(topic, query.get("after", ""))
         return CallerAnswer(404, JSON, b"{}")
@@ -138,21 +147,19 @@
         if "at" in query and int(query["at"]) != topic.end_offset:
             return _json({"endOffset": topic.end_offset}, 412)
         start = topic.end_offset
-        place = 0
-        while place < len(body):
-            (size_bytes,) = LENGTH.unpack_from(body, place)
-            place += LENGTH.size
-            topic.append(body[place : place + size_bytes])
-            place += size_bytes
+        offset_bytes = 0
+        while offset_bytes < len(body):
+            (size_bytes,) = LENGTH.unpack_from(body, offset_bytes)
+            offset_bytes += LENGTH.size
+            topic.append(body[offset_bytes : offset_bytes + size_bytes])
+            offset_bytes += size_bytes
         self._changed.set()
         if self.answers_to_lose:
             self.answers_to_lose -= 1
             await asyncio.Event().wait()
         return _json({"offset": start, "endOffset": topic.end_offset})
 
-    async def _read(
-        self, topic: Topic, start: int, wait_ms: int, largest_bytes: int
-    ) -> CallerAnswer:
+    async def _read(self, topic: Topic, start: int, wait_ms: int, limit_bytes: int) -> CallerAnswer:
         if start >= topic.end_offset:
             await self._wait(topic, start, wait_ms)
         if not topic.first_offset <= start <= topic.end_offset:
@@ -161,7 +168,7 @@
         size_bytes = 0
         for record in topic.records[start - topic.first_offset :]:
             size_bytes += LENGTH.size + len(record)
-            if size_bytes > largest_bytes and len(parts) > 1:
+            if size_bytes > limit_bytes and len(parts) > 1:
                 break
             parts += (LENGTH.pack(len(record)), record)
         return CallerAnswer(200, [], b"".join(parts))
--- a/cloverhook_emulator/platform_server.py
+++ b/cloverhook_emulator/platform_server.py
@@ -1,8 +1,8 @@
 """A stand-in for the platform: the append-only log and the list of VMs, over HTTP and JSON.
 
-Beside what a platform offers, tests set faults: `PUT /v1/faults` takes the fields of
-`PlatformFaults`, `POST /v1/streams/{stream}/truncate` drops the records before `first_offset`,
-and `POST /v1/streams/{stream}/reset` loses a stream.
+In addition to the calls of a platform, it has calls for tests: `PUT /v1/faults` takes the fields of
+`PlatformFaults`, `POST /v1/streams/{stream}/truncate` drops the records before `first_offset`, and
+`POST /v1/streams/{stream}/reset` deletes a stream, which restarts empty at offset 0.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 
 FLAGS = flags.FLAGS
 flags.DEFINE_string("address", "127.0.0.1:7000", "The address to listen on.")
-flags.DEFINE_integer("appends_per_s", DEFAULT_APPENDS_PER_S, "The limit of appends a second.")
+flags.DEFINE_integer("appends_per_s", DEFAULT_APPENDS_PER_S, "The limit of appends per second.")
 
 
 class _Resource:
@@ -131,7 +131,7 @@
     error: PlatformSilentError,
     params: dict[str, Any],
 ) -> None:
-    """Cut the connection in place of the answer's body."""
+    """Break the connection instead of sending the body of the answer."""
     response.content_length = 1
     response.stream = _broken_stream()
 
@@ -142,7 +142,7 @@
 
 
 def platform_app(platform: FaultyPlatform) -> falcon.asgi.App:
-    """Return the stand-in's application over a platform in memory."""
+    """Return the application that serves an in-memory platform over HTTP."""
     application = falcon.asgi.App()
     application.add_error_handler(PlatformError, _answer_rejected)
     application.add_error_handler(PlatformSilentError, _cut_connection)
--- a/cloverhook_emulator/replacement.py
+++ b/cloverhook_emulator/replacement.py
@@ -1,4 +1,4 @@
-"""Replaces every daemon of a fleet by a planned stop, one after the other."""
+"""Replaces the daemons of a fleet one after the other, each with a planned shutdown."""
 
 import asyncio
 import signal
@@ -18,7 +18,10 @@
 async def is_advertised(
     session: aiohttp.ClientSession, fleet: Fleet, vm: str, host: str, queried_vm: str
 ) -> bool:
-    """Return whether a daemon, when asked, tells callers of a host the address of `vm`."""
+    """Return whether the daemon on `queried_vm` advertises the address of `vm` to callers.
+
+    `host` is the host name of the service that the callers ask for.
+    """
     url = f"http://{fleet.daemons[queried_vm].caller_address}{ADDRESSES_PATH}"
     async with session.get(url, headers={"Host": host}) as answer:
         addresses = (await answer.json()).get("addresses", [])
@@ -32,8 +35,9 @@
 ) -> list[int]:
     """Replace the daemons one by one and return the exit codes of the old ones.
 
-    `start` starts a daemon by its name, and `serves` says whether it takes its part; only then is
-    the old one told to leave.  The next new daemon starts while an old one still drains.
+    `start` starts a daemon by the name of its VM, and `is_serving` returns whether that daemon
+    serves its share; only then does the old daemon get the signal to shut down.  The next new
+    daemon starts while an old one still drains.
     """
     olds = list(fleet.daemons)
     codes: list[int] = []
