--- a/cloverhook_emulator/http_server.py
+++ b/cloverhook_emulator/http_server.py
@@ -64,7 +64,7 @@
             transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the disconnection to the request in flight."""
+        """Remove the connection and notify the request in flight, which its server may cancel."""
         self._server.remove(self)
         current, self._current = self._current, None
         if current is not None and current.on_disconnect is not None:
--- a/cloverhook_emulator/log_store_server.py
+++ b/cloverhook_emulator/log_store_server.py
@@ -1,8 +1,8 @@
 """A small stand-in for the users' store: a log with keyed topics, over HTTP.
 
 It serves the calls that the adapter in `platform/` makes: conditional appends, reads by long poll,
-the newest record of each key in pages, and an error for reads of lost history.  Faults are switched on
-through its attributes.
+the newest record of each key in pages, and an error for reads of lost history.  Faults are
+switched on through its attributes.
 """
 
 import asyncio
--- a/cloverhook_emulator/run_record.py
+++ b/cloverhook_emulator/run_record.py
@@ -101,7 +101,7 @@
         self._file = os.open(path, os.O_CREAT | os.O_APPEND | os.O_WRONLY)
 
     def write(self, record: RunRecord) -> None:
-        """Append a record; its `id` distinguishes several runs of one request."""
+        """Append a record; the `id` of the object distinguishes the runs of one request."""
         line = json.dumps({"run": id(record), **record.to_document()})
         os.write(self._file, f"{line}\n".encode())
 
