--- a/cloverhook_emulator/replacement.py
+++ b/cloverhook_emulator/replacement.py
@@ -1,4 +1,4 @@
-"""Replaces every daemon of a fleet by a planned stop, one after the other."""
+"""Replaces the daemons of a fleet one after the other, each with a planned shutdown."""
 
 import asyncio
 import signal
@@ -8,18 +8,21 @@
 
 from cloverhook_emulator.fleet_runner import DaemonProcess, Fleet
 
-__all__ = ["is_handed_out", "replace_all"]
+__all__ = ["is_advertised", "replace_all"]
 
 ADDRESSES_PATH = "/.well-known/cloverhook/addresses"
-LOOK_EVERY_S = 0.05
-SERVES_TIMEOUT_S = 60
+POLL_INTERVAL_S = 0.05
+SERVING_TIMEOUT_S = 60
 
 
-async def is_handed_out(
-    session: aiohttp.ClientSession, fleet: Fleet, vm: str, host: str, asked: str
+async def is_advertised(
+    session: aiohttp.ClientSession, fleet: Fleet, vm: str, host: str, queried_vm: str
 ) -> bool:
-    """Return whether a daemon, when asked, tells callers of a host the address of `vm`."""
-    url = f"http://{fleet.daemons[asked].caller_address}{ADDRESSES_PATH}"
+    """Return whether the daemon on `queried_vm` advertises the address of `vm` to callers.
+
+    `host` is the host name of the service that the callers ask for.
+    """
+    url = f"http://{fleet.daemons[queried_vm].caller_address}{ADDRESSES_PATH}"
     async with session.get(url, headers={"Host": host}) as answer:
         addresses = (await answer.json()).get("addresses", [])
     return fleet.daemons[vm].caller_address in addresses
@@ -28,12 +31,13 @@
 async def replace_all(
     fleet: Fleet,
     start: Callable[[str], Awaitable[DaemonProcess]],
-    serves: Callable[[str], Awaitable[bool]],
+    is_serving: Callable[[str], Awaitable[bool]],
 ) -> list[int]:
     """Replace the daemons one by one and return the exit codes of the old ones.
 
-    `start` starts a daemon by its name, and `serves` says whether it takes its part; only then is
-    the old one told to leave.  The next new daemon starts while an old one still drains.
+    `start` starts a daemon by the name of its VM, and `is_serving` returns whether that daemon
+    serves its share; only then does the old daemon get the signal to shut down.  The next new
+    daemon starts while an old one still drains.
     """
     olds = list(fleet.daemons)
     codes: list[int] = []
@@ -43,10 +47,10 @@
         await start(new)
         if stopping is not None:
             codes.append(await stopping)
-        await fleet.list_vms(leaving=frozenset((old,)))
-        async with asyncio.timeout(SERVES_TIMEOUT_S):
-            while not await serves(new):
-                await asyncio.sleep(LOOK_EVERY_S)
+        await fleet.publish_vm_list(leaving_vms=frozenset((old,)))
+        async with asyncio.timeout(SERVING_TIMEOUT_S):
+            while not await is_serving(new):
+                await asyncio.sleep(POLL_INTERVAL_S)
         process = fleet.daemons.pop(old).process
         stopping = asyncio.create_task(process.stop(signal.SIGTERM))
     return codes if stopping is None else [*codes, await stopping]
