--- a/features/steps/http_steps.py
+++ b/features/steps/http_steps.py
@@ -23,14 +23,14 @@
 
 OK = b"HTTP/1.1 200 OK\r\n"
 CHUNKED = b"Transfer-Encoding: chunked"
-PATIENT_POLICY = "[services.policy]\ntimeout_ms = 60000\nwait_limit_ms = 60000\n"
-GROWTH_LIMIT_KB = 8 * 1024
-ATTEMPT = b"cloverhook-attempt: "
-PASSED_ON = (
+ONE_MINUTE_POLICY = "[services.policy]\ntimeout_ms = 60000\nwait_limit_ms = 60000\n"
+MEMORY_GROWTH_LIMIT_KB = 8 * 1024
+ATTEMPT_HEADER = b"cloverhook-attempt: "
+FORWARDED_REJECTION = (
     b"HTTP/1.1 503 No\r\nCloverhook-Outcome: not-run\r\nCloverhook-Error: overloaded\r\n"
     b"Content-Length: 0\r\n\r\n"
 )
-REFUSAL = b"HTTP/1.1 503 No\r\nCloverhook-Outcome: not-run\r\nContent-Length: 0\r\n\r\n"
+REJECTION = b"HTTP/1.1 503 No\r\nCloverhook-Outcome: not-run\r\nContent-Length: 0\r\n\r\n"
 
 ANSWERS = {
     "/fixed": OK + b"Content-Length: 2\r\n\r\nok",
@@ -57,12 +57,12 @@
     "/bare-upgrade": b"HTTP/1.1 101 Up\r\n\r\n",
     "/not-http": b"hello\r\n\r\n",
     "/long-head": OK + b"X: " + b"y" * 70_000 + b"\r\n\r\n",
-    "/refuses": REFUSAL,
+    "/refuses": REJECTION,
 }
 
 POST = f"POST /echo HTTP/1.1\r\nHost: {HOST}\r\n".encode()
 GET = POST.replace(b"POST", b"GET")
-FORMS = {
+INVALID_REQUESTS = {
     "two lengths": POST + b"Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd",
     "a list of lengths": POST + b"Content-Length: 3, 3\r\n\r\nabc",
     "a signed length": POST + b"Content-Length: +3\r\n\r\nabc",
@@ -119,10 +119,10 @@
     code, output, errors = await context.fleet.tool("publish", str(path))
     assert code == 0, output + errors
 
-    async def followed():
+    async def has_config():
         return "brathwaite" in (await context.fleet.status("vm-0"))["brands"]
 
-    await eventually(followed)
+    await eventually(has_config)
 
 
 def _call(context, data):
@@ -141,9 +141,9 @@
 
 
 @given("a daemon whose requests may take a minute")
-def step_patient(context):
+def step_long_timeouts(context):
     run(context, _start(context))
-    run(context, _publish(context, context.backends[:1], PATIENT_POLICY))
+    run(context, _publish(context, context.backends[:1], ONE_MINUTE_POLICY))
 
 
 @given("a daemon with two scripted backend servers")
@@ -171,7 +171,7 @@
 
 
 @then("a caller in HTTP/1.0 gets a chunked answer without its chunks")
-def step_old_caller(context):
+def step_http_1_0_caller(context):
     reply = _call(context, request("GET", "/chunked").replace(b"HTTP/1.1", b"HTTP/1.0"))
     assert reply.body == b"ok", reply
 
@@ -184,7 +184,7 @@
 
 
 @then("the backend server gets each method, target and header as the caller sent it")
-def step_heads(context):
+def step_forwarded_heads(context):
     for method in ("GET", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "PROPFIND"):
         target = "//a/%2e%2E/b;c?q=%20&q=1?"
         data = request(
@@ -211,7 +211,7 @@
 
 
 @then("an absolute target goes before the host header")
-def step_absolute(context):
+def step_absolute_target(context):
     data = request("GET", f"http://{HOST}/a?b", host="other.example")
     text = _call(context, data).body
     assert text.startswith(b"GET /a?b HTTP/1.1\r\nhost: " + HOST.encode()), text
@@ -225,15 +225,15 @@
         assert re.fullmatch(rb"[0-9a-f]{32}", request_id), reply
         assert reply.body.count(b"x-request-id: " + request_id) == 1, reply
 
-    async def both():
-        first = asyncio.create_task(call(context.address, hanging))
+    async def send_both():
+        first = asyncio.create_task(call(context.address, hanging_request))
         await context.backend.wait_for("/hang")
         second = await call(context.address, request("GET", "/echo", b"X-Request-Id: same"))
         first.cancel()
         return second
 
-    hanging = request("GET", "/hang", b"X-Request-Id: same")
-    (request_id,) = run(context, both()).header(b"x-request-id")
+    hanging_request = request("GET", "/hang", b"X-Request-Id: same")
+    (request_id,) = run(context, send_both()).header(b"x-request-id")
     assert request_id.startswith(b"same~"), request_id
 
 
@@ -275,7 +275,7 @@
     assert received == 1_024 * len(PIECE), received
     grown_kb = _peak_kb(context.pid) - before_kb
     print(f"{direction}: the peak grew by {grown_kb} kB")
-    assert grown_kb < GROWTH_LIMIT_KB, grown_kb
+    assert grown_kb < MEMORY_GROWTH_LIMIT_KB, grown_kb
 
 
 async def _upload(context):
@@ -302,9 +302,9 @@
 
 
 @then("these requests are refused")
-def step_forms(context):
+def step_invalid_requests(context):
     for row in context.table:
-        reply = _call(context, FORMS[row["form"]])
+        reply = _call(context, INVALID_REQUESTS[row["form"]])
         assert reply.status == int(row["status"]), (row, reply)
         assert reply.header(b"connection") == [b"close"], (row, reply)
         assert reply.header(b"cloverhook-outcome") == [row["outcome"].encode()], (row, reply)
@@ -335,7 +335,7 @@
 
 
 @then("bytes that nobody asked for reach no caller")
-def step_unasked(context):
+def step_unrequested_bytes(context):
     for _ in range(3):
         assert _call(context, request("GET", "/long")).body == b"ok"
     reply = _call(context, request("GET", "/echo"))
@@ -344,27 +344,27 @@
 
 @then("stale answers on an idle connection reach no later caller")
 def step_stale(context):
-    told, sent = asyncio.Event(), asyncio.Event()
-    peers = []
+    may_send_stale, sent = asyncio.Event(), asyncio.Event()
+    client_addresses = []
 
-    async def late(item, reader, writer):
-        peers.append(writer.get_extra_info("peername"))
+    async def answer_then_send_stale(item, reader, writer):
+        client_addresses.append(writer.get_extra_info("peername"))
         writer.write(ANSWERS["/fixed"])
-        await told.wait()
+        await may_send_stale.wait()
         writer.write(OK + b"Content-Length: 6\r\n\r\nforged")
         await writer.drain()
         sent.set()
 
-    async def later(item, reader, writer):
-        peers.append(writer.get_extra_info("peername"))
+    async def answer_later(item, reader, writer):
+        client_addresses.append(writer.get_extra_info("peername"))
         writer.write(OK + b"Content-Length: 5\r\n\r\nlater")
 
-    context.backend.answers.update({"/late": late, "/later": later})
+    context.backend.answers.update({"/late": answer_then_send_stale, "/later": answer_later})
     assert _call(context, request("GET", "/late")).body == b"ok"
-    told.set()
+    may_send_stale.set()
     run(context, sent.wait())
     assert _call(context, request("GET", "/later")).body == b"later"
-    assert peers[0] != peers[1], peers
+    assert client_addresses[0] != client_addresses[1], client_addresses
 
 
 @then("connections of whole exchanges are used again, also after HEAD")
@@ -382,18 +382,18 @@
 @then("the time spent is taken off the deadline that the backend server gets")
 def step_deadline(context):
     text = _call(context, request("GET", "/echo", b"Cloverhook-Timeout-Ms: 5000")).body.lower()
-    (passed_on,) = re.findall(rb"cloverhook-timeout-ms: (\d+)", text)
-    assert 0 < int(passed_on) < 5_000, passed_on
+    (remaining_ms,) = re.findall(rb"cloverhook-timeout-ms: (\d+)", text)
+    assert 0 < int(remaining_ms) < 5_000, remaining_ms
     text = _call(context, request("GET", "/echo")).body.lower()
-    (passed_on,) = re.findall(rb"cloverhook-timeout-ms: (\d+)", text)
-    assert 0 < int(passed_on) <= 10_000, passed_on
+    (remaining_ms,) = re.findall(rb"cloverhook-timeout-ms: (\d+)", text)
+    assert 0 < int(remaining_ms) <= 10_000, remaining_ms
     reply = _call(context, request("GET", "/echo", b"Cloverhook-Timeout-Ms: x"))
     assert reply.status == 400, reply
 
 
 @when("callers leave with a running and with waiting requests")
-def step_leave(context):
-    async def leave():
+def step_callers_disconnect(context):
+    async def disconnect():
         writers = []
         for index in range(6):
             _, writer = await open_to(context.address)
@@ -408,81 +408,84 @@
         for writer in writers[:4]:
             writer.close()
 
-    run(context, leave())
+    run(context, disconnect())
 
 
 @then("the backend server's connections close and no waiting request is started")
-def step_left(context):
-    async def gone():
+def step_disconnected(context):
+    async def all_closed():
         return all(item.gone.is_set() for item in context.backend.received)
 
-    run(context, eventually(gone))
+    run(context, eventually(all_closed))
     assert _call(context, request("GET", "/echo")).status == 200
     assert len(context.backend.ran("/hang")) == 4, context.backend.received
 
 
 @then("a small refused POST is sent again and a large one is answered at once")
 def step_refused(context):
-    answer = by_attempt(REFUSAL, ScriptedBackend.echo)
+    answer = by_attempt(REJECTION, ScriptedBackend.echo)
     for backend in context.backends:
         backend.answers["/pay"] = answer
     for size in (4, 60_000):
         data = request("POST", "/pay", b"Content-Length: %d" % size, body=b"p" * size)
         reply = _call(context, data)
         assert reply.status == 200, reply
-        assert [item.body_bytes for item in _ran(context, "/pay")] == [size, size]
-        _forget(context)
+        assert [item.body_bytes for item in _received_requests(context, "/pay")] == [size, size]
+        _clear_received(context)
     data = request("POST", "/pay", b"Content-Length: 100000", body=b"p" * 100_000)
     reply = _call(context, data)
-    assert reply.status == 503 and len(_ran(context, "/pay")) == 1, reply
+    assert reply.status == 503 and len(_received_requests(context, "/pay")) == 1, reply
     assert reply.header(b"cloverhook-error") == [b"refused"], reply
     assert reply.header(b"cloverhook-outcome") == [b"not-run"], reply
     assert reply.header(b"cloverhook-retry-after-ms"), reply
 
 
 @then("of a chain of calls only the layer next to the refusal sends again")
-def step_chain(context):
-    refused_once = by_attempt(REFUSAL, ScriptedBackend.echo)
+def step_one_layer_retries(context):
+    reject_first_attempt = by_attempt(REJECTION, ScriptedBackend.echo)
     for backend in context.backends:
-        backend.answers["/next"] = refused_once
-        backend.answers["/passed-on"] = PASSED_ON
+        backend.answers["/next"] = reject_first_attempt
+        backend.answers["/passed-on"] = FORWARDED_REJECTION
     reply = _call(context, request("GET", "/next"))
     assert reply.status == 200, reply
-    marks = [item.head.lower().partition(ATTEMPT)[2][:1] for item in _ran(context, "/next")]
-    assert sorted(marks) == [b"", b"2"], marks
-    _forget(context)
-    told = request("GET", "/next", b"Cloverhook-Attempt: 2")
-    reply = _call(context, told)
+    attempt_numbers = [
+        item.head.lower().partition(ATTEMPT_HEADER)[2][:1]
+        for item in _received_requests(context, "/next")
+    ]
+    assert sorted(attempt_numbers) == [b"", b"2"], attempt_numbers
+    _clear_received(context)
+    second_attempt = request("GET", "/next", b"Cloverhook-Attempt: 2")
+    reply = _call(context, second_attempt)
     assert reply.status == 503, reply
-    heads = [item.head.lower() for item in _ran(context, "/next")]
-    assert [ATTEMPT + b"2" in head for head in heads] == [True], heads
-    _forget(context)
+    heads = [item.head.lower() for item in _received_requests(context, "/next")]
+    assert [ATTEMPT_HEADER + b"2" in head for head in heads] == [True], heads
+    _clear_received(context)
     reply = _call(context, request("GET", "/passed-on"))
-    assert reply.status == 503 and len(_ran(context, "/passed-on")) == 1, reply
+    assert reply.status == 503 and len(_received_requests(context, "/passed-on")) == 1, reply
     assert reply.header(b"cloverhook-outcome") == [b"unknown"], reply
 
 
 @then("a request that may have run is not told as not run after a later refusal")
-def step_promoted(context):
-    answer = by_attempt(ScriptedBackend.cut, REFUSAL, REFUSAL, REFUSAL)
+def step_outcome_unknown(context):
+    answer = by_attempt(ScriptedBackend.cut, REJECTION, REJECTION, REJECTION)
     for backend in context.backends:
         backend.answers["/mixed"] = answer
     reply = _call(context, request("GET", "/mixed"))
-    assert reply.status == 503 and len(_ran(context, "/mixed")) > 1, reply
+    assert reply.status == 503 and len(_received_requests(context, "/mixed")) > 1, reply
     assert reply.header(b"cloverhook-outcome") == [b"unknown"], reply
 
 
-def _ran(context, target):
+def _received_requests(context, target):
     return [item for backend in context.backends for item in backend.ran(target)]
 
 
-def _forget(context):
+def _clear_received(context):
     for backend in context.backends:
         backend.received.clear()
 
 
 @then("no descriptor of the daemon is an io_uring")
-def step_no_ring(context):
+def step_no_io_uring(context):
     folder = f"/proc/{context.pid}/fd"
     links = []
     for name in os.listdir(folder):
--- a/features/steps/invariant_steps.py
+++ b/features/steps/invariant_steps.py
@@ -10,82 +10,84 @@
 BRAND = "brathwaite"
 
 
-def _records(context):
+def _with_records(context):
     if not hasattr(context, "ran_records"):
         context.ran_records, context.told_records, context.sent_ids = [], [], []
     return context
 
 
-def _run(context, method, request_id, key, outcome):
+def _add_run(context, method, request_id, key, outcome):
     record = RunRecord("s1", BRAND, request_id, key, method, 0.0, 5.0, RunOutcome(outcome))
-    _records(context).ran_records.append(record)
+    _with_records(context).ran_records.append(record)
 
 
-def _told(context, method, request_id, status, outcome="", answer_id="", brand=BRAND, key=""):
+def _add_response(
+    context, method, request_id, status, outcome="", answer_id="", brand=BRAND, key=""
+):
     record = ToldRecord(
         request_id, key, method, BRAND, "vm", 0.0, 6.0, status, outcome, answer_id, brand
     )
-    _records(context).told_records.append(record)
+    _with_records(context).told_records.append(record)
 
 
-def _found(context):
-    _records(context)
+def _violations(context):
+    _with_records(context)
     report = check(context.ran_records, context.told_records, context.sent_ids)
     return {name: found for name, found in asdict(report).items() if found}
 
 
 @given('a run of "{method}" "{request_id}" that ended "{outcome}"')
 def step_run(context, method, request_id, outcome):
-    _run(context, method, request_id, "", outcome)
+    _add_run(context, method, request_id, "", outcome)
 
 
 @given('under the key "{key}", a run of "{method}" "{request_id}" that ended "{outcome}"')
 def step_keyed_run(context, method, request_id, key, outcome):
-    _run(context, method, request_id, key, outcome)
+    _add_run(context, method, request_id, key, outcome)
 
 
 @given('"{method}" "{request_id}" was told {status:d} "{outcome}" with the answer "{answer_id}"')
-def step_told(context, method, request_id, status, outcome, answer_id):
-    _told(context, method, request_id, status, outcome, answer_id)
+def step_response(context, method, request_id, status, outcome, answer_id):
+    _add_response(context, method, request_id, status, outcome, answer_id)
 
 
 @given('"{method}" "{request_id}" was told {status:d} "{outcome}" without an answer')
-def step_told_error(context, method, request_id, status, outcome):
-    _told(context, method, request_id, status, outcome)
+def step_response_without_answer(context, method, request_id, status, outcome):
+    _add_response(context, method, request_id, status, outcome)
 
 
 @given(
     'the brand "{brand}" told "{method}" "{request_id}" {status:d} "{outcome}" '
     'with the answer "{answer_id}"'
 )
-def step_told_by_brand(context, method, request_id, status, outcome, answer_id, brand):
-    _told(context, method, request_id, status, outcome, answer_id, brand)
+def step_response_of_brand(context, method, request_id, status, outcome, answer_id, brand):
+    _add_response(context, method, request_id, status, outcome, answer_id, brand)
 
 
 @given(
     'under the key "{key}", "{method}" "{request_id}" was told {status:d} "{outcome}" '
     'with the answer "{answer_id}"'
 )
-def step_keyed_told(context, method, request_id, key, status, outcome, answer_id):
-    _told(context, method, request_id, status, outcome, answer_id, key=key)
+def step_keyed_response(context, method, request_id, key, status, outcome, answer_id):
+    _add_response(context, method, request_id, status, outcome, answer_id, key=key)
 
 
 @given('the connection of "{method}" "{request_id}" broke')
-def step_broke(context, method, request_id):
-    _told(context, method, request_id, 0)
+def step_connection_broke(context, method, request_id):
+    _add_response(context, method, request_id, 0)
 
 
 @given('"{request_id}" was sent')
 def step_sent(context, request_id):
-    _records(context).sent_ids.append(request_id)
+    _with_records(context).sent_ids.append(request_id)
 
 
 @then("the checker finds no violation")
-def step_none(context):
-    assert not _found(context), _found(context)
+def step_no_violation(context):
+    assert not _violations(context), _violations(context)
     assert Report().holds
 
 
 @then('the checker finds only "{violation}" of "{identifier}"')
-def step_only(context, violation, identifier):
-    assert _found(context) == {violation: (identifier,)}, _found(context)
+def step_only_violation(context, violation, identifier):
+    assert _violations(context) == {violation: (identifier,)}, _violations(context)
--- a/features/steps/layers_steps.py
+++ b/features/steps/layers_steps.py
@@ -26,9 +26,9 @@
     "keyed.",
     "/api/",
 )
-ADAPTER_SHARE = 0.1
-LAYER = re.compile(r"^Layer: (\w+)", re.MULTILINE)
-FORBIDDEN = {
+ADAPTER_MAX_SHARE = 0.1
+LAYER_LINE = re.compile(r"^Layer: (\w+)", re.MULTILINE)
+FORBIDDEN_MODULES = {
     "_thread",
     "concurrent",
     "multiprocessing",
@@ -53,7 +53,7 @@
     def from_source(cls, name, source):
         """Read a module."""
         tree = ast.parse(source)
-        found = LAYER.search(ast.get_docstring(tree) or "")
+        found = LAYER_LINE.search(ast.get_docstring(tree) or "")
         imports, calls = set(), set()
         for node in ast.walk(tree):
             if isinstance(node, ast.Import):
@@ -67,12 +67,12 @@
         return cls(name, layer, frozenset(imports), frozenset(calls))
 
 
-def _dotted(path):
+def _module_name(path):
     parts = path.relative_to(PACKAGE.parent).with_suffix("").parts
     return ".".join(parts)
 
 
-def _upward(modules, layers):
+def _upward_imports(modules, layers):
     layer_of = {module.name: module.layer for module in modules}
     return [
         f"{module.name} ({module.layer}) imports {name} ({layer_of[name]})"
@@ -86,7 +86,7 @@
 def step_modules(context):
     context.layers = ("state", "protocol", "coordination", "transport")
     context.modules = [
-        Module.from_source(_dotted(path), path.read_text())
+        Module.from_source(_module_name(path), path.read_text())
         for path in sorted(PACKAGE.rglob("*.py"))
         if path.stem != "__init__"
     ]
@@ -94,7 +94,7 @@
 
 
 @then("each names one of the layers {layers}")
-def step_named(context, layers):
+def step_layer_named(context, layers):
     context.layers = tuple(layers.split(", "))
     wrong = [module.name for module in context.modules if module.layer not in context.layers]
     assert not wrong, wrong
@@ -102,12 +102,12 @@
 
 @then("none imports from a higher layer")
 def step_no_upward(context):
-    found = _upward(context.modules, context.layers)
+    found = _upward_imports(context.modules, context.layers)
     assert not found, found
 
 
 @given('a module of layer "{lower}" that imports one of layer "{higher}"')
-def step_bad(context, lower, higher):
+def step_upward_import(context, lower, higher):
     context.layers = ("state", "protocol", "coordination", "transport")
     context.modules = [
         Module.from_source("cloverhook.a", f'"""A.\n\nLayer: {lower}."""\nimport cloverhook.b\n'),
@@ -117,16 +117,16 @@
 
 @then("the import is reported")
 def step_reported(context):
-    found = _upward(context.modules, context.layers)
+    found = _upward_imports(context.modules, context.layers)
     assert found == ["cloverhook.a (state) imports cloverhook.b (transport)"], found
 
 
 @then("none uses threads, child processes, shared memory or another event loop")
-def step_bounds(context):
+def step_single_threaded(context):
     wrong = [
         (module.name, name)
         for module in context.modules
-        for name in {item.partition(".")[0] for item in module.imports} & FORBIDDEN
+        for name in {item.partition(".")[0] for item in module.imports} & FORBIDDEN_MODULES
     ]
     wrong += [
         (module.name, name) for module in context.modules for name in module.calls & FORBIDDEN_CALLS
@@ -135,7 +135,7 @@
 
 
 @then("none of them holds a name of the users' platform")
-def step_no_names(context):
+def step_no_platform_names(context):
     wrong = [
         (path.name, word)
         for path in sorted(PACKAGE.rglob("*.py"))
@@ -146,10 +146,10 @@
 
 
 @then("the adapter holds these names in less than a tenth of the product's lines")
-def step_small(context):
+def step_adapter_share(context):
     adapter = [path.read_text() for path in ADAPTER.rglob("*.py")]
     product = [path.read_text() for path in PACKAGE.rglob("*.py")]
     missing = [word for word in PLATFORM_WORDS if word not in "".join(adapter).lower()]
     assert not missing, missing
     lines = [sum(text.count("\n") for text in texts) for texts in (adapter, product)]
-    assert lines[0] < ADAPTER_SHARE * lines[1], lines
+    assert lines[0] < ADAPTER_MAX_SHARE * lines[1], lines
--- a/features/steps/listener_steps.py
+++ b/features/steps/listener_steps.py
@@ -59,7 +59,7 @@
 
 
 @when("the backend server sends bytes in the moment before the connection is used again")
-def step_unasked_bytes(context):
+def step_unrequested_bytes(context):
     async def acquire():
         context.accepted.setblocking(True)
         context.accepted.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nforged")
@@ -69,7 +69,7 @@
 
 
 @then("another connection is used")
-def step_another(context):
+def step_other_connection(context):
     assert context.acquired is not context.connection
     assert context.connection.closed
     context.acquired.close()
--- a/features/steps/load_replay_steps.py
+++ b/features/steps/load_replay_steps.py
@@ -12,7 +12,7 @@
 from cloverhook.gateway import balancer, load, trust, waiting_line
 
 SEEDS = range(8)
-WITHOUT = {
+DISABLED_MECHANISMS = {
     "the last slot at the last moment": (waiting_line, "LAST_SLACK", -math.inf),
     "leaving the last slot at first": (waiting_line, "LAST_SLACK", math.inf),
     "putting off soon": (waiting_line, "PUT_OFF_SHARE", math.inf),
@@ -44,7 +44,7 @@
 @given(
     "a replay of {vms:d} VMs and {endpoints:d} endpoints, {share:g} of which {fail} what they get"
 )
-def step_lying(context, vms, endpoints, share, fail):
+def step_failing_endpoints(context, vms, endpoints, share, fail):
     context.deployment = Deployment(
         vms=vms, endpoints=endpoints, lying_share=share, hanging=fail == "hang"
     )
@@ -87,7 +87,7 @@
 
 @when("it is played with {mechanism} and without")
 def step_played(context, mechanism):
-    module, name, value = WITHOUT[mechanism]
+    module, name, value = DISABLED_MECHANISMS[mechanism]
     context.values = []
     for patch in (contextlib.nullcontext(), mock.patch.object(module, name, value)):
         with patch:
--- a/features/steps/machine_steps.py
+++ b/features/steps/machine_steps.py
@@ -7,6 +7,6 @@
 
 @then("the state machine holds for at least {steps:d} steps")
 def step_machine(context, steps):
-    done = run_machine(steps)
-    print(f"state machine: {done} steps")
-    assert done >= steps, done
+    steps_done = run_machine(steps)
+    print(f"state machine: {steps_done} steps")
+    assert steps_done >= steps, steps_done
--- a/features/steps/membership_fleet_steps.py
+++ b/features/steps/membership_fleet_steps.py
@@ -14,7 +14,7 @@
 from cloverhook_emulator.fleet_runner import OPERATOR_TOKEN, Fleet
 from features.shared import DATA_CENTERS, HOST, eventually, run
 
-LIFETIME_MS = 300
+ADDRESS_LIFETIME_MS = 300
 CALLERS = 4
 CONFIG = """
 brand = "brathwaite"
@@ -32,7 +32,7 @@
 async def _publish(context):
     endpoints = ", ".join(f'"{address}"' for address in context.endpoints)
     path = context.fleet.folder / "brand.toml"
-    path.write_text(CONFIG.format(host=HOST, endpoints=endpoints, lifetime_ms=LIFETIME_MS))
+    path.write_text(CONFIG.format(host=HOST, endpoints=endpoints, lifetime_ms=ADDRESS_LIFETIME_MS))
     code, output, errors = await context.fleet.tool("publish", str(path))
     assert code == 0, output + errors
 
@@ -44,27 +44,27 @@
     context.proxy = CutProxy(context.fleet.platform_url.removeprefix("http://"))
     await context.proxy.start()
     context.stack.push_async_callback(context.proxy.close)
-    through = {"platform_url": f"http://{context.proxy.address}"}
+    proxy_settings = {"platform_url": f"http://{context.proxy.address}"}
     starts = [
         context.fleet.start_daemon(
-            f"vm-{index}", DATA_CENTERS[index % 3], **(through if index < proxied else {})
+            f"vm-{index}", DATA_CENTERS[index % 3], **(proxy_settings if index < proxied else {})
         )
         for index in range(count)
     ]
     await asyncio.gather(*starts)
     await context.fleet.list_vms()
     await _publish(context)
-    await _versions(context, 1)
-    await _hand_out(context, list(context.fleet.daemons))
+    await _wait_for_version(context, 1)
+    await _wait_for_addresses(context, list(context.fleet.daemons))
 
 
-async def _versions(context, version):
-    async def all_have():
+async def _wait_for_version(context, version):
+    async def all_match():
         statuses = [await context.fleet.status(vm) for vm in context.fleet.daemons]
         found = [status["brands"].get("brathwaite", {}).get("version") for status in statuses]
         return found == [version] * len(statuses)
 
-    await eventually(all_have)
+    await eventually(all_match)
 
 
 async def _addresses(context, daemon):
@@ -73,16 +73,16 @@
         return (await answer.json())["addresses"]
 
 
-async def _hand_out(context, vms, asked=None):
+async def _wait_for_addresses(context, vms, queried=None):
     """Wait until the daemons hand out just the addresses of some."""
-    wanted = {context.fleet.daemons[vm].caller_address for vm in vms}
+    expected = {context.fleet.daemons[vm].caller_address for vm in vms}
 
-    async def all_do():
-        daemons = [context.fleet.daemons[vm] for vm in asked or vms]
+    async def all_match():
+        daemons = [context.fleet.daemons[vm] for vm in queried or vms]
         found = [set(await _addresses(context, daemon)) for daemon in daemons]
-        return all(item == wanted for item in found)
+        return all(item == expected for item in found)
 
-    await eventually(all_do)
+    await eventually(all_match)
 
 
 async def _call(context, address):
@@ -98,10 +98,10 @@
     await asyncio.sleep(delay_ms / 1000)
     while not stop.is_set():
         addresses = await _addresses(context, context.fleet.daemons["vm-0"])
-        until = loop.time() + LIFETIME_MS / 1000
-        while loop.time() < until:
+        expires_s = loop.time() + ADDRESS_LIFETIME_MS / 1000
+        while loop.time() < expires_s:
             for address in addresses:
-                if loop.time() >= until:
+                if loop.time() >= expires_s:
                     break
                 try:
                     context.answered.append(await _call(context, address))
@@ -113,12 +113,12 @@
 async def _stop_under_load(context, vm):
     context.answered = []
     stop = asyncio.Event()
-    delays_ms = [LIFETIME_MS * index / CALLERS for index in range(CALLERS)]
+    delays_ms = [ADDRESS_LIFETIME_MS * index / CALLERS for index in range(CALLERS)]
     callers = [asyncio.create_task(_keep_calling(context, stop, delay)) for delay in delays_ms]
-    await asyncio.sleep(2 * LIFETIME_MS / 1000)
+    await asyncio.sleep(2 * ADDRESS_LIFETIME_MS / 1000)
     process = context.fleet.daemons[vm].process
     process.send(signal.SIGTERM)
-    await asyncio.sleep(LIFETIME_MS / 1000)
+    await asyncio.sleep(ADDRESS_LIFETIME_MS / 1000)
     context.exit_code = await process.stop(signal.SIGTERM)
     stop.set()
     await asyncio.gather(*callers)
@@ -142,11 +142,14 @@
 @when('"{vm}" is stopped until the others have dropped it')
 def step_paused(context, vm):
     context.fleet.daemons[vm].process.send(signal.SIGSTOP)
-    run(context, _hand_out(context, [name for name in context.fleet.daemons if name != vm]))
+    run(
+        context,
+        _wait_for_addresses(context, [name for name in context.fleet.daemons if name != vm]),
+    )
 
 
 @when('"{vm}" goes on')
-def step_goes_on(context, vm):
+def step_resumed(context, vm):
     context.fleet.daemons[vm].process.send(signal.SIGCONT)
 
 
@@ -167,18 +170,18 @@
 
 
 @when("a stranger with another key greets the peers' port")
-def step_stranger(context):
-    async def greet():
+def step_unauthenticated_peer(context):
+    async def connect_with_wrong_key():
         hello = Hello("vm-9", "papine", "127.0.0.1:1", "127.0.0.1:2", 1)
         address = context.fleet.daemons["vm-0"].peer_address
         async with connect(f"ws://{address}/", proxy=None) as link:
             nonce = Handshake.new_nonce()
             await link.send(nonce)
-            greeting = Handshake.from_nonces(b"wrong", Role.CLIENT, nonce, await link.recv())
-            await link.send(encode(greeting.prove(hello)))
+            handshake = Handshake.from_nonces(b"wrong", Role.CLIENT, nonce, await link.recv())
+            await link.send(encode(handshake.prove(hello)))
             await link.wait_closed()
 
-    run(context, greet())
+    run(context, connect_with_wrong_key())
 
 
 @then("the metrics count {count:d} refused stranger")
@@ -193,7 +196,7 @@
 
 
 @then("it ends with 0 and every call was answered")
-def step_ended(context):
+def step_stopped_cleanly(context):
     assert context.exit_code == 0, context.exit_code
     assert len(context.answered) > CALLERS
     wrong = [item for item in context.answered if item is not True]
@@ -201,16 +204,16 @@
 
 
 @then("the others hand out vm-{first:d} to vm-{last:d}")
-def step_hand_out(context, first, last):
-    run(context, _hand_out(context, [f"vm-{index}" for index in range(first, last + 1)]))
+def step_addresses(context, first, last):
+    run(context, _wait_for_addresses(context, [f"vm-{index}" for index in range(first, last + 1)]))
 
 
 @then('"{vm}" has noticed its pause and hands out all')
-def step_noticed(context, vm):
+def step_pause_detected(context, vm):
     assert run(context, context.fleet.status(vm))["pauses"] >= 1
-    run(context, _hand_out(context, list(context.fleet.daemons), [vm]))
+    run(context, _wait_for_addresses(context, list(context.fleet.daemons), [vm]))
 
 
 @then("every daemon has version {version:d}")
 def step_versions(context, version):
-    run(context, _versions(context, version))
+    run(context, _wait_for_version(context, version))
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -18,7 +18,7 @@
 from features.member_network import DATA_CENTERS, MemberNetwork
 
 
-def names(first, last):
+def vm_names(first, last):
     return [f"vm-{index}" for index in range(first, last + 1)]
 
 
@@ -36,15 +36,15 @@
 @given("{count:d} members that know each other, with a loss of {loss:f}")
 def step_lossy_members(context, count, loss):
     context.network = MemberNetwork(loss=loss)
-    for vm in names(0, count - 1):
+    for vm in vm_names(0, count - 1):
         context.network.add(vm)
-    context.network.list_vms(names(0, count - 1))
+    context.network.list_vms(vm_names(0, count - 1))
     context.network.run(5_000)
     step_hand_out(context, 0, count - 1)
 
 
 @when('the list also names "{vm}" and {seconds:d} seconds pass')
-def step_ghost(context, vm, seconds):
+def step_unknown_vm_listed(context, vm, seconds):
     context.network.list_vms([*context.network.nodes, vm])
     context.network.run(seconds * 1_000)
 
@@ -77,20 +77,20 @@
 
 
 @when('"{vm}" starts anew and old updates of it come late')
-def step_anew(context, vm):
+def step_restarted(context, vm):
     network = context.network
-    late = update_of(network, vm, sequence=9, status=Status.LOST)
+    stale_update = update_of(network, vm, sequence=9, status=Status.LOST)
     network.kill(vm)
     network.add(vm, incarnation=2)
     network.list_vms(network.nodes)
     network.run(3_000)
     for node in tuple(network.nodes):
-        network.handle(node, MessageReceived("vm-0" if node != "vm-0" else "vm-1", late))
+        network.handle(node, MessageReceived("vm-0" if node != "vm-0" else "vm-1", stale_update))
     network.run(1_000)
 
 
 @when('"{vm}" starts anew with a lower incarnation and {seconds:d} seconds pass')
-def step_set_back(context, vm, seconds):
+def step_lower_incarnation(context, vm, seconds):
     context.network.kill(vm)
     context.network.run(3_000)
     context.network.add(vm, incarnation=0)
@@ -99,7 +99,7 @@
 
 
 @when('"{vm}" learns of a newer process under its name')
-def step_newer(context, vm):
+def step_newer_incarnation(context, vm):
     context.network.run(10_000)
     newer = update_of(context.network, vm, incarnation=5)
     context.network.handle(vm, MessageReceived("vm-0", newer))
@@ -112,8 +112,8 @@
 
 
 @when('"vm-{first:d}" to "vm-{last:d}" are paused for good and {seconds:d} seconds pass')
-def step_third_lost(context, first, last, seconds):
-    context.network.paused.update(names(first, last))
+def step_many_paused(context, first, last, seconds):
+    context.network.paused.update(vm_names(first, last))
     context.network.run(seconds * 1_000)
 
 
@@ -126,8 +126,8 @@
 
 @when('a wrong suspicion of "{vm}" is spread and {seconds:d} seconds pass')
 def step_suspicion(context, vm, seconds):
-    wrong = update_of(context.network, vm, status=Status.SUSPECT)
-    context.network.handle("vm-0", MessageReceived("vm-1", wrong))
+    false_suspicion = update_of(context.network, vm, status=Status.SUSPECT)
+    context.network.handle("vm-0", MessageReceived("vm-1", false_suspicion))
     context.network.run(seconds * 1_000)
 
 
@@ -135,8 +135,10 @@
 def step_halves(context, seconds):
     vms = sorted(context.network.nodes)
     context.halves = set(vms[: len(vms) // 2]), set(vms[len(vms) // 2 :])
-    one = context.halves[0]
-    context.network.cut = {(a, b) for a in vms for b in vms if (a in one) != (b in one)}
+    first_half = context.halves[0]
+    context.network.cut = {
+        (a, b) for a in vms for b in vms if (a in first_half) != (b in first_half)
+    }
     context.network.run(seconds * 1_000)
 
 
@@ -154,12 +156,12 @@
     network.kill(one)
     network.kill(other)
     network.add(fresh)
-    network.list_vms([*names(0, 7), fresh])
+    network.list_vms([*vm_names(0, 7), fresh])
     network.run(55_000)
 
 
 @when('"{vm}" wakes')
-def step_wakes(context, vm):
+def step_resumes(context, vm):
     context.network.wake(vm)
 
 
@@ -173,22 +175,24 @@
 
 @when('a VM that "{asked}" does not watch is paused and a caller reports it {late_ms:d} ms later')
 def step_report(context, asked, late_ms):
-    near = context.network.nodes[asked].neighbours()
-    context.reported = next(vm for vm in sorted(context.network.nodes) if vm not in (asked, *near))
+    watched = context.network.nodes[asked].neighbours()
+    context.reported = next(
+        vm for vm in sorted(context.network.nodes) if vm not in (asked, *watched)
+    )
     context.network.paused.add(context.reported)
     context.network.run(late_ms)
     context.network.handle(asked, CallerConnectFailed(f"{context.reported}:80"))
 
 
 @then('it is not handed out by "{asked}" {within_ms:d} ms after that')
-def step_report_heeded(context, asked, within_ms):
+def step_report_applied(context, asked, within_ms):
     context.network.run(within_ms)
     assert context.reported not in context.network.serving(asked)
 
 
 @then("every member hands out vm-{first:d} to vm-{last:d}")
 def step_hand_out(context, first, last):
-    step_hand_out_all(context, " ".join(names(first, last)))
+    step_hand_out_all(context, " ".join(vm_names(first, last)))
 
 
 @then('every member hands out all of "{vms}"')
@@ -213,41 +217,41 @@
 
 
 @then('"{vm}" is told to leave')
-def step_told_to_leave(context, vm):
+def step_replaced(context, vm):
     assert context.network.replaced == [vm]
 
 
 @then("nobody was ever suspected to be lost")
-def step_nobody_suspected(context):
+def step_none_suspected(context):
     for node in context.network.nodes.values():
         assert node.table.own.sequence == 0, node.table.own
 
 
 @then('"{vm}" has raised its sequence number')
-def step_raised(context, vm):
+def step_sequence_raised(context, vm):
     for node in context.network.nodes.values():
         assert node.table.get(vm).sequence == 1
 
 
 @then('"{vm}" holds what it knows for doubtful')
-def step_doubtful(context, vm):
+def step_unconfirmed(context, vm):
     assert context.network.nodes[vm].has_unconfirmed_members
 
 
 @then('"{vm}" holds nothing for doubtful')
-def step_not_doubtful(context, vm):
+def step_all_confirmed(context, vm):
     assert not context.network.nodes[vm].has_unconfirmed_members
 
 
 @then("with 20, 100, 300 and 600 VMs each has at most 6 neighbours and all are within 6 steps")
 def step_bounded(context):
     for count in (20, 100, 300, 600):
-        vms = names(0, count - 1)
-        beside = {vm: neighbours(vm, vms) for vm in vms}
-        assert max(len(found) for found in beside.values()) <= 6
+        vms = vm_names(0, count - 1)
+        neighbours_by_vm = {vm: neighbours(vm, vms) for vm in vms}
+        assert max(len(found) for found in neighbours_by_vm.values()) <= 6
         reached, steps = {vms[0]}, 0
         while len(reached) < count:
-            reached |= {peer for vm in reached for peer in beside[vm]}
+            reached |= {peer for vm in reached for peer in neighbours_by_vm[vm]}
             steps += 1
             assert steps <= 6, (count, steps)
 
@@ -293,7 +297,7 @@
 @then("the answers for a service name its homes first and spread callers over them")
 def step_answers(context):
     answers = AddressAnswers(random.Random(5))
-    members = [Member(vm, DATA_CENTERS[int(vm[3:]) % 3], vm, "") for vm in names(0, 18)]
+    members = [Member(vm, DATA_CENTERS[int(vm[3:]) % 3], vm, "") for vm in vm_names(0, 18)]
     places = tuple(Endpoint(f"10.0.0.{i}:80", DATA_CENTERS[i % 3]) for i in range(6))
     service = Service("s", ("s.example",), places)
     answers.update({"b/s": 3}, members, 0.0)
@@ -304,8 +308,8 @@
     assert sorted(Counter(found[0] for found in orders).values()) == [20, 20, 20]
     assert {found["lifetime_ms"] for found in given_answers} == {5_000}
     assert answers.answer("b/s", service, 5_000, 100.0)["lifetime_ms"] == UNSETTLED_LIFETIME_MS
-    near = answers.answer("b/s", service, 5_000, 9_000.0, "papine", unconfirmed=True)
-    assert near["lifetime_ms"] == UNCONFIRMED_LIFETIME_MS
-    own_center = [int(vm[3:]) % 3 == 2 for vm in near["addresses"][3:]]
-    assert int(near["addresses"][0][3:]) % 3 == 2
+    local_answer = answers.answer("b/s", service, 5_000, 9_000.0, "papine", unconfirmed=True)
+    assert local_answer["lifetime_ms"] == UNCONFIRMED_LIFETIME_MS
+    own_center = [int(vm[3:]) % 3 == 2 for vm in local_answer["addresses"][3:]]
+    assert int(local_answer["addresses"][0][3:]) % 3 == 2
     assert own_center == sorted(own_center, reverse=True)
--- a/features/steps/operators_listener_steps.py
+++ b/features/steps/operators_listener_steps.py
@@ -10,14 +10,14 @@
 from features.shared import HOST, OPERATOR, eventually, run, start_fleet
 
 IDEMPOTENCY_KEY = "an-idempotency-key-that-stays-hidden"
-GUESS = "a-guess-at-the-token"
+WRONG_TOKEN = "a-guess-at-the-token"
 
 
 async def _get(context, path, headers=None):
     daemon = context.fleet.daemons["vm-0"]
     url = f"http://{daemon.operator_address}{path}"
-    sent = OPERATOR if headers is None else headers
-    async with context.session.get(url, headers=sent) as answer:
+    request_headers = OPERATOR if headers is None else headers
+    async with context.session.get(url, headers=request_headers) as answer:
         return answer.status, await answer.text()
 
 
@@ -39,7 +39,7 @@
 
 @then('operators without the token are refused with "{error}"')
 def step_refused(context, error):
-    for headers in ({}, {"Authorization": f"Bearer {GUESS}"}):
+    for headers in ({}, {"Authorization": f"Bearer {WRONG_TOKEN}"}):
         status, text = run(context, _get(context, "/v1/status", headers))
         assert status == 401, status
         assert json.loads(text)["error"] == error, text
@@ -111,7 +111,7 @@
 @when("a caller sends an idempotency key and a stranger guesses the token")
 def step_secrets_used(context):
     _call(context, HOST, **{"Idempotency-Key": IDEMPOTENCY_KEY})
-    run(context, _get(context, "/v1/status", {"Authorization": f"Bearer {GUESS}"}))
+    run(context, _get(context, "/v1/status", {"Authorization": f"Bearer {WRONG_TOKEN}"}))
 
 
 def _log_lines(context):
@@ -132,7 +132,7 @@
     for path in ("/v1/events", "/v1/status"):
         shown += run(context, _get(context, path))[1]
     assert "request-answered" in shown
-    for secret in (PEER_KEY, OPERATOR_TOKEN, IDEMPOTENCY_KEY, GUESS):
+    for secret in (PEER_KEY, OPERATOR_TOKEN, IDEMPOTENCY_KEY, WRONG_TOKEN):
         assert secret not in shown, secret
 
 
--- a/features/steps/operators_steps.py
+++ b/features/steps/operators_steps.py
@@ -21,22 +21,22 @@
 def step_commands(context):
     for row in context.table:
         code, output, errors = run(context, context.fleet.tool(*row["command"].split()))
-        told = f"{row['command']}: {code}\n{output}{errors}"
-        assert code == int(row["code"]), told
-        assert row["output"] in output + errors, told
-        assert "Traceback" not in errors, told
+        report = f"{row['command']}: {code}\n{output}{errors}"
+        assert code == int(row["code"]), report
+        assert row["output"] in output + errors, report
+        assert "Traceback" not in errors, report
 
 
 @then('"{command}" comes to give {code:d} and "{output}" once the reads under way have ended')
-def step_comes_to(context, command, code, output):
+def step_eventually_gives(context, command, code, output):
     """Ask until it does: a read that waits hears of an outage only when its wait ends."""
 
-    async def given():
+    async def output_matches():
         found, text, errors = await context.fleet.tool(*command.split())
         assert found == code and "Traceback" not in errors, (found, errors)
         return output in text
 
-    run(context, eventually(given))
+    run(context, eventually(output_matches))
 
 
 @when("the process of {vm} is killed")
@@ -73,9 +73,9 @@
         await context.fleet.start_daemon("vm-9", "papine", drain_ms=500)
         await context.fleet.list_vms()
 
-        async def follows():
+        async def has_config():
             return "saltbush" in (await context.fleet.status("vm-9"))["brands"]
 
-        await eventually(follows)
+        await eventually(has_config)
 
     run(context, start())
--- a/features/steps/peer_links_steps.py
+++ b/features/steps/peer_links_steps.py
@@ -18,13 +18,13 @@
 KEY = b"a key"
 
 
-class Side:
+class DaemonLinks:
     """A daemon's links and what they told."""
 
     def __init__(self, vm, key):
-        self.heard = []
-        self.lost = []
-        self.strangers = 0
+        self.received = []
+        self.lost_peers = []
+        self.failed_authentications = 0
         self.now_ms = 1_000.0
         hello = Hello(vm, "papine", "127.0.0.1:80", "", 1)
         self.links = PeerLinks(lambda: hello, key, self, lambda: self.now_ms)
@@ -34,20 +34,20 @@
 
     def link_lost(self, vm):
         """Keep the name."""
-        self.lost.append(vm)
+        self.lost_peers.append(vm)
 
     def message_received(self, vm, message):
         """Keep the message."""
-        self.heard.append((vm, message))
+        self.received.append((vm, message))
 
     def authentication_failed(self):
         """Count."""
-        self.strangers += 1
+        self.failed_authentications += 1
 
 
 async def _start(context, first, second, keys):
     context.stack.push_async_callback(asyncio.sleep, 0.05)
-    context.a, context.b = Side(first, keys[0]), Side(second, keys[1])
+    context.a, context.b = DaemonLinks(first, keys[0]), DaemonLinks(second, keys[1])
     for side in (context.a, context.b):
         await side.links.start("127.0.0.1:0")
         context.stack.push_async_callback(side.links.close)
@@ -98,7 +98,7 @@
         await eventually(refused)
 
     async def refused():
-        return context.b.strangers == 1
+        return context.b.failed_authentications == 1
 
     run(context, tried())
 
@@ -118,7 +118,7 @@
         await eventually(refused)
 
     async def refused():
-        return context.a.strangers == 1
+        return context.a.failed_authentications == 1
 
     run(context, reflect())
 
@@ -144,7 +144,7 @@
 @when("it carries only pings for long")
 def step_idle(context):
     async def arrived():
-        return context.a.heard and context.b.heard
+        return context.a.received and context.b.received
 
     for side, peer in ((context.a, "vm-b"), (context.b, "vm-a")):
         side.now_ms += LINK_IDLE_TIMEOUT_MS + 1
@@ -161,10 +161,10 @@
         await eventually(arrived)
 
     async def arrived():
-        return ("vm-a", RecordsRequest(3)) in context.b.heard and (
+        return ("vm-a", RecordsRequest(3)) in context.b.received and (
             "vm-b",
             RecordsRequest(4),
-        ) in context.a.heard
+        ) in context.a.received
 
     run(context, exchange())
 
@@ -176,16 +176,16 @@
 
 
 @then("the silent link is given up on both sides")
-def step_given_up(context):
+def step_silent_closed(context):
     for side, peer in ((context.a, "vm-b"), (context.b, "vm-a")):
         side.now_ms += LINK_SILENCE_TIMEOUT_MS + 1
         side.links.tick((peer,), side.now_ms)
         assert side.links.linked() == ()
-        assert side.lost == [peer]
+        assert side.lost_peers == [peer]
 
 
 @then("the side that accepted it keeps it, and the one that dialled closes it")
-def step_closed(context):
+def step_idle_closed(context):
     async def closed():
         return context.a.links.linked() == context.b.links.linked() == ()
 
@@ -200,7 +200,7 @@
 
 
 @then("a greeting holds only with its nonces, its role, its target and its contents")
-def step_greeting(context):
+def step_handshake(context):
     one, other = Handshake.new_nonce(), Handshake.new_nonce()
     client = Handshake.from_nonces(KEY, Role.CLIENT, one, other)
     server = Handshake.from_nonces(KEY, Role.SERVER, other, one)
@@ -209,7 +209,7 @@
     assert server.check(proved, "vm-b") == proved
     replayed = Handshake.from_nonces(KEY, Role.SERVER, Handshake.new_nonce(), one)
     changed = replace(proved, caller_address="127.0.0.1:81")
-    for greeting, vm, found in (
+    for handshake, vm, found in (
         (client, "vm-b", proved),
         (replayed, "vm-b", proved),
         (server, "vm-c", proved),
@@ -217,7 +217,7 @@
         (server, "vm-b", changed),
     ):
         try:
-            greeting.check(found, vm)
+            handshake.check(found, vm)
         except AuthenticationError:
             continue
-        raise AssertionError((greeting, vm, found))
+        raise AssertionError((handshake, vm, found))
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -37,7 +37,7 @@
 
 CONFIG = TOPICS[Feed.CONFIG]
 SERVERS = TOPICS[Feed.SERVERS]
-SHORT_MS = 200
+SHORT_TIMEOUT_MS = 200
 DOCUMENT = {
     "version": 7,
     "routes": [
@@ -78,7 +78,7 @@
         "idleTimeout": 15,
     },
 }
-FIELDS = {
+TEMPLATE_FIELDS = {
     "nodeName": "front-1",
     "zone": "papine",
     "ip": "10.1.0.35",
@@ -185,14 +185,14 @@
 
 
 @then("the adapter gets both with their offsets")
-def step_both(context):
+def step_both_changes(context):
     first, second = context.found.servers
     assert (first.name, first.offset, first.server.draining) == ("i-1", 5, True)
     assert (second.name, second.offset, second.server) == ("i-2", 6, None)
     assert context.found.end_offset == 7
 
 
-def raised(context, work):
+def raised_error(context, work):
     """Return the error that a call raises."""
     try:
         run(context, work)
@@ -202,27 +202,27 @@
 
 
 @then("a read of lost history says so")
-def step_lost(context):
+def step_lost_history(context):
     context.server.topic(SERVERS).forget()
-    error = raised(context, context.client.changes(Feed.SERVERS, 2, 100))
+    error = raised_error(context, context.client.changes(Feed.SERVERS, 2, 100))
     assert isinstance(error, HistoryLostError)
 
 
 @then("a refused call is known to have done nothing")
 def step_refused(context):
     context.server.refuse_status = 429
-    error = raised(context, context.client.newest(Feed.SERVERS))
+    error = raised_error(context, context.client.newest(Feed.SERVERS))
     assert isinstance(error, PlatformError) and not isinstance(error, PlatformSilentError)
     context.server.refuse_status = 0
 
 
 @then("a call without an answer is not, and the next one works on a new connection")
-def step_silent(context):
-    before, store_client.TIMEOUT_MS = store_client.TIMEOUT_MS, SHORT_MS
+def step_unanswered(context):
+    before, store_client.TIMEOUT_MS = store_client.TIMEOUT_MS, SHORT_TIMEOUT_MS
     try:
         context.server.lost_answers = 1
         own = MemberRecord("vm-own", "papine", "10.0.0.3:1", "10.0.0.3:2")
-        assert isinstance(raised(context, context.client.announce(own)), PlatformSilentError)
+        assert isinstance(raised_error(context, context.client.announce(own)), PlatformSilentError)
     finally:
         store_client.TIMEOUT_MS = before
     assert own in run(context, context.client.members()).members
@@ -247,7 +247,7 @@
 
 @then("a read from the end before is one of lost history, and a whole list has {left:d} entries")
 def step_restored(context, left):
-    error = raised(context, context.client.changes(Feed.SERVERS, 5, 0))
+    error = raised_error(context, context.client.changes(Feed.SERVERS, 5, 0))
     assert isinstance(error, HistoryLostError), error
     found = run(context, context.client.newest(Feed.SERVERS))
     assert len(found.servers) == left and found.era == 2
@@ -289,10 +289,10 @@
 
 
 @then("the adapter names it and reads the others")
-def step_named(context):
+def step_unreadable_named(context):
     found = run(context, context.client.newest(Feed.SERVERS))
-    sound = [record.name for record in found.servers if record.server is not None]
-    assert sorted(sound) == [f"i-{number}" for number in range(5)]
+    readable = [record.name for record in found.servers if record.server is not None]
+    assert sorted(readable) == [f"i-{number}" for number in range(5)]
     assert len(found.unreadable) == 1 and "i-bad" in found.unreadable[0]
 
 
@@ -334,21 +334,21 @@
 
 @then("filled in as the platform does, it is valid and complete")
 def step_valid(context):
-    context.document = tomllib.loads(fill(context.template, FIELDS))
+    context.document = tomllib.loads(fill(context.template, TEMPLATE_FIELDS))
     settings = GatewaySettings.from_document(context.document)
     assert settings.peer_address == "10.1.0.35:7660"
-    assert settings.seed_addresses == tuple(FIELDS["seeds"])
+    assert settings.seed_addresses == tuple(TEMPLATE_FIELDS["seeds"])
     assert settings.first_start and settings.retry_extra == 56
     assert (settings.cold_over, settings.cold_slack) == (1.5, 8)
-    assert settings.regions == FIELDS["zones"]
-    bounds = {**FIELDS["bounds"], "coldOver": 1.2, "coldSlack": 4}
-    document = tomllib.loads(fill(context.template, {**FIELDS, "bounds": bounds}))
+    assert settings.regions == TEMPLATE_FIELDS["zones"]
+    bounds = {**TEMPLATE_FIELDS["bounds"], "coldOver": 1.2, "coldSlack": 4}
+    document = tomllib.loads(fill(context.template, {**TEMPLATE_FIELDS, "bounds": bounds}))
     settings = GatewaySettings.from_document(document)
     assert (settings.cold_over, settings.cold_slack) == (1.2, 4)
 
 
 @then("a setting that is wrong is named")
-def step_wrong(context):
+def step_invalid_setting(context):
     try:
         GatewaySettings.from_document({**context.document, "retry_ratio": 2, "speed": 1})
     except SettingsError as error:
--- a/features/steps/probe_steps.py
+++ b/features/steps/probe_steps.py
@@ -19,23 +19,23 @@
 from features.steps.dispatch_steps import ADDRESS, DOCUMENT, HOST, NoOutlet
 from features.steps.home_steps import homed, spread_fleet
 
-QUIET_S = 0.2
+SETTLE_S = 0.2
 CONNECTIONS = 200
 KEY = "one/only"
-BUDGET_MS_PER_S = 60
+PROBE_BUDGET_MS_PER_S = 60
 PROBE_MS = 6
-FIRST_PROBES = 3
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b"
-LOAD = b'{"in_flight": 3, "slots": 4}'
-DRAINING = b'{"healthy": false, "draining": true}'
+INITIAL_PROBES = 3
+ANSWER_FORMAT = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b"
+LOAD_BODY = b'{"in_flight": 3, "slots": 4}'
+DRAINING_BODY = b'{"healthy": false, "draining": true}'
 ANSWERS = {
-    "load": HEAD % (len(LOAD), LOAD),
-    "draining": HEAD % (len(DRAINING), DRAINING),
+    "load": ANSWER_FORMAT % (len(LOAD_BODY), LOAD_BODY),
+    "draining": ANSWER_FORMAT % (len(DRAINING_BODY), DRAINING_BODY),
     "not-found": b"HTTP/1.1 404 Not Found\r\nContent-Length: 4\r\n\r\nnone",
-    "wrong-number": HEAD % (19, b'{"in_flight": "all"}'[:19]),
+    "wrong-number": ANSWER_FORMAT % (19, b'{"in_flight": "all"}'[:19]),
     "hangs": ScriptedBackend.hang,
     "cut": ScriptedBackend.cut,
-    "too-long": HEAD % (10_000, b"0" * 10_000),
+    "too-long": ANSWER_FORMAT % (10_000, b"0" * 10_000),
 }
 
 
@@ -49,7 +49,7 @@
 @given("a scripted backend server that is probed")
 def step_backend(context):
     async def start():
-        context.stack.push_async_callback(asyncio.sleep, QUIET_S)
+        context.stack.push_async_callback(asyncio.sleep, SETTLE_S)
         context.backend = await context.stack.enter_async_context(ScriptedBackend())
         context.pool = UpstreamPool()
         context.stack.callback(context.pool.close)
@@ -90,7 +90,7 @@
 @then("a probe uses a connection again")
 def step_reused(context):
     assert _probe(context, "load").load == 3
-    run(context, asyncio.sleep(QUIET_S))
+    run(context, asyncio.sleep(SETTLE_S))
     connections = context.backend.connections
     assert _probe(context, "load").load == 3
     assert context.backend.connections == connections
@@ -107,7 +107,7 @@
     started_s = time.monotonic()
     run(context, eventually(all_probed))
     probes = sum(run(context, counts()))
-    allowed = (time.monotonic() - started_s) * BUDGET_MS_PER_S / PROBE_MS + FIRST_PROBES
+    allowed = (time.monotonic() - started_s) * PROBE_BUDGET_MS_PER_S / PROBE_MS + INITIAL_PROBES
     assert probes <= allowed, (probes, allowed)
 
 
@@ -130,7 +130,7 @@
     assert max(limits) == CONNECTIONS // 2 and min(limits) >= 4, limits
 
 
-def _health_asked(driver, address, ms):
+def _health_probed(driver, address, ms):
     """Let time pass until the health of an endpoint is asked for, and return whether it was."""
     for _ in range(ms // 10):
         driver.now_ms += 10
@@ -149,21 +149,21 @@
 
 
 @then("its health is asked for within a second")
-def step_asked(context):
-    assert _health_asked(context.driver, context.address, 1_000)
+def step_health_probed(context):
+    assert _health_probed(context.driver, context.address, 1_000)
 
 
 @then("while it is found leaving it gets no request and is asked again")
-def step_leaving(context):
+def step_draining_excluded(context):
     context.driver.do(ProbeEnded(context.address, None, 6.0, True))
     before = context.driver.starts[context.address]
     context.driver.run(900, 5, lambda address: 10)
     assert context.driver.starts[context.address] == before
-    assert _health_asked(context.driver, context.address, 1_500)
+    assert _health_probed(context.driver, context.address, 1_500)
 
 
 @then("once it is found well it gets requests again")
-def step_well(context):
+def step_recovered(context):
     context.driver.do(ProbeEnded(context.address, None, 6.0, False))
     before = context.driver.starts[context.address]
     context.driver.run(500, 5, lambda address: 10)
--- a/features/steps/quarantine_replay_steps.py
+++ b/features/steps/quarantine_replay_steps.py
@@ -7,17 +7,17 @@
 from cloverhook.gateway.quarantine import Quarantine, SendPermission
 from features.quarantine_fleet import QuarantineFleet, keys_of
 
-FATAL = keys_of(1)
-SOUND = keys_of(2)
+CRASHING_REQUEST = keys_of(1)
+HARMLESS_REQUEST = keys_of(2)
 REPLAYS = 10
-CUT_VMS = ("vm-0", "vm-1", "vm-2")
+ISOLATED_VMS = ("vm-0", "vm-1", "vm-2")
 CRASH_ODDS = 3
 DAY_MS = 86_400_000.0
 
 
-def is_fatal(keys, now_ms):
+def crashes_endpoint(keys, now_ms):
     """Say that the one fatal request crashes whoever runs it."""
-    return keys == FATAL
+    return keys == CRASHING_REQUEST
 
 
 @given("a replay of {vms:d} VMs between which {lost:d} in 100 messages are lost")
@@ -25,7 +25,7 @@
     context.vms, context.lost_share = vms, lost / 100
 
 
-def fleet_of(context, seed, fatal=is_fatal):
+def fleet_of(context, seed, fatal=crashes_endpoint):
     """Return the fleet of a replay."""
     return QuarantineFleet(context.vms, seed, fatal, context.lost_share)
 
@@ -42,7 +42,7 @@
 def step_copies(context, copies):
     context.fleets = [fleet_of(context, seed) for seed in range(REPLAYS)]
     for fleet in context.fleets:
-        send_every(fleet, 300, 90_000, FATAL, copies)
+        send_every(fleet, 300, 90_000, CRASHING_REQUEST, copies)
         fleet.run()
 
 
@@ -55,13 +55,13 @@
 @when("copies come to all, 3 VMs are cut off from 5 to 15 s, and 5 start again at 16 s")
 def step_cut(context):
     context.fleet = fleet = fleet_of(context, 1)
-    send_every(fleet, 300, 30_000, FATAL, vms=list(fleet.vms)[len(CUT_VMS) :])
+    send_every(fleet, 300, 30_000, CRASHING_REQUEST, vms=list(fleet.vms)[len(ISOLATED_VMS) :])
     for number in range(30):
-        for vm in CUT_VMS:
-            fleet.at(5_100.0 + 300 * number, fleet.request, vm, FATAL)
-    fleet.at(0.0, fleet.reached.difference_update, CUT_VMS)
-    fleet.at(15_000.0, fleet.reached.update, CUT_VMS)
-    for vm in CUT_VMS:
+        for vm in ISOLATED_VMS:
+            fleet.at(5_100.0 + 300 * number, fleet.request, vm, CRASHING_REQUEST)
+    fleet.at(0.0, fleet.reached.difference_update, ISOLATED_VMS)
+    fleet.at(15_000.0, fleet.reached.update, ISOLATED_VMS)
+    for vm in ISOLATED_VMS:
         fleet.at(15_000.0, fleet.welcome, vm)
     for number in range(5, 10):
         fleet.at(16_000.0, fleet.join, f"vm-{number}")
@@ -71,13 +71,13 @@
 @then("each VM that was cut off has ended at most 2 endpoints, and all others together 3")
 def step_cut_ended(context):
     crashed_ms = context.fleet.outcomes.crashed_ms
-    assert len(crashed_ms) <= 2 * len(CUT_VMS) + 3, crashed_ms
+    assert len(crashed_ms) <= 2 * len(ISOLATED_VMS) + 3, crashed_ms
 
 
 @when("both come every 100 ms for 15 s")
 def step_both(context):
     context.fleet = fleet = fleet_of(context, 1)
-    send_every(fleet, 100, 15_000, FATAL)
+    send_every(fleet, 100, 15_000, CRASHING_REQUEST)
     send_every(fleet, 100, 15_000, keys_of(1, caller=7))
     fleet.run()
 
@@ -90,7 +90,7 @@
 
 
 @when("a request that was answered before comes every 50 ms while endpoints crash for 15 s")
-def step_sound(context):
+def step_harmless(context):
     context.fleets = []
     for seed in range(REPLAYS):
         source = random.Random(seed)
@@ -99,7 +99,7 @@
             return 1_000 < now_ms < 16_000 and not source.randrange(CRASH_ODDS)
 
         fleet = fleet_of(context, seed, crashes)
-        send_every(fleet, 50, 30_000, SOUND)
+        send_every(fleet, 50, 30_000, HARMLESS_REQUEST)
         fleet.run()
         context.fleets.append(fleet)
 
@@ -120,7 +120,7 @@
 
 @given("a request that it holds in quarantine")
 def step_one(context):
-    context.quarantine.record_crash(FATAL, (1, 1), 10_000.0)
+    context.quarantine.record_crash(CRASHING_REQUEST, (1, 1), 10_000.0)
     for number in range(10_000, 12_000):
         context.quarantine.record_crash(keys_of(number), (0, 0), 10_000.0 + number)
 
@@ -128,7 +128,9 @@
 @then("it holds at most {most:d}, and still that one")
 def step_bounded(context, most):
     assert len(context.quarantine) <= most
-    assert context.quarantine.send_permission(FATAL, 22_000.0) is SendPermission.QUARANTINED
+    assert (
+        context.quarantine.send_permission(CRASHING_REQUEST, 22_000.0) is SendPermission.QUARANTINED
+    )
 
 
 @then("all are forgotten a day after the last")
--- a/features/steps/silent_link_steps.py
+++ b/features/steps/silent_link_steps.py
@@ -14,16 +14,16 @@
 from features.shared import CONFIG, eventually, run
 
 TIMEOUT_MS = 1_000
-GIVE_UP_S = 0.2
+CALLER_TIMEOUT_S = 0.2
 IDLE_S = 0.4
-QUIET_S = 0.2
-READ = "/read-"
+SETTLE_S = 0.2
+READ_PATH = "/read-"
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
-DEADLINE = b"Cloverhook-Timeout-Ms: %d"
+TIMEOUT_HEADER = b"Cloverhook-Timeout-Ms: %d"
 
 
 async def _start(context):
-    context.stack.push_async_callback(asyncio.sleep, QUIET_S)
+    context.stack.push_async_callback(asyncio.sleep, SETTLE_S)
     context.backend = await context.stack.enter_async_context(ScriptedBackend({"/warm": OK}))
     context.proxy = CutProxy(context.backend.address)
     await context.proxy.start()
@@ -44,13 +44,13 @@
 
 async def _call(context, path, method="GET", timeout_ms=20_000):
     context.backend.answers.setdefault(path, OK)
-    data = request(method, path, DEADLINE % timeout_ms, b"Content-Length: 0")
+    data = request(method, path, TIMEOUT_HEADER % timeout_ms, b"Content-Length: 0")
     return await call(context.fleet.daemons["vm-0"].caller_address, data)
 
 
 def _reads(context, count):
     async def reads():
-        paths = [f"{READ}{index}" for index in range(count)]
+        paths = [f"{READ_PATH}{index}" for index in range(count)]
         return [await _call(context, path, timeout_ms=TIMEOUT_MS) for path in paths]
 
     return run(context, reads())
@@ -73,13 +73,13 @@
 
 
 @when("a caller gives a read up")
-def step_give_up(context):
-    async def give_up():
+def step_caller_aborts(context):
+    async def abort():
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(GIVE_UP_S):
+            async with asyncio.timeout(CALLER_TIMEOUT_S):
                 await _call(context, "/given-up")
 
-    run(context, give_up())
+    run(context, abort())
 
 
 @when("the connections have been idle for a while")
@@ -104,7 +104,9 @@
 
 @then("the backend server ran no read twice")
 def step_none_twice(context):
-    targets = [item.target for item in context.backend.received if item.target.startswith(READ)]
+    targets = [
+        item.target for item in context.backend.received if item.target.startswith(READ_PATH)
+    ]
     assert len(targets) == len(set(targets)), targets
 
 
@@ -135,7 +137,7 @@
     context.pool.close()
 
 
-def _check_liveness(sock):
+def _check_keepalive(sock):
     assert sock.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE) == 1
     assert 0 < sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE) <= 30
     assert 0 < sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT) <= 30_000
@@ -150,7 +152,7 @@
         while not connections:
             await asyncio.sleep(0.01)
         for connection in connections:
-            _check_liveness(connection.transport.get_extra_info("socket"))
+            _check_keepalive(connection.transport.get_extra_info("socket"))
         writer.close()
 
     run(context, accepted())
@@ -161,7 +163,7 @@
     async def connect():
         pool = UpstreamPool()
         connection = await pool.acquire(context.listener.address)
-        _check_liveness(connection._transport.get_extra_info("socket"))
+        _check_keepalive(connection._transport.get_extra_info("socket"))
         connection.close()
         pool.close()
 
@@ -171,7 +173,7 @@
 @given("a pool that may have {count:d} connections to an endpoint")
 def step_pool(context, count):
     async def start():
-        context.stack.push_async_callback(asyncio.sleep, QUIET_S)
+        context.stack.push_async_callback(asyncio.sleep, SETTLE_S)
         context.backend = await context.stack.enter_async_context(ScriptedBackend())
         context.pool = UpstreamPool(limit_of=lambda address: count)
         context.stack.callback(_close_pool, context)
@@ -201,9 +203,9 @@
         address = context.backend.address
         for connection in context.acquired:
             context.pool.release(address, connection)
-        taken = [await context.pool.acquire(address) for _ in context.acquired]
-        assert taken == context.acquired[::-1], (taken, context.acquired)
-        for connection in taken:
+        reused = [await context.pool.acquire(address) for _ in context.acquired]
+        assert reused == context.acquired[::-1], (reused, context.acquired)
+        for connection in reused:
             context.pool.release(address, connection)
 
     run(context, reuse())
--- a/features/steps/stand_in_steps.py
+++ b/features/steps/stand_in_steps.py
@@ -37,7 +37,7 @@
     await asyncio.gather(*context.calls, return_exceptions=True)
 
 
-async def _settled(context, count, wanted):
+async def _wait_for_ended_calls(context, count, wanted):
     """Wait until `count` calls have ended in a way that is wanted."""
     while True:
         ended = [call for call in context.calls if call.done()]
@@ -80,16 +80,16 @@
 
 def _send(context, count, headers):
     async def send():
-        wanted = _taken(context.server) + count
+        wanted = _handled_count(context.server) + count
         for _ in range(count):
             context.calls.append(asyncio.ensure_future(_call(context, headers)))
-        while _taken(context.server) < wanted:
+        while _handled_count(context.server) < wanted:
             await asyncio.sleep(0.01)
 
     _run(context, send())
 
 
-def _taken(server):
+def _handled_count(server):
     counts = server.counts()
     names = ("ran", "waiting", "refused", "refused_connections")
     return sum(counts[name] for name in names)
@@ -101,34 +101,37 @@
 
 
 @when("the callers go")
-def step_go(context):
-    async def go():
+def step_callers_cancel(context):
+    async def cancel_all():
         for call in context.calls:
             call.cancel()
         await asyncio.wait(context.calls)
 
-    _run(context, go())
+    _run(context, cancel_all())
 
 
 @then("{count:d} request is refused as not run, with a time to come back")
 def step_refused(context, count):
     wanted = _is_answer(503, b"cloverhook-outcome", b"retry-after")
-    _run(context, _settled(context, count, wanted))
+    _run(context, _wait_for_ended_calls(context, count, wanted))
 
 
 @then("{count:d} request is answered {status:d}")
 def step_answered(context, count, status):
-    _run(context, _settled(context, count, _is_answer(status)))
+    _run(context, _wait_for_ended_calls(context, count, _is_answer(status)))
 
 
 @then("{count:d} request is cut")
 def step_cut(context, count):
-    _run(context, _settled(context, count, lambda call: isinstance(call.exception(), CallError)))
+    _run(
+        context,
+        _wait_for_ended_calls(context, count, lambda call: isinstance(call.exception(), CallError)),
+    )
 
 
 @then('{count:d} run is on record as "{outcome}"')
 @then('{count:d} runs are on record as "{outcome}"')
-def step_on_record(context, count, outcome):
+def step_recorded(context, count, outcome):
     async def recorded():
         while True:
             outcomes = [record.outcome.value for record in context.server.ran]
@@ -141,11 +144,11 @@
 
 @then('its path "{path}" is answered {status:d} with "{name}" {value}')
 def step_path(context, path, status, name, value):
-    async def ask():
+    async def fetch():
         request = f"GET {path} HTTP/1.1\r\nhost: h\r\n\r\n".encode()
         return await context.pool.call(context.server.address, request, WAIT_S)
 
-    answer = _run(context, ask())
+    answer = _run(context, fetch())
     assert answer.status == status, answer
     assert json.loads(answer.body)[name] == json.loads(value), answer
 
@@ -161,8 +164,8 @@
             return
         waiting.append(request)
         if len(waiting) >= count:
-            for held in waiting:
-                held.respond(200, [], b"")
+            for held_request in waiting:
+                held_request.respond(200, [], b"")
 
     context.server = HttpServer(handle)
     _run(context, context.server.start("127.0.0.1:0"))
@@ -202,7 +205,7 @@
 
 @when("the control port is told {document} for the first {count:d} of them")
 def step_control(context, document, count):
-    async def tell():
+    async def set_control():
         named = ",".join(list(context.servers)[:count])
         url = f"http://{context.control.address}/control?server={named}"
         async with (
@@ -211,7 +214,7 @@
         ):
             assert answer.status == 200, await answer.text()
 
-    _run(context, tell())
+    _run(context, set_control())
 
 
 @then("the first {count:d} of them drain and the others do not")
--- a/features/steps/timeline_steps.py
+++ b/features/steps/timeline_steps.py
@@ -33,17 +33,17 @@
 def step_exchange(context, count, seed):
     source = random.Random(seed)
     now_ms = START_MS
-    under_way = []
+    in_transit = []
     context.sent = 0
-    while context.sent < count or under_way:
+    while context.sent < count or in_transit:
         now_ms += source.choice((0.0, 0.01, 1.0))
         if context.sent < count and source.random() < 0.5:
-            under_way.append(_sent(context, source, now_ms))
-        elif under_way:
-            _receive(context, under_way.pop(source.randrange(len(under_way))), now_ms)
+            in_transit.append(_send(context, source, now_ms))
+        elif in_transit:
+            _receive(context, in_transit.pop(source.randrange(len(in_transit))), now_ms)
 
 
-def _sent(context, source, now_ms):
+def _send(context, source, now_ms):
     sender, receiver = source.sample(range(len(context.lines)), 2)
     line, wall_ms = context.lines[sender], now_ms + context.skews_ms[sender]
     number = str(context.sent)
@@ -61,7 +61,7 @@
 
 
 @then("every message is received after it was sent in the merged order")
-def step_causal(context):
+def step_sent_before_received(context):
     context.events = [event for line in context.lines for event in line.events()]
     sent = set()
     for event in merge_events(context.events):
@@ -80,7 +80,7 @@
 
 
 @when("the one that is ahead appends a record and the other reads it")
-def step_by_log(context):
+def step_log(context):
     platform = MemoryPlatform()
     ahead, behind = context.lines
     behind_ms = START_MS + context.skews_ms[1]
@@ -117,20 +117,20 @@
         second.add(START_MS, EventName.REQUEST_CUT, request_id=f"r{index}")
 
 
-def _ids(line, name):
+def _request_ids(line, name):
     return {event.request_id for event in line.events() if event.name is name}
 
 
 @then("both keep the arrivals of the same requests, about a tenth")
 def step_same_sample(context):
-    first, second = (_ids(line, EventName.REQUEST_ARRIVED) for line in context.lines)
+    first, second = (_request_ids(line, EventName.REQUEST_ARRIVED) for line in context.lines)
     assert first == second
     assert context.count * 0.07 < len(first) < context.count * 0.13, len(first)
 
 
 @then("every cut request is kept")
 def step_cut_kept(context):
-    assert len(_ids(context.lines[1], EventName.REQUEST_CUT)) == context.count
+    assert len(_request_ids(context.lines[1], EventName.REQUEST_CUT)) == context.count
 
 
 @given("a time line that keeps {count:d} events of requests")
@@ -173,16 +173,16 @@
 def step_overlap(context, count):
     source = random.Random(count)
     line = TimeLine("vm-0")
-    moments = []
+    timed_events = []
     for index in range(count):
         begin_ms = START_MS + source.uniform(0, 100)
         end_ms = begin_ms + source.uniform(1, 20)
-        moments.append((begin_ms, EventName.REQUEST_ARRIVED, str(index)))
-        moments.append((begin_ms + 0.1, EventName.ATTEMPT_STARTED, str(index)))
-        moments.append((end_ms - 0.1, EventName.ATTEMPT_ENDED, str(index)))
-        moments.append((end_ms, EventName.REQUEST_ANSWERED, str(index)))
-    for moment_ms, name, request_id in sorted(moments):
-        line.add(moment_ms, name, request_id=request_id, address="10.0.0.1:80")
+        timed_events.append((begin_ms, EventName.REQUEST_ARRIVED, str(index)))
+        timed_events.append((begin_ms + 0.1, EventName.ATTEMPT_STARTED, str(index)))
+        timed_events.append((end_ms - 0.1, EventName.ATTEMPT_ENDED, str(index)))
+        timed_events.append((end_ms, EventName.REQUEST_ANSWERED, str(index)))
+    for time_ms, name, request_id in sorted(timed_events):
+        line.add(time_ms, name, request_id=request_id, address="10.0.0.1:80")
     context.lines, context.count = [line], count
 
 
--- a/features/steps/uniform_slowness_steps.py
+++ b/features/steps/uniform_slowness_steps.py
@@ -16,11 +16,11 @@
     Tick,
 )
 
-GAP_MS = 5.0
-DEADLINE_MS = 10_000
+ARRIVAL_INTERVAL_MS = 5.0
+TIMEOUT_MS = 10_000
 
 
-def _take(context, actions, work_ms):
+def _apply(context, actions, work_ms):
     for action in actions:
         if isinstance(action, Start):
             context.in_flight.append((context.now_ms + work_ms, action))
@@ -30,19 +30,19 @@
 
 
 def _arrive(context, request_id, work_ms):
-    context.now_ms += GAP_MS
+    context.now_ms += ARRIVAL_INTERVAL_MS
     context.waiting.add(request_id)
-    deadline_ms = context.now_ms + DEADLINE_MS
+    deadline_ms = context.now_ms + TIMEOUT_MS
     arrival = Arrival(request_id, Priority.NORMAL, deadline_ms, idempotent=True)
-    _take(context, context.router.handle(arrival, context.now_ms), work_ms)
+    _apply(context, context.router.handle(arrival, context.now_ms), work_ms)
 
 
 def _end_due(context, work_ms):
     for end_ms, start in [item for item in context.in_flight if item[0] <= context.now_ms]:
         context.in_flight.remove((end_ms, start))
         ended = AttemptEnded(start.request_id, start.address, AttemptResult.ANSWERED, work_ms)
-        _take(context, context.router.handle(ended, context.now_ms), work_ms)
-    _take(context, context.router.handle(Tick(), context.now_ms), work_ms)
+        _apply(context, context.router.handle(ended, context.now_ms), work_ms)
+    _apply(context, context.router.handle(Tick(), context.now_ms), work_ms)
 
 
 def _drive(context, count, work_ms):
