--- a/features/steps/http_steps.py
+++ b/features/steps/http_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the path of a request: raw bytes through a real daemon to scripted backend servers."""
+"""Steps for the request path: raw bytes sent through a real daemon to scripted backend servers."""
 
 import asyncio
 import os
@@ -274,7 +274,7 @@
     received = run(context, _upload(context) if direction == "an upload" else _download(context))
     assert received == 1_024 * len(PIECE), received
     grown_kb = _peak_kb(context.pid) - before_kb
-    print(f"{direction}: the peak grew by {grown_kb} kB")
+    print(f"{direction}: peak memory grew by {grown_kb} kB")
     assert grown_kb < MEMORY_GROWTH_LIMIT_KB, grown_kb
 
 
@@ -376,7 +376,9 @@
             _call(context, request(method, path))
         if context.backend.connections == before:
             return
-    raise AssertionError("a connection was closed after a whole exchange, three times")
+    raise AssertionError(
+        "a connection was closed after a complete exchange in each of three attempts"
+    )
 
 
 @then("the time spent is taken off the deadline that the backend server gets")
--- a/features/steps/invariant_steps.py
+++ b/features/steps/invariant_steps.py
@@ -1,4 +1,4 @@
-"""Steps that give the invariant checker records and look at what it finds."""
+"""Steps that give records to the invariant checker and check the violations it reports."""
 
 from dataclasses import asdict
 
--- a/features/steps/layers_steps.py
+++ b/features/steps/layers_steps.py
@@ -1,4 +1,4 @@
-"""Steps that read the package's modules as source."""
+"""Steps that check the source text of the package's modules."""
 
 import ast
 import re
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Module:
-    """A module as its source shows it."""
+    """The layer, the imports and the attribute names of a module, read from its source."""
 
     name: str
     layer: str
@@ -51,7 +51,7 @@
 
     @classmethod
     def from_source(cls, name, source):
-        """Read a module."""
+        """Parse the source of the module with this name."""
         tree = ast.parse(source)
         found = LAYER_LINE.search(ast.get_docstring(tree) or "")
         imports, calls = set(), set()
--- a/features/steps/listener_steps.py
+++ b/features/steps/listener_steps.py
@@ -1,4 +1,4 @@
-"""Steps for a listener in this process."""
+"""Steps for a listener that runs in this process."""
 
 import asyncio
 import gc
--- a/features/steps/load_replay_steps.py
+++ b/features/steps/load_replay_steps.py
@@ -1,4 +1,4 @@
-"""Steps that replay load on the gateway's decisions."""
+"""Steps that replay load against the gateway's balancing decisions."""
 
 import contextlib
 import math
@@ -21,17 +21,17 @@
     "leaving out whom nobody reaches": (load.ServerLoad, "unreachable", lambda *_: False),
     "trust by what requests met": (trust, "FAILURES", math.inf),
 }
-"""What a mechanism's constant is when it is switched off.  Without slack for it no last slot is
-ever taken."""
+"""For each mechanism: the module or class, the name and the value that switch it off. With a slack
+of minus infinity the last free slot of an endpoint is never taken."""
 
 
 def outcomes(context):
-    """Return what becomes of the load, for each seed."""
+    """Play the load once for each seed and return the outcomes."""
     return [play(context.deployment, context.load, seed) for seed in SEEDS]
 
 
 def mean(found, name):
-    """Return the mean of a figure over seeds."""
+    """Return the mean of one figure over the outcomes of all seeds."""
     return sum(getattr(item, name) for item in found) / len(found)
 
 
@@ -48,7 +48,7 @@
     context.deployment = Deployment(
         vms=vms, endpoints=endpoints, lying_share=share, hanging=fail == "hang"
     )
-    # Six tenths of them fail: the rest has to bear the load.
+    # Six tenths of the endpoints fail, so the remaining ones have to handle the whole load.
     context.load = Load(1.4 * endpoints, length_ms=9_000.0)
 
 
@@ -70,7 +70,7 @@
 
 
 @given("a replay of {vms:d} VMs and {endpoints:d} endpoints, of which {count:d} VMs are cut off")
-def step_cut_off(context, vms, endpoints, count):
+def step_isolated(context, vms, endpoints, count):
     context.deployment = Deployment(vms=vms, endpoints=endpoints, cut_off=count)
     context.load = Load(3.3 * endpoints, 1.6, length_ms=9_000.0)
 
--- a/features/steps/machine_steps.py
+++ b/features/steps/machine_steps.py
@@ -1,4 +1,4 @@
-"""The step that runs the state machine."""
+"""The step that runs the state machine test."""
 
 from behave import then
 
--- a/features/steps/membership_fleet_steps.py
+++ b/features/steps/membership_fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps that bring failures about among real daemons."""
+"""Steps that cause failures among real daemons."""
 
 import asyncio
 import signal
@@ -74,7 +74,7 @@
 
 
 async def _wait_for_addresses(context, vms, queried=None):
-    """Wait until the daemons hand out just the addresses of some."""
+    """Wait until `queried`, by default `vms`, hand out exactly the addresses of `vms`."""
     expected = {context.fleet.daemons[vm].caller_address for vm in vms}
 
     async def all_match():
@@ -93,7 +93,7 @@
 
 
 async def _keep_calling(context, stop, delay_ms):
-    """Ask, keep the answer for its lifetime, call all of its addresses in turn, and again."""
+    """Fetch the addresses, call each in turn until their lifetime ends, and start over."""
     loop = asyncio.get_running_loop()
     await asyncio.sleep(delay_ms / 1000)
     while not stop.is_set():
@@ -185,7 +185,7 @@
 
 
 @then("the metrics count {count:d} refused stranger")
-def step_counted(context, count):
+def step_authentication_failures_counted(context, count):
     async def metrics():
         url = f"http://{context.fleet.daemons['vm-0'].operator_address}/metrics"
         headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -1,4 +1,4 @@
-"""Steps that drive memberships over links in memory."""
+"""Steps that drive the membership protocol over links in memory."""
 
 import random
 from collections import Counter
--- a/features/steps/operators_listener_steps.py
+++ b/features/steps/operators_listener_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the operators' listener, metrics and logs."""
+"""Steps for the operators' listener, the metrics and the logs."""
 
 import json
 
--- a/features/steps/operators_steps.py
+++ b/features/steps/operators_steps.py
@@ -10,7 +10,7 @@
 
 
 async def call(context, method, path, document):
-    """Call the platform's stand-in."""
+    """Send a JSON request to the platform stand-in and return its JSON answer."""
     url = f"{context.fleet.platform_url}{path}"
     async with context.session.request(method, url, json=document) as answer:
         answer.raise_for_status()
@@ -29,7 +29,10 @@
 
 @then('"{command}" comes to give {code:d} and "{output}" once the reads under way have ended')
 def step_eventually_gives(context, command, code, output):
-    """Ask until it does: a read that waits hears of an outage only when its wait ends."""
+    """Repeat the command until its output has the text.
+
+    A waiting read notices an outage only when its wait ends.
+    """
 
     async def output_matches():
         found, text, errors = await context.fleet.tool(*command.split())
--- a/features/steps/peer_links_steps.py
+++ b/features/steps/peer_links_steps.py
@@ -1,4 +1,4 @@
-"""Steps that link daemons in this process over loopback."""
+"""Steps that connect two daemons' peer links over loopback in this process."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,7 @@
 
 
 class DaemonLinks:
-    """A daemon's links and what they told."""
+    """The peer links of one daemon, and the events that they reported."""
 
     def __init__(self, vm, key):
         self.received = []
@@ -30,18 +30,18 @@
         self.links = PeerLinks(lambda: hello, key, self, lambda: self.now_ms)
 
     def link_opened(self, hello):
-        """Do nothing: the links know."""
+        """Do nothing: the links themselves record which peers are linked."""
 
     def link_lost(self, vm):
-        """Keep the name."""
+        """Record the VM whose link was lost."""
         self.lost_peers.append(vm)
 
     def message_received(self, vm, message):
-        """Keep the message."""
+        """Record the message and the VM that sent it."""
         self.received.append((vm, message))
 
     def authentication_failed(self):
-        """Count."""
+        """Count the failed authentication."""
         self.failed_authentications += 1
 
 
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps that put the adapter of the users' platform before a stand-in of its store."""
+"""Steps that run the adapter of the users' platform against a stand-in for its store."""
 
 import asyncio
 import json
@@ -104,7 +104,7 @@
 
 
 def entry(address="10.0.0.1:9000", state="ready"):
-    """Return the value of an entry."""
+    """Return the JSON value of a backend server's entry in the store."""
     fields = {
         "service": "orders",
         "address": address,
@@ -119,7 +119,7 @@
 
 
 async def start_store(context):
-    """Start the stand-in and the adapter's client."""
+    """Start the store's stand-in and the adapter's client; return the stand-in's address."""
     address = fleet.free_address()
     context.server = LogStoreServer()
     await context.server.listen(address)
@@ -193,12 +193,12 @@
 
 
 def raised_error(context, work):
-    """Return the error that a call raises."""
+    """Return the platform error or lost-history error that the call raises."""
     try:
         run(context, work)
     except (PlatformError, HistoryLostError) as error:
         return error
-    raise AssertionError("no error was raised")
+    raise AssertionError("the call raised no error")
 
 
 @then("a read of lost history says so")
@@ -218,13 +218,13 @@
 
 @then("a call without an answer is not, and the next one works on a new connection")
 def step_unanswered(context):
-    before, store_client.TIMEOUT_MS = store_client.TIMEOUT_MS, SHORT_TIMEOUT_MS
+    normal_timeout_ms, store_client.TIMEOUT_MS = store_client.TIMEOUT_MS, SHORT_TIMEOUT_MS
     try:
         context.server.lost_answers = 1
         own = MemberRecord("vm-own", "papine", "10.0.0.3:1", "10.0.0.3:2")
         assert isinstance(raised_error(context, context.client.announce(own)), PlatformSilentError)
     finally:
-        store_client.TIMEOUT_MS = before
+        store_client.TIMEOUT_MS = normal_timeout_ms
     assert own in run(context, context.client.members()).members
 
 
@@ -302,7 +302,7 @@
 
 
 def fill(template, fields):
-    """Fill in a template as far as this project uses its language."""
+    """Fill in a template, with the part of the template language that this project uses."""
 
     def value(path):
         found = fields
@@ -354,7 +354,7 @@
     except SettingsError as error:
         assert "retry_ratio" in str(error) and "speed" in str(error)
         return
-    raise AssertionError("wrong settings were taken")
+    raise AssertionError("invalid settings were accepted")
 
 
 @given("a stand-in of the store and a gateway with the adapter")
--- a/features/steps/probe_steps.py
+++ b/features/steps/probe_steps.py
@@ -1,4 +1,4 @@
-"""Steps for probes: one by one, from real daemons, and the shares of an endpoint's connections."""
+"""Steps for probes, single and from real daemons, and for the VMs' shares of connections."""
 
 import asyncio
 import random
@@ -131,7 +131,7 @@
 
 
 def _health_probed(driver, address, ms):
-    """Let time pass until the health of an endpoint is asked for, and return whether it was."""
+    """Advance time by up to `ms`, until the endpoint's health is probed; return whether it was."""
     for _ in range(ms // 10):
         driver.now_ms += 10
         if Probe(address, health=True) in driver.do(Tick()):
--- a/features/steps/quarantine_replay_steps.py
+++ b/features/steps/quarantine_replay_steps.py
@@ -1,4 +1,4 @@
-"""Steps that replay a quarantine that many VMs share."""
+"""Steps that simulate a fleet of VMs sharing one quarantine."""
 
 import random
 
@@ -16,7 +16,7 @@
 
 
 def crashes_endpoint(keys, now_ms):
-    """Say that the one fatal request crashes whoever runs it."""
+    """Return whether the request is the one that crashes every endpoint that runs it."""
     return keys == CRASHING_REQUEST
 
 
@@ -25,13 +25,13 @@
     context.vms, context.lost_share = vms, lost / 100
 
 
-def fleet_of(context, seed, fatal=crashes_endpoint):
-    """Return the fleet of a replay."""
-    return QuarantineFleet(context.vms, seed, fatal, context.lost_share)
+def fleet_of(context, seed, crashes=crashes_endpoint):
+    """Return the fleet for one replay with this seed."""
+    return QuarantineFleet(context.vms, seed, crashes, context.lost_share)
 
 
 def send_every(fleet, every_ms, for_ms, keys, copies=1, vms=None):
-    """Have copies of a request come to VMs by chance, again and again."""
+    """Schedule copies of a request to randomly chosen VMs, at a fixed interval."""
     names = list(vms or fleet.vms)
     for step in range(int(for_ms / every_ms)):
         for vm in fleet.random.choices(names, k=copies):
@@ -47,13 +47,13 @@
 
 
 @then("at most {most:d} endpoints have ended, in each of 10 replays")
-def step_ended(context, most):
+def step_crashed_endpoints(context, most):
     ended = [len(fleet.outcomes.crashed_ms) for fleet in context.fleets]
     assert 0 < max(ended) <= most, ended
 
 
 @when("copies come to all, 3 VMs are cut off from 5 to 15 s, and 5 start again at 16 s")
-def step_cut(context):
+def step_isolated(context):
     context.fleet = fleet = fleet_of(context, 1)
     send_every(fleet, 300, 30_000, CRASHING_REQUEST, vms=list(fleet.vms)[len(ISOLATED_VMS) :])
     for number in range(30):
@@ -69,7 +69,7 @@
 
 
 @then("each VM that was cut off has ended at most 2 endpoints, and all others together 3")
-def step_cut_ended(context):
+def step_isolated_crashes(context):
     crashed_ms = context.fleet.outcomes.crashed_ms
     assert len(crashed_ms) <= 2 * len(ISOLATED_VMS) + 3, crashed_ms
 
@@ -83,7 +83,7 @@
 
 
 @then("at most {most:d} endpoints have ended, and each sound request was served")
-def step_both_ended(context, most):
+def step_crashed_and_served(context, most):
     outcomes = context.fleet.outcomes
     assert 0 < len(outcomes.crashed_ms) <= most, outcomes
     assert outcomes.served == 150, outcomes
--- a/features/steps/silent_link_steps.py
+++ b/features/steps/silent_link_steps.py
@@ -1,4 +1,7 @@
-"""Steps for connections that go silent: a real daemon behind a cut proxy, and the pool alone."""
+"""Steps for connections that go silent, in a real daemon and in the pool alone.
+
+The daemon reaches its backend server through a cut proxy.
+"""
 
 import asyncio
 import contextlib
--- a/features/steps/stand_in_steps.py
+++ b/features/steps/stand_in_steps.py
@@ -1,4 +1,4 @@
-"""Steps that drive the stand-ins of backend servers and callers in this process."""
+"""Steps that run the stand-ins for backend servers and callers in this process."""
 
 import asyncio
 import json
@@ -38,7 +38,7 @@
 
 
 async def _wait_for_ended_calls(context, count, wanted):
-    """Wait until `count` calls have ended in a way that is wanted."""
+    """Wait until at least `count` of the ended calls satisfy the predicate `wanted`."""
     while True:
         ended = [call for call in context.calls if call.done()]
         if sum(wanted(call) for call in ended) >= count:
--- a/features/steps/timeline_steps.py
+++ b/features/steps/timeline_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the time line: merged without input and output, and read from real daemons."""
+"""Steps for the time line: merged in memory without I/O, and read from real daemons."""
 
 import json
 import random
@@ -296,7 +296,7 @@
 
 
 @then('the time line shows the endpoint as "{trouble}" once')
-def step_trouble(context, trouble):
+def step_probation_reason(context, trouble):
     found = [
         (event.address, event.detail)
         for event in context.observer.time_line.events()
--- a/features/steps/uniform_slowness_steps.py
+++ b/features/steps/uniform_slowness_steps.py
@@ -1,4 +1,4 @@
-"""Steps that drive a router whose endpoints all take longer than before."""
+"""Steps that drive a router whose endpoints all become slower at once."""
 
 import random
 
@@ -73,4 +73,6 @@
 
 @then("no request waits while nothing is in flight")
 def step_no_waiting(context):
-    assert not context.idle_with_waiting, f"{context.idle_with_waiting} of the arrivals"
+    assert (
+        not context.idle_with_waiting
+    ), f"{context.idle_with_waiting} arrivals with requests queued while nothing was in flight"
