--- a/features/steps/gateway_broadcast_steps.py
+++ b/features/steps/gateway_broadcast_steps.py
@@ -1,4 +1,4 @@
-"""Steps on how news spreads, and who measures."""
+"""Steps on how state changes and load reports spread among VMs, and how registries converge."""
 
 import asyncio
 import random
@@ -65,7 +65,7 @@
     "in {time_s:d} seconds one that does not read the store sends the other at most {limit:d}"
     " heartbeats"
 )
-def step_far_beats(context, time_s, limit):
+def step_few_remote_heartbeats(context, time_s, limit):
     async def watch():
         await fleet.until(lambda: sum(item._follower.active for item, _ in context.gateways) == 2)
         gateway, settings = next(item for item in context.gateways if not item[0]._follower.active)
@@ -91,7 +91,7 @@
                 heartbeats.clear()
                 await asyncio.sleep(time_s)
                 if not gateway._follower.active:
-                    break  # After a stall of this process it may have read for a while.
+                    break  # After a stall of this process it may have read the store for a while.
         gateway._peering.link.send_encoded = send
         assert 1 <= len(heartbeats) <= limit, len(heartbeats)
 
@@ -99,22 +99,22 @@
 
 
 @then("all gateways know that pace")
-def step_all_know_pace(context):
-    def paces():
-        figures = [
+def step_all_know_slowdown(context):
+    def slowdowns():
+        latest_reports = [
             gateway._knowledge.load_table.get_or_create("i-0").latest_report
             for gateway, _ in context.gateways
         ]
-        return {figure.slowdown if figure else 0 for figure in figures}
+        return {report.slowdown if report else 0 for report in latest_reports}
 
-    run(context, fleet.until(lambda: paces() == {7.0}))
+    run(context, fleet.until(lambda: slowdowns() == {7.0}))
 
 
 @when("it has learned of a change from a peer and reads the next one in the store")
 def step_learned(context):
     gateway, _ = context.gateways[0]
     registry = gateway._knowledge.registry
-    context.told = []
+    context.registry_broadcasts = []
 
     async def change():
         late = await fleet.Backend("i-late").start(context)
@@ -125,19 +125,19 @@
         context.peer_version = registry.version + 1
         peer.apply(ServerRecord("i-peer", context.peer_version, entry), 0.0, False)
         registry.adopt(peer.to_document(0.0), 0.0)
-        gateway._peering.broadcast_registry_changes = lambda base, touched: context.told.append(
-            (base, touched)
+        gateway._peering.broadcast_registry_changes = (
+            lambda base, changed_names: context.registry_broadcasts.append((base, changed_names))
         )
         context.store.put_server(entry)
         context.store.put_server(late.entry())
-        await fleet.until(lambda: context.told)
+        await fleet.until(lambda: context.registry_broadcasts)
 
     run(context, change())
 
 
 @then("what it passes on builds on the peer's version")
 def step_base(context):
-    assert context.told[0][0] == context.peer_version, context.told
+    assert context.registry_broadcasts[0][0] == context.peer_version, context.registry_broadcasts
 
 
 @given("a VM with 3 neighbours that are alive")
@@ -162,7 +162,7 @@
 
 
 @then("each of the three relays 2 of them")
-def step_turns(context):
+def step_relay_rotation(context):
     by_address = {}
     for address, data in context.wire.sent:
         by_address.setdefault(address, []).append(decode(data).data)
@@ -207,11 +207,11 @@
     context.names = [f"vm-{number}" for number in range(count)]
 
 
-def told_counts(context):
-    """Return which VMs each VM tells its counts in flight."""
-    told = {}
+def count_recipients(context):
+    """Return the names of the VMs to which each VM sends its in-flight counts."""
+    recipients = {}
 
-    async def tell():
+    async def send_counts():
         for name in context.names:
             peering = peering_of(name, context.names)
             peering._knowledge.load_table.get_or_create("i-0").in_flight = 1
@@ -219,32 +219,32 @@
             await asyncio.sleep(0.005)
             sent = peering.link.sent
             assert all(decode(data) == InFlightCountChanges(name, {"i-0": 1}) for _, data in sent)
-            told[name] = {address.partition(":")[0] for address, _ in sent}
+            recipients[name] = {address.partition(":")[0] for address, _ in sent}
 
-    run(context, tell())
-    return told
+    run(context, send_counts())
+    return recipients
 
 
 @then("each tells its counts in flight to the same {count:d} that callers are sent to")
 def step_few_counts(context, count):
     serving = {name: members_of(name, context.names).serving_vms(0.0) for name in context.names}
     assert len(set(serving.values())) == 1 and len(serving[context.names[0]]) == count
-    for name, told in told_counts(context).items():
-        assert told == set(serving[name]) - {name}, told
+    for name, recipients in count_recipients(context).items():
+        assert recipients == set(serving[name]) - {name}, recipients
 
 
 @then("each tells its counts in flight to the {count:d} others")
 def step_counts(context, count):
-    for name, told in told_counts(context).items():
-        assert told == set(context.names) - {name} and len(told) == count, told
+    for name, recipients in count_recipients(context).items():
+        assert recipients == set(context.names) - {name} and len(recipients) == count, recipients
 
 
-def silent_peers(part, asked):
-    """Return a fetch that nobody answers; it notes the addresses asked for a part."""
+def failing_fetch(part, requested_addresses):
+    """Return a fetch that always fails and records the addresses asked for a part of the state."""
 
-    async def fetch(address, question):
-        if part in question:
-            asked.append(address)
+    async def fetch(address, request):
+        if part in request:
+            requested_addresses.append(address)
         raise MessageError("no answer")
 
     return fetch
@@ -252,43 +252,48 @@
 
 @then("one that is behind asks a neighbour that has the version, and another one if none answers")
 def step_fetch(context):
-    own, holder, other, *_ = context.names
+    own, first_with_state, second_with_state, *_ = context.names
     peering = peering_of(own, context.names)
-    asked = []
-    fetch = silent_peers("config", asked)
+    requested_addresses = []
+    fetch = failing_fetch("config", requested_addresses)
 
     async def catch_up():
         peering.link.fetch = fetch
-        for name in (holder, other):
+        for name in (first_with_state, second_with_state):
             peering._members.get(name).config_version = 7
-        peering._state_fetch.schedule_fetch(holder, immediately=True)
-        await fleet.until(lambda: len(asked) == state_fetch.FETCH_TRIES)
+        peering._state_fetch.schedule_fetch(first_with_state, immediately=True)
+        await fleet.until(lambda: len(requested_addresses) == state_fetch.FETCH_TRIES)
 
     run(context, catch_up())
-    known = {peering._members.get(name).peer_address for name in (holder, other)}
-    assert set(asked) <= known and len(asked) == state_fetch.FETCH_TRIES, asked
+    known = {
+        peering._members.get(name).peer_address for name in (first_with_state, second_with_state)
+    }
+    assert (
+        set(requested_addresses) <= known and len(requested_addresses) == state_fetch.FETCH_TRIES
+    ), requested_addresses
 
 
 @given("a VM that measures {count:d} backend servers, with 2 neighbours and a VM elsewhere")
 def step_measurer(context, count):
     context.wire = Wire()
-    heard_ms = monotonic_ms() + 600_000.0  # They stay alive, however long this process stalls.
-    members = members_of("vm-0", ("vm-1", "vm-2"), heard_ms)
-    members.record_heartbeat(heartbeat("vm-far", FAR), heard_ms)
+    # The heartbeats lie in the future, so the members stay alive however long this process stalls.
+    last_heartbeat_ms = monotonic_ms() + 600_000.0
+    members = members_of("vm-0", ("vm-1", "vm-2"), last_heartbeat_ms)
+    members.record_heartbeat(heartbeat("vm-far", FAR), last_heartbeat_ms)
     context.updates = LoadUpdates("vm-0", Broadcast("vm-0", context.wire, members))
-    context.figures = {f"i-{number}": LoadReport(0, 0, 1.0) for number in range(count)}
+    context.current_reports = {f"i-{number}": LoadReport(0, 0, 1.0) for number in range(count)}
 
 
 def measure(context, at_ms):
-    """Hand all figures to the news, as measured at a time, and wait for its datagrams."""
+    """Add all load reports as measured at `at_ms`, and wait until their datagrams are sent."""
     context.wire.sent.clear()
 
-    async def hand_over():
-        for name, figure in context.figures.items():
-            context.updates.add(name, figure, at_ms)
+    async def add_reports():
+        for name, report in context.current_reports.items():
+            context.updates.add(name, report, at_ms)
         await asyncio.sleep(0.05)
 
-    run(context, hand_over())
+    run(context, add_reports())
 
 
 @when("it measures all of them")
@@ -303,7 +308,7 @@
 
 @when("it measures all of them {at_ms:d} ms later and one is 7 times as slow")
 def step_measure_slow(context, at_ms):
-    context.figures["i-3"] = LoadReport(0, 0, 7.0)
+    context.current_reports["i-3"] = LoadReport(0, 0, 7.0)
     measure(context, at_ms)
 
 
@@ -314,18 +319,18 @@
         by_address.setdefault(address, []).append(data)
     assert len(by_address["vm-1:2"]) == len(by_address["vm-2:2"]) == near, by_address
     assert len(by_address.get("vm-far:2", ())) == far, by_address
-    assert len(decode(by_address["vm-1:2"][0]).reports) == len(context.figures)
+    assert len(decode(by_address["vm-1:2"][0]).reports) == len(context.current_reports)
 
 
-def count_crossings(gateway, settings, crossed):
-    """Note each configuration that a gateway fetches from another data centre."""
+def count_crossings(gateway, settings, fetching_vms):
+    """Record each configuration that a gateway fetches from another data centre."""
     fetch = gateway._peering.link.fetch
 
-    async def counting(address, asked):
-        state = await fetch(address, asked)
+    async def counting(address, request):
+        state = await fetch(address, request)
         members = {item.peer_address: item for item in gateway._members.all()}
         if "config" in state and members[address].data_center != settings.data_center:
-            crossed.append(settings.vm)
+            fetching_vms.append(settings.vm)
         return state
 
     gateway._peering.link.fetch = counting
@@ -333,11 +338,11 @@
 
 @when("the configuration changes, and neighbours wait long for each other")
 def step_config_crosses(context):
-    context.crossed = []
+    context.remote_fetches = []
     before = state_fetch.NEIGHBOUR_FIRST_MS
     state_fetch.NEIGHBOUR_FIRST_MS = 60_000.0
     for gateway, settings in context.gateways:
-        count_crossings(gateway, settings, context.crossed)
+        count_crossings(gateway, settings, context.remote_fetches)
 
     async def change():
         await fleet.until(lambda: sum(item._follower.active for item, _ in context.gateways) == 2)
@@ -355,7 +360,7 @@
 @then("every gateway has it, and it has crossed {most:d} times at most")
 def step_crossings(context, most):
     assert {item._knowledge.config_version for item, _ in context.gateways} == {5}
-    assert len(context.crossed) <= most, context.crossed
+    assert len(context.remote_fetches) <= most, context.remote_fetches
 
 
 @when("it tells a change of the registry while the next relay is dead")
@@ -390,58 +395,58 @@
 
 @then("a change that builds on more than one knows makes it fetch the state")
 def step_fetch_after_change(context):
-    own, teller, *_ = context.names
+    own, sender, *_ = context.names
     peering = peering_of(own, context.names)
-    asked = []
-    fetch = silent_peers("registry", asked)
+    requested_addresses = []
+    fetch = failing_fetch("registry", requested_addresses)
 
-    async def miss():
+    async def receive_changes():
         peering.link.fetch = fetch
         document = Registry().to_document(0.0)
-        changes = ServerChanges(teller, 40, {**document, "version": 41, "whole": False})
+        changes = ServerChanges(sender, 40, {**document, "version": 41, "whole": False})
         peering._on_server_changes(changes, monotonic_ms(), relayed=False)
-        await fleet.until(lambda: asked)
+        await fleet.until(lambda: requested_addresses)
 
-    run(context, miss())
-    assert asked[0] == peering._members.get(teller).peer_address, asked
+    run(context, receive_changes())
+    assert requested_addresses[0] == peering._members.get(sender).peer_address, requested_addresses
 
 
 @given("two registries of {count:d} endpoints that agree")
 def step_registries(context, count):
     context.first, context.second, context.offset = Registry(), Registry(), 0
     for number in range(count):
-        put(context, number)
+        put_endpoint(context, number)
     context.second.adopt(context.first.to_document(0.0), 0.0)
 
 
-def put(context, number, **fields):
-    """Let an endpoint report to the first registry."""
+def put_endpoint(context, number, **fields):
+    """Apply a record of an endpoint to the first registry."""
     name = f"i-{number}"
     server = BackendServer(name, "s", f"10.0.0.{number}:1", NEAR, **fields)
     context.first.apply(ServerRecord(name, context.offset, server), 0.0, False)
     context.offset += 1
 
 
-def remove(context, number):
-    """Let an endpoint's entry vanish from the first registry."""
+def remove_endpoint(context, number):
+    """Remove an endpoint's record from the first registry."""
     context.first.apply(ServerRecord(f"i-{number}", context.offset, None), 0.0, False)
     context.offset += 1
 
 
-def ask(context):
-    """Let the second registry ask the first; return how many rows it was told."""
+def update_second_registry(context):
+    """Update the second registry from the first, and return the number of records sent."""
     knowledge = GatewayState()
     knowledge.registry = context.first
-    asked = {"registry": context.second.version}
-    state = build_state_reply(asked, knowledge, Members("vm-0", NEAR, 0.0), 0.0)
+    request = {"registry": context.second.version}
+    state = build_state_reply(request, knowledge, Members("vm-0", NEAR, 0.0), 0.0)
     if "registry" not in state:
         return 0
     context.second.adopt(state["registry"], 0.0)
     return len(state["registry"]["servers"])
 
 
-def known_of(registry):
-    """Return what decides where requests go."""
+def routing_state_of(registry):
+    """Return the properties of a registry's servers that decide where requests go."""
     return {
         (item.name, item.slots, item.draining, registry.in_grace_period(item))
         for item in registry.servers()
@@ -451,40 +456,40 @@
 @when("at one of them a few endpoints change, end, vanish and come back, {rounds:d} times over")
 def step_rounds(context, rounds):
     source = random.Random(3)
-    context.rows = []
+    context.record_counts = []
     for number in range(rounds):
         for _ in range(3):
             other = source.randrange(60)
             source.choice(
                 (
-                    lambda other=other: remove(context, other),
-                    lambda other=other, slots=2 + number: put(context, other, slots=slots),
-                    lambda other=other: put(context, other, draining=True),
-                    lambda other=other: put(context, other, sequence=context.offset),
+                    lambda other=other: remove_endpoint(context, other),
+                    lambda other=other, slots=2 + number: put_endpoint(context, other, slots=slots),
+                    lambda other=other: put_endpoint(context, other, draining=True),
+                    lambda other=other: put_endpoint(context, other, sequence=context.offset),
                 )
             )()
         if number % 5 == 4:
             context.first.expire_grace_periods(1e9)
             context.second.expire_grace_periods(1e9)
-        context.rows.append(ask(context))
-        assert known_of(context.first) == known_of(context.second), number
+        context.record_counts.append(update_second_registry(context))
+        assert routing_state_of(context.first) == routing_state_of(context.second), number
         assert context.first.version == context.second.version, number
 
 
 @then("each time the other knows the same after it has asked, by {most:d} rows at most")
-def step_few_rows(context, most):
-    assert max(context.rows) <= most, context.rows
+def step_few_records(context, most):
+    assert max(context.record_counts) <= most, context.record_counts
 
 
 @when("at one of them all endpoints report again, and one has changed before")
 def step_reports(context):
-    put(context, 5, slots=7)
+    put_endpoint(context, 5, slots=7)
     for number in range(60):
-        put(context, number, slots=7 if number == 5 else 1, sequence=9)
+        put_endpoint(context, number, slots=7 if number == 5 else 1, sequence=9)
 
 
 @then("the other has the same version after it has asked")
 def step_same_version(context):
-    ask(context)
+    update_second_registry(context)
     assert context.second.version == context.first.version == 60
-    assert known_of(context.first) == known_of(context.second)
+    assert routing_state_of(context.first) == routing_state_of(context.second)
--- a/features/steps/gateway_changes_steps.py
+++ b/features/steps/gateway_changes_steps.py
@@ -1,4 +1,4 @@
-"""Steps on how fast changes reach all gateways."""
+"""Steps on how, and how fast, changes reach all gateways."""
 
 import asyncio
 from unittest import mock
@@ -20,7 +20,7 @@
 
 
 def records_of(offsets):
-    """Return the store's records of backend servers, by number and offset."""
+    """Return the store's records of backend servers, given the offset of each server number."""
     return tuple(
         ServerRecord(
             f"i-{number}", offset, BackendServer(f"i-{number}", SERVICE, "10.0.0.1:1", "d")
@@ -32,8 +32,8 @@
 @given("a gateway that knows {count:d} backend servers")
 def step_knows(context, count):
     context.behind = GatewayState()
-    listed = records_of({number: number for number in range(count)})
-    context.behind.apply_server_list(listed, count, 0.0)
+    records = records_of({number: number for number in range(count)})
+    context.behind.apply_server_list(records, count, 0.0)
 
 
 @when("one of them leaves and a gateway that starts then reads the whole list")
@@ -46,8 +46,8 @@
 def step_dropped(context):
     behind = context.behind
     context.known_as_of = behind.registry.as_of
-    asked = {"registry": behind.registry.as_of}
-    state = build_state_reply(asked, context.newcomer, None, 100.0)
+    request = {"registry": behind.registry.as_of}
+    state = build_state_reply(request, context.newcomer, None, 100.0)
     assert behind.registry.adopt(state["registry"], 100.0)
     behind.expire(100.0 + behind.drain_ms)
     assert behind.registry.get("i-1") is None
@@ -75,8 +75,8 @@
 
 @then("no two gateways of one version ever differ in the servers that they use")
 def step_equal(context):
-    differing = [replay.differing[:1] for replay in context.replays]
-    assert not any(differing), differing
+    differences = [replay.differing[:1] for replay in context.replays]
+    assert not any(differences), differences
 
 
 @then("none uses a server later than {bound_ms:d} ms after it has left")
@@ -141,20 +141,20 @@
     async def start():
         await fleet.start_fleet(context, 1, gateways)
         put_config(context, 2, routes)
-        await until_in_force(context, 2)
+        await until_all_use_version(context, 2)
         await fleet.until(lambda: sum(item._follower.active for item, _ in context.gateways) == 2)
 
     run(context, start())
 
 
 def put_config(context, version, routes):
-    """Write a configuration with so many routes beside the usual ones."""
+    """Write a configuration with `routes` routes in addition to the usual ones."""
     extra = [fleet.route(f"r-{number}", f"/{version}/{number}/", True) for number in range(routes)]
     context.store.put_config(fleet.config(version, *extra))
 
 
-async def until_in_force(context, version):
-    """Wait until every gateway serves by a version."""
+async def until_all_use_version(context, version):
+    """Wait until every gateway uses the given configuration version."""
     await fleet.until(
         lambda: {item._knowledge.config_version for item, _ in context.gateways} == {version}
     )
@@ -162,55 +162,55 @@
 
 @when("one route changes")
 def step_change_route(context):
-    context.encoded = []
+    context.encoded_versions = []
     encode = EncodedConfig.from_config.__func__
 
-    def counting(cls, config):
-        context.encoded.append(config.version)
+    def recording_encode(cls, config):
+        context.encoded_versions.append(config.version)
         return encode(cls, config)
 
     async def change():
-        with mock.patch.object(EncodedConfig, "from_config", classmethod(counting)):
+        with mock.patch.object(EncodedConfig, "from_config", classmethod(recording_encode)):
             put_config(context, 3, 1_800)
-            await until_in_force(context, 3)
+            await until_all_use_version(context, 3)
 
     run(context, change())
 
 
 @then("every gateway has it, and the readers alone have encoded it")
 def step_encoded(context):
-    assert context.encoded.count(3) <= 2, context.encoded
+    assert context.encoded_versions.count(3) <= 2, context.encoded_versions
 
 
 @given("a VM that fetches a configuration which takes long")
 def step_fetches_config(context):
-    context.asked = []
+    context.state_requests = []
     context.peering = peering_of("vm-0", ["vm-0", "vm-1"])
 
-    async def fetch(address, question):
-        context.asked.append(question)
-        if "config" in question:
+    async def fetch(address, request):
+        context.state_requests.append(request)
+        if "config" in request:
             await asyncio.sleep(fleet.WAIT_S)
         return {}
 
-    async def begin():
+    async def start_fetch():
         context.peering.link.fetch = fetch
         context.peering._members.get("vm-1").config_version = 7
         context.peering._state_fetch.schedule_fetch("vm-1", immediately=True)
-        await fleet.until(lambda: any("config" in question for question in context.asked))
+        await fleet.until(lambda: any("config" in request for request in context.state_requests))
 
-    run(context, begin())
+    run(context, start_fetch())
 
 
 @when("it hears that a backend server has left")
 def step_hears_of_leaving(context):
-    async def hear():
-        context.asked.clear()
+    async def learn_new_version():
+        context.state_requests.clear()
         context.peering._members.get("vm-1").registry_version = 40
         context.peering._state_fetch.schedule_fetch("vm-1", immediately=True)
-        await fleet.until(lambda: context.asked)
+        await fleet.until(lambda: context.state_requests)
 
-    run(context, hear())
+    run(context, learn_new_version())
 
 
 @then("it has asked for that before the configuration has come")
@@ -218,4 +218,4 @@
     for task in context.peering._state_fetch._tasks.values():
         task.cancel()
     run(context, asyncio.sleep(0))
-    assert all("registry" in question for question in context.asked), context.asked
+    assert all("registry" in request for request in context.state_requests), context.state_requests
