--- a/features/steps/gateway_cold_steps.py
+++ b/features/steps/gateway_cold_steps.py
@@ -1,4 +1,4 @@
-"""Steps on endpoints that are cold."""
+"""Steps on the request rate of cold endpoints, and on how VMs learn that an endpoint is cold."""
 
 import heapq
 import random
@@ -29,12 +29,12 @@
 
 
 def bound_of(rate_per_s):
-    """Return how many requests a second a cold endpoint may get."""
+    """Return how many requests a cold endpoint may receive within a second."""
     return BOUND.rate_factor * rate_per_s + BOUND.burst
 
 
 def most_in_a_second(times_ms):
-    """Return the most of these times that lie within any sliding second."""
+    """Return the largest number of these times that lie within any sliding second."""
     window, most = deque(), 0
     for at_ms in sorted(times_ms):
         window.append(at_ms)
@@ -44,8 +44,8 @@
     return most
 
 
-def lists_of(names, differ, source):
-    """Return whom each VM takes for alive, itself included."""
+def alive_lists(names, differ, source):
+    """Return the VMs that each VM considers alive, itself included."""
     if differ == "none differ":
         return dict.fromkeys(names, names)
     if differ.startswith("two halves"):
@@ -73,7 +73,7 @@
     )
     def check(seed, rate_per_s, pauses_ms):
         source = random.Random(seed)
-        alive = lists_of(names, differ, source)
+        alive = alive_lists(names, differ, source)
         server = BackendServer(f"i-{seed}", SERVICE, "10.0.0.1:1", DATA_CENTER)
         limits = [
             ColdLimit(name, lambda *_, x=name: alive[x], lambda _: rate_per_s, BOUND)
@@ -97,8 +97,11 @@
     context.shape = endpoints, vms, rate
 
 
-def play(endpoints, vms, rate, limited):
-    """Return when each endpoint got requests; no VM hears of another's requests in flight."""
+def simulate(endpoints, vms, rate, limited):
+    """Return the times at which each endpoint received requests.
+
+    No VM learns of another VM's requests in flight.
+    """
     source = random.Random(5)
     registry, names = Registry(), tuple(f"vm-{n}" for n in range(vms))
     for number in range(endpoints):
@@ -108,28 +111,28 @@
     balancers = []
     for name in names:
         limit = ColdLimit(name, lambda *_: names, lambda _: RATE_PER_S, BOUND)
-        board = LoadTable()
+        load_table = LoadTable()
         balancer = Balancer(
             registry,
-            board,
+            load_table,
             WorkEstimates(),
             DATA_CENTER,
             source,
             cold_limit=limit if limited else None,
         )
-        balancers.append((balancer, board))
+        balancers.append((balancer, load_table))
     sent_ms, ends, now_ms = defaultdict(list), [], 0.0
     while now_ms < LENGTH_MS:
         now_ms += source.expovariate(rate) * 1_000
         while ends and ends[0][0] <= now_ms:
             _, _, load = heapq.heappop(ends)
             load.in_flight -= 1
-        balancer, board = source.choice(balancers)
+        balancer, load_table = source.choice(balancers)
         choice = balancer.choose(SERVICE, WORK_MS, now_ms, (), CapacityRequirement.FREE_SLOT)
         if choice is None:
             continue
         balancer.record_placement(choice.server, now_ms)
-        load = board.get_or_create(choice.server.incarnation)
+        load = load_table.get_or_create(choice.server.incarnation)
         load.in_flight += 1
         heapq.heappush(ends, (now_ms + 2 * WORK_MS, id(load) + source.random(), load))
         sent_ms[choice.server.incarnation].append(now_ms)
@@ -138,40 +141,40 @@
 
 @when("the load is played with the limit and without")
 def step_play(context):
-    context.limited = play(*context.shape, limited=True)
-    context.free = play(*context.shape, limited=False)
+    context.limited = simulate(*context.shape, limited=True)
+    context.unlimited = simulate(*context.shape, limited=False)
 
 
 @then("without it a sliding second exceeds the bound, and with it none does")
 def step_bound_kept(context):
     bound = bound_of(RATE_PER_S)
-    assert max(map(most_in_a_second, context.free.values())) > bound
+    assert max(map(most_in_a_second, context.unlimited.values())) > bound
     assert max(map(most_in_a_second, context.limited.values())) <= bound
 
 
 @then("with it the endpoints still get {share:g} of what they bear")
 def step_used(context, share):
     endpoints, _, _ = context.shape
-    got = sum(map(len, context.limited.values()))
-    assert got >= share * RATE_PER_S * endpoints * LENGTH_MS / 1_000, got
+    received = sum(map(len, context.limited.values()))
+    assert received >= share * RATE_PER_S * endpoints * LENGTH_MS / 1_000, received
 
 
 @given("an endpoint registered as cold for {before:d} s")
 def step_registered(context, before):
     context.registry = Registry()
     context.entry = BackendServer("i-1", SERVICE, "10.0.0.1:1", DATA_CENTER, born_ms=7)
-    report(context, 0, 0.0, before)
+    apply_report(context, 0, 0.0, before)
 
 
-def report(context, offset, at_ms, cold_s):
-    """Take a report of the endpoint."""
+def apply_report(context, offset, at_ms, cold_s):
+    """Apply a report of the endpoint, cold for `cold_s`, to the registry."""
     entry = replace(context.entry, sequence=offset, warm_at_ms=at_ms + 1_000 * cold_s)
     context.registry.apply(ServerRecord("i-1", offset, entry), at_ms, False)
 
 
 @when("its next report says cold for {after:d} s")
 def step_next_report(context, after):
-    report(context, 1, 500.0, after)
+    apply_report(context, 1, 500.0, after)
 
 
 @then("100 ms later it is {state}")
@@ -182,11 +185,11 @@
 
 @given("a load figure of a probe that says cold for {cold:d} ms")
 def step_figure(context, cold):
-    figure = LoadReport(0, 0, 1.0, cold_for_ms=float(cold))
+    load_report = LoadReport(0, 0, 1.0, cold_for_ms=float(cold))
     context.here, context.peer = LoadTable().get_or_create("i-1"), LoadTable().get_or_create("i-1")
-    context.here.update_from_probe(figure, 0.0)
-    told = decode(encode(LoadReports("vm-1", (("i-1", figure, 0.0),))))
-    context.peer.update_from_probe(told.reports[0][1], 0.0)
+    context.here.update_from_probe(load_report, 0.0)
+    message = decode(encode(LoadReports("vm-1", (("i-1", load_report, 0.0),))))
+    context.peer.update_from_probe(message.reports[0][1], 0.0)
 
 
 @then("it is cold after {cold:d} ms and warm after {warm:d} ms, also at a peer")
