--- a/features/steps/gateway_crossing_steps.py
+++ b/features/steps/gateway_crossing_steps.py
@@ -1,4 +1,4 @@
-"""Steps on data centres that can't serve themselves."""
+"""Steps on data centres that lack the capacity to serve their own requests."""
 
 import asyncio
 import time
@@ -25,16 +25,16 @@
 
 
 def start_vm(context):
-    """Know a VM in each other data centre, and 4 endpoints in each data centre."""
+    """Set up a VM that knows a VM in each other data centre and 4 endpoints in each data centre."""
     now_ms = monotonic_ms()
     context.knowledge = knowledge = GatewayState()
     context.members = Members("vm-0", NEAR, now_ms)
-    for place in OTHERS:
-        context.members.record_heartbeat(heartbeat(f"vm-{place}", place), now_ms)
+    for data_center in OTHERS:
+        context.members.record_heartbeat(heartbeat(f"vm-{data_center}", data_center), now_ms)
     offset = 0
-    for name, place in (("here", NEAR), *zip(("lost", "else"), OTHERS, strict=True)):
+    for name, data_center in (("here", NEAR), *zip(("lost", "else"), OTHERS, strict=True)):
         for number in range(4):
-            server = BackendServer(f"{name}-{number}", "s", "10.0.0.1:1", place, 3)
+            server = BackendServer(f"{name}-{number}", "s", "10.0.0.1:1", data_center, 3)
             knowledge.registry.apply(ServerRecord(server.name, offset, server), now_ms, False)
             offset += 1
     context.wire = Wire()
@@ -47,8 +47,8 @@
     )
 
 
-def lose(context, count, how):
-    """Take that many endpoints of another data centre away."""
+def make_unavailable(context, count, how):
+    """Make `count` endpoints of another data centre unavailable in the given way."""
     knowledge, now_ms = context.knowledge, monotonic_ms()
     for name in [f"lost-{number}" for number in range(count)]:
         if how == "can't be reached":
@@ -59,17 +59,19 @@
         knowledge.apply_evacuations(Evacuations(60, frozenset(OTHERS[:1])), 0.0)
 
 
-def told_far(context, kind):
-    """Return the messages of a kind that went to other data centres, with their addresses."""
-    relayed = [(place, decode(data)) for place, data in context.wire.sent]
-    inner = [(at, decode(item.data)) for at, item in relayed if isinstance(item, Relay)]
-    return [(at, message) for at, message in inner if isinstance(message, kind)]
+def remote_messages(context, kind):
+    """Return the messages of a kind sent to other data centres, with recipient addresses."""
+    relayed = [(relay_address, decode(data)) for relay_address, data in context.wire.sent]
+    messages = [
+        (address, decode(item.data)) for address, item in relayed if isinstance(item, Relay)
+    ]
+    return [(address, message) for address, message in messages if isinstance(message, kind)]
 
 
 @given("a VM that knows VMs of two other data centres, of which {lost:d} of 4 endpoints {how}")
 def step_vm(context, lost, how):
     start_vm(context)
-    lose(context, lost, how)
+    make_unavailable(context, lost, how)
 
 
 @when("the count at an endpoint changes")
@@ -83,25 +85,25 @@
 
 
 @then("a VM of each other data centre is {told} of it")
-def step_told(context, told):
-    found = told_far(context, InFlightCountChanges)
+def step_counts_sent(context, told):
+    found = remote_messages(context, InFlightCountChanges)
     assert len({at for at, _ in found}) == (2 if told == "told" else 0), found
     assert all(message.counts == {ENDPOINT: 1} for _, message in found)
 
 
 @then("all its counts are {told} there again within 300 ms")
-def step_told_again(context, told):
+def step_counts_resent(context, told):
     context.wire.sent.clear()
     context.updates.resend_all(monotonic_ms() + 300.0)
-    found = told_far(context, InFlightCounts)
+    found = remote_messages(context, InFlightCounts)
     assert len({at for at, _ in found}) == (2 if told == "told" else 0), found
     assert all(message.counts == {ENDPOINT: 1} for _, message in found)
 
 
 @given("a VM that has heard counts of {count:d} VMs while requests have to cross")
-def step_many_tellers(context, count):
+def step_many_count_senders(context, count):
     start_vm(context)
-    lose(context, 4, "are evacuated")
+    make_unavailable(context, 4, "are evacuated")
     for number in range(count):
         context.updates.received(InFlightCounts(f"vm-{number + 1}", {"here-1": 1}), monotonic_ms())
 
@@ -121,8 +123,8 @@
 
 @then("it tells other data centres at most {most:d} times, and of the last change too")
 def step_bounded(context, most):
-    found = [message for _, message in told_far(context, InFlightCountChanges)]
-    # Each is sent to two data centres; the last one may come after the second.
+    found = [message for _, message in remote_messages(context, InFlightCountChanges)]
+    # Each message goes to two data centres; the last one may be sent after that second has ended.
     assert len(found) <= 2 * (most + 1), len(found)
     assert found[-1].counts == {ENDPOINT: context.changes}
 
@@ -162,16 +164,16 @@
 
 
 @then("another data centre hears of it within 100 ms if requests have to cross, and not else")
-def step_far_figures(context):
-    async def measure(crossing):
+def step_remote_load_reports(context):
+    async def measure(needs_remote_capacity):
         wire = Wire()
         broadcast = Broadcast("vm-0", wire, context.members)
-        news = LoadUpdates("vm-0", broadcast, lambda: True, lambda now_ms: crossing)
-        begun_ms = monotonic_ms()
-        news.add(ENDPOINT, LoadReport(1, 0, 1.0), begun_ms)
+        updates = LoadUpdates("vm-0", broadcast, lambda: True, lambda now_ms: needs_remote_capacity)
+        started_ms = monotonic_ms()
+        updates.add(ENDPOINT, LoadReport(1, 0, 1.0), started_ms)
         await asyncio.sleep(0.3)
         before = len(wire.sent)
-        news.add(ENDPOINT, LoadReport(2, 0, 1.0), begun_ms + 300.0)
+        updates.add(ENDPOINT, LoadReport(2, 0, 1.0), started_ms + 300.0)
         await asyncio.sleep(0.1)
         far = [decode(data) for _, data in wire.sent[before:]]
         return any(isinstance(item, Relay) for item in far)
@@ -182,39 +184,39 @@
 
 @given("a gateway with a request that waits, where each look takes {cost:d} ms")
 def step_waits(context, cost):
-    class Line:
+    class SlowQueue:
         def __init__(self):
-            self.looks = []
+            self.checks_ms = []
 
         def __len__(self):
             return 1
 
         def services(self):
-            self.looks.append(monotonic_ms())
+            self.checks_ms.append(monotonic_ms())
             time.sleep(cost / 1_000)
             return ()
 
-    context.line = Line()
-    context.admission = Admission(context.line, None, None)
+    context.queue = SlowQueue()
+    context.admission = Admission(context.queue, None, None)
 
 
 @when("news of others comes {count:d} times within {span:d} ms")
-def step_news(context, count, span):
-    async def hear():
+def step_updates(context, count, span):
+    async def receive_updates():
         for _ in range(count):
             context.last_ms = monotonic_ms()
             context.admission.schedule_admission()
             await asyncio.sleep(span / count / 1_000)
         await asyncio.sleep(0.1)
 
-    context.line.looks.clear()
-    run(context, hear())
+    context.queue.checks_ms.clear()
+    run(context, receive_updates())
 
 
 @then("it has looked at most {most:d} times, and once after the last news")
-def step_looked(context, most):
-    looks = context.line.looks
-    span_ms = context.last_ms - looks[0]
-    # A slow machine takes longer for the news, and has time for more looks meanwhile.
-    assert len(looks) <= max(most, 2 + span_ms / 12.0), looks
-    assert looks[-1] >= context.last_ms, looks
+def step_bounded_checks(context, most):
+    checks_ms = context.queue.checks_ms
+    span_ms = context.last_ms - checks_ms[0]
+    # On a slow machine the updates take longer, which leaves time for more admission checks.
+    assert len(checks_ms) <= max(most, 2 + span_ms / 12.0), checks_ms
+    assert checks_ms[-1] >= context.last_ms, checks_ms
--- a/features/steps/gateway_crowd_steps.py
+++ b/features/steps/gateway_crowd_steps.py
@@ -1,4 +1,4 @@
-"""Steps on data centres with many VMs: who hears what, and who serves callers."""
+"""Steps on data centres with many VMs: which VMs receive which messages and serve callers."""
 
 from dataclasses import replace
 from unittest import mock
@@ -31,10 +31,10 @@
 
 
 @then("each hears at most {limit:d} heartbeats in a second")
-def step_few_beats(context, limit):
+def step_few_heartbeats(context, limit):
     pass_crowd_time(context, 3_000)
-    got = pass_crowd_time(context, 3_000)
-    assert max(got.values()) <= 3 * limit, max(got.values())
+    received_counts = pass_crowd_time(context, 3_000)
+    assert max(received_counts.values()) <= 3 * limit, max(received_counts.values())
 
 
 @then("after {time_s:d} seconds each knows all neighbours and {count:d} VMs elsewhere to be alive")
@@ -51,14 +51,14 @@
 def step_names_near(context, count):
     for place, hosts in ((NEAR, NEAR_HOSTS), (FAR, FAR_HOSTS)):
         found = named_to_callers(context)
-        (named,) = {answer for (where, _), answer in found.items() if where == place}
+        (named,) = {answer for (data_center, _), answer in found.items() if data_center == place}
         assert len(named) == count and all(item.startswith(hosts) for item in named), named
 
 
 @when("one that callers are sent to falls silent")
 def step_serving_silent(context):
     pass_crowd_time(context, 3_000)
-    context.before = named_to_callers(context)
+    context.named_before = named_to_callers(context)
     context.silent_vm = next(iter(context.crowd.values()))._members.serving_vms(context.now_ms)[0]
     del context.crowd[f"{context.silent_vm}:2"]
 
@@ -68,9 +68,9 @@
     pass_crowd_time(context, time_s * 1_000)
     after = named_to_callers(context)
     for key, named in after.items():
-        gone, new = context.before[key] - named, named - context.before[key]
+        gone, new = context.named_before[key] - named, named - context.named_before[key]
         silent = f"{context.silent_vm}:1"
-        assert gone == ({silent} if silent in context.before[key] else set()), gone
+        assert gone == ({silent} if silent in context.named_before[key] else set()), gone
         assert len(new) == len(gone), new
 
 
@@ -83,29 +83,29 @@
 @when("all others but one are killed")
 def step_others_dead(context):
     pass_crowd_time(context, 3_000)
-    context.alone = next(iter(context.crowd.values()))
-    context.before = named_to_callers(context)
-    context.crowd = {context.alone._identity.peer_address: context.alone}
+    context.survivor = next(iter(context.crowd.values()))
+    context.named_before = named_to_callers(context)
+    context.crowd = {context.survivor._identity.peer_address: context.survivor}
 
 
 @then("{time_s:d} seconds later it names the same {count:d}")
 def step_names_same(context, time_s, count):
     pass_crowd_time(context, time_s * 1_000)
     ((key, named),) = named_to_callers(context).items()
-    assert named == context.before[key] and len(named) == count, named
+    assert named == context.named_before[key] and len(named) == count, named
 
 
 @then("{time_s:d} seconds later it names itself alone")
 def step_names_itself(context, time_s):
     pass_crowd_time(context, time_s * 1_000)
     (named,) = named_to_callers(context).values()
-    assert named == {context.alone._identity.caller_address}, named
+    assert named == {context.survivor._identity.caller_address}, named
 
 
-def told_figures(context, peering, relayed):
-    """Return which VMs one of a crowd sends a load figure of its own, or a relayed one."""
+def load_report_recipients(context, peering, relayed):
+    """Return the addresses to which a VM sends a load report of its own, or a relayed one."""
 
-    async def tell():
+    async def send_report():
         peering.link.sent.clear()
         if relayed:
             data = encode(LoadReports("vm-far", (("i-0", LoadReport(1, 0, 2.0), 0.0),)))
@@ -115,26 +115,26 @@
                 peering.load_updates.add("i-0", LoadReport(1, 0, 2.0), context.now_ms)
                 peering.load_updates._flush()
 
-    run(context, tell())
-    told, peering.link.sent = {address for address, _ in peering.link.sent}, []
-    return told
+    run(context, send_report())
+    recipients, peering.link.sent = {address for address, _ in peering.link.sent}, []
+    return recipients
 
 
 @then("{count:d} of a data centre are told load figures, of which callers are sent to {serving:d}")
-def step_audience(context, count, serving):
+def step_load_subscribers(context, count, serving):
     pass_crowd_time(context, 1_000)
     for peering in list(context.crowd.values())[:5]:
         peering._on_load_report = lambda incarnation: None
-        informed = peering._members.load_subscribers(context.now_ms)
-        assert informed[:serving] == peering._members.serving_vms(context.now_ms)
-        expected = {f"{vm}:2" for vm in informed} - {peering._identity.peer_address}
-        assert len(informed) == count
+        subscribers = peering._members.load_subscribers(context.now_ms)
+        assert subscribers[:serving] == peering._members.serving_vms(context.now_ms)
+        expected = {f"{vm}:2" for vm in subscribers} - {peering._identity.peer_address}
+        assert len(subscribers) == count
         for relayed in (False, True):
-            assert told_figures(context, peering, relayed) == expected
+            assert load_report_recipients(context, peering, relayed) == expected
 
 
 @then("one that has requests all the same is told load figures too")
-def step_teller(context):
+def step_count_sender(context):
     pass_crowd_time(context, 1_000)
     peering = next(iter(context.crowd.values()))
     members = peering._members
@@ -143,17 +143,17 @@
         for item in members.local_members()
         if item.vm not in members.load_subscribers(context.now_ms)
     )
-    assert standby.peer_address not in told_figures(context, peering, False)
+    assert standby.peer_address not in load_report_recipients(context, peering, False)
     members.record_count_sender(standby.vm, context.now_ms)
-    assert standby.peer_address in told_figures(context, peering, False)
+    assert standby.peer_address in load_report_recipients(context, peering, False)
 
 
 @given("a VM that hears {heard:d} of {total:d} VMs of another data centre and {near:d} neighbours")
 def step_unheard(context, heard, total, near):
     context.members = members_of("vm-own", [f"vm-{number}" for number in range(near)])
     for number in range(heard):
-        told = replace(heartbeat(f"far-{number}", FAR), near_vms=total)
-        context.members.record_heartbeat(told, 0.0)
+        remote_heartbeat = replace(heartbeat(f"far-{number}", FAR), near_vms=total)
+        context.members.record_heartbeat(remote_heartbeat, 0.0)
     context.members.forget(0.0)
 
 
@@ -169,21 +169,21 @@
     ), context.members.estimated_fleet_size()
 
 
-def hears_within_ms(context, chosen):
-    """Return within what times the VMs of a crowd hear whose `Members` are chosen."""
+def receive_batch_times_ms(context, is_selected):
+    """Return the receive batch times of the VMs whose `Members` satisfy `is_selected`."""
     now_ms = monotonic_ms()
-    found = {
+    batch_times_ms = {
         peering._receive_batch_ms()
         for peering in context.crowd.values()
-        if chosen(peering._members, now_ms)
+        if is_selected(peering._members, now_ms)
     }
-    assert found
-    return found
+    assert batch_times_ms
+    return batch_times_ms
 
 
 @then("one that callers are sent to hears at once")
 def step_serving_hears(context):
-    assert hears_within_ms(context, Members.serves_callers) == {0.0}
+    assert receive_batch_times_ms(context, Members.serves_callers) == {0.0}
 
 
 @then("one that would be next hears within 10 ms, and any other one within 100 ms")
@@ -194,15 +194,15 @@
     def is_other(members, now_ms):
         return not members.is_load_subscriber(now_ms)
 
-    assert hears_within_ms(context, is_next) == {10.0}
-    assert hears_within_ms(context, is_other) == {100.0}
+    assert receive_batch_times_ms(context, is_next) == {10.0}
+    assert receive_batch_times_ms(context, is_other) == {100.0}
 
 
 @then("one that has a request hears at once")
 def step_busy_hears(context):
     for peering in context.crowd.values():
         peering._knowledge.load_table.get_or_create("i-0").in_flight = 1
-    assert hears_within_ms(context, lambda members, now_ms: True) == {0.0}
+    assert receive_batch_times_ms(context, lambda members, now_ms: True) == {0.0}
 
 
 @then("each of these few hears at once")
