--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -1,4 +1,4 @@
-"""Steps that drive the gateway's decisions with a clock of their own."""
+"""Steps that drive the gateway's decisions with a simulated clock."""
 
 import itertools
 import random
@@ -33,23 +33,23 @@
 SLOTS = 4
 WORK_MS = 50.0
 TIMEOUT_MS = 1_000
-AIM_MS = 400.0
+OBJECTIVE_MS = 400.0
 
 
 def server(name, data_center=NEAR, **fields):
-    """Return a backend server that is warm at 20 s on the scenario's clock."""
+    """Return a backend server that is warm from 20 s on the scenario's clock."""
     fields = {"warm_at_ms": 20_000.0, **fields}
     return BackendServer(name, fleet.SERVICE, "10.0.0.1:9000", data_center, SLOTS, **fields)
 
 
-def fill(context, *names):
-    """Report that backend servers have all their slots in use."""
+def fill_servers(context, *names):
+    """Record load reports that say that all slots of these backend servers are in use."""
     for name in names:
-        context.board.get_or_create(name).update(LoadReport(SLOTS, 0, 1.0), context.now_ms)
+        context.load_table.get_or_create(name).update(LoadReport(SLOTS, 0, 1.0), context.now_ms)
 
 
-def chosen(context, count=100):
-    """Return which backend servers are chosen for so many requests that end at once."""
+def chosen_servers(context, count=100):
+    """Return the backend servers chosen for `count` requests, each of which ends at once."""
     choices = [
         context.balancer.choose(fleet.SERVICE, WORK_MS, context.now_ms) for _ in range(count)
     ]
@@ -60,12 +60,12 @@
 def step_routes(context):
     made = [fleet.route(prefix, prefix, True) for prefix in ("/", "/a/", "/a/b/")]
     made.append(fleet.route("other", "/", True, host=fleet.OTHER_HOST))
-    context.version = fleet.config(3, *made)
+    context.gateway_config = fleet.config(3, *made)
 
 
 @then("each path of either host finds its own route, and an unknown host none")
 def step_found(context):
-    find = context.version.find
+    find = context.gateway_config.find
     expected = {"/": "/", "/x": "/", "/a": "/", "/a/": "/a/", "/a/b": "/a/", "/a/b/c/": "/a/b/"}
     for path, name in expected.items():
         assert find(fleet.HOST, path).name == name, path
@@ -75,7 +75,10 @@
 
 @then("its document gives the same configuration")
 def step_document(context):
-    assert type(context.version).from_document(context.version.to_document()) == context.version
+    assert (
+        type(context.gateway_config).from_document(context.gateway_config.to_document())
+        == context.gateway_config
+    )
 
 
 @given("a route with parts of weight 90 and 10")
@@ -87,9 +90,9 @@
 @then("of 200 requests within 2 go to the part of weight 10 as its share says")
 def step_shares(context):
     for seed in range(20):
-        splits = WeightedRoundRobin(random.Random(seed))
-        given_to = [splits.next_service(context.route) for _ in range(200)]
-        assert abs(given_to.count("b") - 20) <= 2
+        splitter = WeightedRoundRobin(random.Random(seed))
+        services = [splitter.next_service(context.route) for _ in range(200)]
+        assert abs(services.count("b") - 20) <= 2
 
 
 @given("a registry")
@@ -182,21 +185,21 @@
 @when("a VM reads a whole list without one of them and tells a peer what changed")
 def step_list_without(context):
     entries = tuple(ServerRecord(f"i-{x}", x, server(f"i-{x}")) for x in range(4))
-    context.both = GatewayState(), GatewayState()
-    for knowledge in context.both:
-        knowledge.apply_server_list(entries, 4, context.now_ms)
+    context.states = GatewayState(), GatewayState()
+    for state in context.states:
+        state.apply_server_list(entries, 4, context.now_ms)
     context.list = (*entries[1:], ServerRecord("i-9", 5, server("i-9")))
-    reader, peer = context.both
-    touched = reader.apply_server_list(context.list, 6, context.now_ms)
-    peer.registry.adopt(reader.registry.to_document(context.now_ms, touched), context.now_ms)
+    reader, peer = context.states
+    changed_names = reader.apply_server_list(context.list, 6, context.now_ms)
+    peer.registry.adopt(reader.registry.to_document(context.now_ms, changed_names), context.now_ms)
 
 
 @then("both drop that one, also when the peer reads the same list")
 def step_both_drop(context):
-    context.both[1].apply_server_list(context.list, 6, context.now_ms)
-    for knowledge in context.both:
-        knowledge.expire(context.now_ms + 3_000)
-        names = {item.incarnation for item in knowledge.registry.servers()}
+    context.states[1].apply_server_list(context.list, 6, context.now_ms)
+    for state in context.states:
+        state.expire(context.now_ms + 3_000)
+        names = {item.incarnation for item in state.registry.servers()}
         assert names == {"i-1", "i-2", "i-3", "i-9"}, names
 
 
@@ -204,26 +207,26 @@
 def step_later_report(context):
     context.now_ms = 10_000.0
     entries = tuple(ServerRecord(f"i-{x}", x, server(f"i-{x}")) for x in range(4))
-    context.both = GatewayState(), GatewayState()
-    for knowledge in context.both:
-        knowledge.apply_server_list(entries, 4, context.now_ms)
+    context.states = GatewayState(), GatewayState()
+    for state in context.states:
+        state.apply_server_list(entries, 4, context.now_ms)
     report = ServerRecord("i-0", 5, server("i-0", sequence=1))
-    assert not context.both[1].apply_server_record(report, context.now_ms)
+    assert not context.states[1].apply_server_record(report, context.now_ms)
 
 
 @when("the other one finds the first missing in a whole list and tells it")
 def step_missing(context):
-    reader, peer = context.both
+    reader, peer = context.states
     rest = tuple(ServerRecord(f"i-{x}", x, server(f"i-{x}")) for x in range(1, 4))
-    touched = reader.apply_server_list(rest, 7, context.now_ms)
-    peer.registry.adopt(reader.registry.to_document(context.now_ms, touched), context.now_ms)
+    changed_names = reader.apply_server_list(rest, 7, context.now_ms)
+    peer.registry.adopt(reader.registry.to_document(context.now_ms, changed_names), context.now_ms)
 
 
 @then("neither uses the first 3 s later")
 def step_neither(context):
-    for knowledge in context.both:
-        knowledge.expire(context.now_ms + 3_000)
-        assert knowledge.registry.get("i-0") is None
+    for state in context.states:
+        state.expire(context.now_ms + 3_000)
+        assert state.registry.get("i-0") is None
 
 
 @given("a registry with 4 backend servers and a copy of it from before a change")
@@ -248,13 +251,13 @@
 def step_same(context):
     registry, now_ms = context.registry, context.now_ms
     before = registry.to_document(now_ms)
-    touched = ("i-0", "i-1", "i-9")
+    changed_names = ("i-0", "i-1", "i-9")
     registry.apply(ServerRecord("i-0", 10, server("i-0", draining=True)), now_ms, False)
     registry.apply(ServerRecord("i-1", 11, None), now_ms, False)
     registry.apply(ServerRecord("i-9", 12, server("i-9")), now_ms, False)
     by_whole, by_changes = Registry(), Registry()
     by_changes.adopt(before, now_ms)
-    by_changes.adopt(registry.to_document(now_ms, touched), now_ms)
+    by_changes.adopt(registry.to_document(now_ms, changed_names), now_ms)
     by_whole.adopt(before, now_ms)
     by_whole.adopt(registry.to_document(now_ms), now_ms)
     for other in (by_whole, by_changes):
@@ -269,71 +272,71 @@
 @given("a balancer over 6 backend servers, 3 of them in another data centre")
 def step_balancer(context):
     step_registry(context)
-    context.board = LoadTable()
+    context.load_table = LoadTable()
     for offset in range(6):
         name = f"{'near' if offset < 3 else 'far'}-{offset % 3}"
         entry = server(name, NEAR if offset < 3 else FAR)
         context.registry.apply(ServerRecord(name, offset, entry), context.now_ms, False)
     context.balancer = Balancer(
-        context.registry, context.board, WorkEstimates(), NEAR, random.Random(1)
+        context.registry, context.load_table, WorkEstimates(), NEAR, random.Random(1)
     )
 
 
 @when("one of the own data centre works 7 times as long and one is full")
 def step_slow(context):
-    context.board.get_or_create("near-0").update(LoadReport(0, 0, 7.0), context.now_ms)
-    fill(context, "near-1")
+    context.load_table.get_or_create("near-0").update(LoadReport(0, 0, 7.0), context.now_ms)
+    fill_servers(context, "near-1")
 
 
 @when("a peer tells that it can't reach two of the own data centre")
 def step_peer_unreachable(context):
-    nobody = LoadReport(0, 0, 1.0, reachable=False)
-    told = LoadReports("vm-2", (("near-0", nobody, 0.0), ("near-1", nobody, 0.0)))
-    for name, figure, age_ms in decode(encode(told)).reports:
-        context.board.get_or_create(name).update(figure, context.now_ms - age_ms)
+    unreachable = LoadReport(0, 0, 1.0, reachable=False)
+    message = LoadReports("vm-2", (("near-0", unreachable, 0.0), ("near-1", unreachable, 0.0)))
+    for name, report, age_ms in decode(encode(message)).reports:
+        context.load_table.get_or_create(name).update(report, context.now_ms - age_ms)
 
 
 @then("all requests go to the third of them")
 def step_third(context):
-    assert chosen(context) == {"near-2"}
+    assert chosen_servers(context) == {"near-2"}
 
 
 @then("with the own ones full they go to the other data centre")
 def step_far(context):
-    fill(context, "near-1", "near-2")
-    assert chosen(context) <= {"far-0", "far-1", "far-2"}
+    fill_servers(context, "near-1", "near-2")
+    assert chosen_servers(context) <= {"far-0", "far-1", "far-2"}
 
 
 @when("a figure that says 7 times as long is 1600 ms old")
 def step_stale(context):
-    context.board.get_or_create("near-0").update(LoadReport(0, 0, 7.0), context.now_ms)
-    assert "near-0" not in chosen(context)
+    context.load_table.get_or_create("near-0").update(LoadReport(0, 0, 7.0), context.now_ms)
+    assert "near-0" not in chosen_servers(context)
     context.now_ms += 1_600
 
 
 @then("its backend server is taken for neither the best nor the worst")
-def step_believed(context):
-    assert "near-0" not in chosen(context)
+def step_stale_report(context):
+    assert "near-0" not in chosen_servers(context)
     for name in ("near-1", "near-2", "far-0", "far-1", "far-2"):
-        context.board.get_or_create(name).update(LoadReport(0, 0, 7.0), context.now_ms)
-    assert chosen(context) == {"near-0"}
+        context.load_table.get_or_create(name).update(LoadReport(0, 0, 7.0), context.now_ms)
+    assert chosen_servers(context) == {"near-0"}
 
 
 @when("one of them fails 5 requests")
 def step_fail(context):
     for _ in range(5):
-        context.board.get_or_create("near-0").record_failure(context.now_ms)
+        context.load_table.get_or_create("near-0").record_failure(context.now_ms)
 
 
 @then("it gets none of the next 100 requests")
 def step_none(context):
-    assert "near-0" not in chosen(context)
+    assert "near-0" not in chosen_servers(context)
 
 
 @then("10 seconds later it gets some")
 def step_some(context):
     context.now_ms += 20_000
-    assert "near-0" in chosen(context, 1_000)
+    assert "near-0" in chosen_servers(context, 1_000)
 
 
 @given("a load figure of 1 request")
@@ -365,109 +368,118 @@
 @given("{vms:d} VMs with an allowance of {ratio:g} of the requests and {extra:d} more in 10 s")
 def step_allowance(context, vms, ratio, extra):
     context.ratio, context.extra = ratio, extra
-    context.allowances = [RetryBudget(ratio, extra, 10_000) for _ in range(vms)]
+    context.retry_budgets = [RetryBudget(ratio, extra, 10_000) for _ in range(vms)]
 
 
 @when("each repeats as much as it may over {windows:d} windows of {count:d} requests")
 def step_repeat(context, windows, count):
-    context.requests, context.repeats = [], []
+    context.requests, context.retries = [], []
     for step in range(windows * count):
         now_ms = step * 10_000 / count
-        for allowance in context.allowances:
-            allowance.count_request(fleet.SERVICE, now_ms)
+        for budget in context.retry_budgets:
+            budget.count_request(fleet.SERVICE, now_ms)
             context.requests.append(now_ms)
-            while allowance.try_take(fleet.SERVICE, now_ms, len(context.allowances)):
-                context.repeats.append(now_ms)
+            while budget.try_take(fleet.SERVICE, now_ms, len(context.retry_budgets)):
+                context.retries.append(now_ms)
 
 
 @then("no window of any length 10 s has more repeats than are allowed")
 def step_within(context):
-    assert context.repeats
-    for end_ms in sorted(set(context.repeats)):
-        inside = [at for at in context.repeats if end_ms - 10_000 < at <= end_ms]
-        asked = [at for at in context.requests if end_ms - 10_000 < at <= end_ms]
-        assert len(inside) <= context.ratio * len(asked) + context.extra
+    assert context.retries
+    for end_ms in sorted(set(context.retries)):
+        retries_in_window = [
+            at_ms for at_ms in context.retries if end_ms - 10_000 < at_ms <= end_ms
+        ]
+        requests_in_window = [
+            at_ms for at_ms in context.requests if end_ms - 10_000 < at_ms <= end_ms
+        ]
+        assert len(retries_in_window) <= context.ratio * len(requests_in_window) + context.extra
 
 
 @given("a waiting line before {count:d} backend servers that are full")
 def step_line(context, count):
     step_registry(context)
-    context.board = LoadTable()
+    context.load_table = LoadTable()
     for offset in range(count):
         name = f"i-{offset}"
         context.registry.apply(ServerRecord(name, offset, server(name)), context.now_ms, False)
-        fill(context, name)
-    balancer = Balancer(context.registry, context.board, WorkEstimates(), NEAR, random.Random(1))
-    context.line = RequestQueue(balancer)
-    context.left = []
+        fill_servers(context, name)
+    balancer = Balancer(
+        context.registry, context.load_table, WorkEstimates(), NEAR, random.Random(1)
+    )
+    context.queue = RequestQueue(balancer)
+    context.decisions = []
 
 
-def wait(context, priority, urgent):
-    """Let a request wait."""
-    waiter = QueuedRequest(
+def enqueue(context, priority, urgent):
+    """Add a request to the queue, collect the decisions that are due, and return the request."""
+    request = QueuedRequest(
         fleet.SERVICE,
         priority,
         WORK_MS,
         context.now_ms,
-        AIM_MS,
+        OBJECTIVE_MS,
         context.now_ms + TIMEOUT_MS,
         is_top_priority=urgent,
     )
-    context.line.add(waiter)
-    look(context)
-    return waiter
+    context.queue.add(request)
+    collect_decisions(context)
+    return request
 
 
-def look(context, later_ms=0.0):
-    """Keep the decisions that are due."""
+def collect_decisions(context, later_ms=0.0):
+    """Advance the clock and collect the queue's decisions that are due."""
     context.now_ms += later_ms
-    while (decision := context.line.next(fleet.SERVICE, context.now_ms)) is not None:
-        context.left.append(decision)
+    while (decision := context.queue.next(fleet.SERVICE, context.now_ms)) is not None:
+        context.decisions.append(decision)
 
 
 @when("two requests that can be put off and an urgent one want it")
 def step_wait(context):
-    context.waiters = [wait(context, 2, False), wait(context, 2, False)]
+    context.queued_requests = [enqueue(context, 2, False), enqueue(context, 2, False)]
 
 
 @then("those that can be put off are refused after a 25th of their objective")
 def step_refused_early(context):
-    assert not context.left
-    look(context, AIM_MS / 25 - 1)
-    assert not context.left
-    look(context, 2)
-    assert [item.waiter for item in context.left] == context.waiters
-    assert all(item.choice is None for item in context.left)
+    assert not context.decisions
+    collect_decisions(context, OBJECTIVE_MS / 25 - 1)
+    assert not context.decisions
+    collect_decisions(context, 2)
+    assert [item.waiter for item in context.decisions] == context.queued_requests
+    assert all(item.choice is None for item in context.decisions)
 
 
 @then("the urgent one starts as soon as there is room")
 def step_starts(context):
-    context.waiters.append(wait(context, 1, True))
-    assert len(context.left) == 2
+    context.queued_requests.append(enqueue(context, 1, True))
+    assert len(context.decisions) == 2
     context.now_ms += 10
-    context.board.get_or_create("i-0").update(LoadReport(SLOTS - 1, 0, 1.0), context.now_ms)
-    look(context)
-    assert context.left[-1].waiter is context.waiters[2] and context.left[-1].choice is not None
+    context.load_table.get_or_create("i-0").update(LoadReport(SLOTS - 1, 0, 1.0), context.now_ms)
+    collect_decisions(context)
+    assert (
+        context.decisions[-1].waiter is context.queued_requests[2]
+        and context.decisions[-1].choice is not None
+    )
 
 
 @when("a request of priority 1 waits past its objective and for half of its time")
 def step_overdue(context):
-    context.waiters = [wait(context, 1, True)]
-    assert not context.left
+    context.queued_requests = [enqueue(context, 1, True)]
+    assert not context.decisions
     for _ in range(5):
-        fill(context, "i-0")
-        look(context, TIMEOUT_MS / 10 - 1)
-    assert not context.left
-    look(context, 6)
+        fill_servers(context, "i-0")
+        collect_decisions(context, TIMEOUT_MS / 10 - 1)
+    assert not context.decisions
+    collect_decisions(context, 6)
 
 
 @then("it is started or refused, and not held to its deadline")
-def step_not_held(context):
-    assert [item.waiter for item in context.left] == context.waiters
+def step_decided(context):
+    assert [item.waiter for item in context.decisions] == context.queued_requests
 
 
 class Fleet:
-    """VMs that hear each other's heartbeats every 100 ms, and read the store when they should."""
+    """VMs that receive each other's heartbeats every 100 ms and read the store if they should."""
 
     def __init__(self, count):
         self.now_ms = 0.0
@@ -481,12 +493,12 @@
                 members.record_heartbeat(self.heartbeat(name), 0.0)
 
     def heartbeat(self, name):
-        """Return a VM's sign of life."""
+        """Return a heartbeat of a VM."""
         reading = self.reading[name]
         return Heartbeat(name, 1, NEAR, f"{name}:1", f"{name}:2", True, reading, False, 1, 1)
 
     def pass_time(self, duration_ms):
-        """Let time pass."""
+        """Advance the clock in steps of 100 ms; VMs that aren't silent send heartbeats in each."""
         end_ms = self.now_ms + duration_ms
         while self.now_ms < end_ms:
             self.now_ms += 100
@@ -498,7 +510,7 @@
                     self.members[other].record_heartbeat(heartbeat, self.now_ms)
 
     def readers(self):
-        """Return who reads."""
+        """Return the VMs that read the store and aren't silent."""
         return {name for name, reads in self.reading.items() if reads} - self.silent
 
 
@@ -619,8 +631,8 @@
 @given("a load figure of pace 1 at 0 ms, 7 at 100 ms and 2 at 800 ms")
 def step_figures(context):
     context.load = LoadTable().get_or_create("i-0")
-    for at_ms, pace in ((0.0, 1.0), (100.0, 7.0), (800.0, 2.0)):
-        context.load.update(LoadReport(0, 0, pace), at_ms)
+    for at_ms, slowdown in ((0.0, 1.0), (100.0, 7.0), (800.0, 2.0)):
+        context.load.update(LoadReport(0, 0, slowdown), at_ms)
 
 
 @then("at {at_ms:d} ms it should have done {work_ms:d} ms of work at the usual pace")
@@ -647,20 +659,20 @@
     choose = context.balancer.choose
     names = [choose(fleet.SERVICE, WORK_MS, context.now_ms).server.incarnation for _ in range(100)]
     assert names.count("near-1") > 50, names.count("near-1")
-    fill(context, "near-1")
-    assert "near-1" not in chosen(context)
+    fill_servers(context, "near-1")
+    assert "near-1" not in chosen_servers(context)
 
 
 @given("an allowance that counts over 10 s")
 def step_rate_allowance(context):
     context.now_ms = 0.0
-    context.allowance = RetryBudget(0.2, 10, 10_000)
+    context.retry_budget = RetryBudget(0.2, 10, 10_000)
 
 
 @when("50 requests have come in 5 s")
 def step_rate_requests(context):
     for _ in range(50):
-        context.allowance.count_request("s", context.now_ms)
+        context.retry_budget.count_request("s", context.now_ms)
         context.now_ms += 100.0
 
 
@@ -671,4 +683,4 @@
 
 @then("their rate is {rate:d} a second")
 def step_rate(context, rate):
-    assert abs(context.allowance.requests_per_s("s", context.now_ms) - rate) < 0.5
+    assert abs(context.retry_budget.requests_per_s("s", context.now_ms) - rate) < 0.5
--- a/features/steps/gateway_discovery_steps.py
+++ b/features/steps/gateway_discovery_steps.py
@@ -1,4 +1,4 @@
-"""Steps on how VMs find each other: seeds, the store, and addresses of VMs that are gone."""
+"""Steps on how VMs discover each other: by seeds, by the store, and with outdated addresses."""
 
 from behave import given, then, when
 
@@ -10,7 +10,7 @@
 
 
 async def start_at(context, name, host, seeds, **fields):
-    """Start a gateway at a loopback address of its own, with the peers' common port."""
+    """Start a gateway at its own loopback address, on the port that all peers share."""
     address = f"{host}:{context.seed_ports[0]}"
     fields = {"peer_address": address, "seed_addresses": tuple(seeds), **fields}
     context.gateways.append(await fleet.start_gateway(context, name, **fields))
@@ -76,8 +76,8 @@
         context.discoveries[name] = discovery
 
 
-def needing(context):
-    """Return which VMs need the store after they have heard each other for 5 s."""
+def vms_needing_store(context):
+    """Return the VMs that need the store 5 s later, once the live VMs have exchanged heartbeats."""
     context.now_ms += 5_000.0
     alive = [name for name in context.names if name not in context.dead]
     for name in alive:
@@ -101,15 +101,15 @@
 
 @then("{count:d} of them need the store")
 def step_some_need(context, count):
-    context.needing = needing(context)
-    assert len(context.needing) == count, context.needing
+    context.vms_needing_store = vms_needing_store(context)
+    assert len(context.vms_needing_store) == count, context.vms_needing_store
 
 
 @when("those have written themselves down and die")
 def step_writers_die(context):
-    for name in context.needing:
+    for name in context.vms_needing_store:
         context.discoveries[name].announcement_stored()
-    context.dead |= context.needing
+    context.dead |= context.vms_needing_store
 
 
 @given("a VM that knows the address of a seed and that of a VM that was replaced")
@@ -120,8 +120,8 @@
     context.now_ms = monotonic_ms()
 
 
-def greeted(context, duration_ms):
-    """Return which addresses are greeted in the last 5 s of a time."""
+def greeted_addresses(context, duration_ms):
+    """Return the addresses that are greeted in the last 5 s of a period of `duration_ms`."""
     end_ms = context.now_ms + duration_ms
     while context.now_ms < end_ms:
         context.now_ms += 500.0
@@ -133,9 +133,9 @@
 
 @then("in the first minute it greets both")
 def step_greets_both(context):
-    assert greeted(context, 60_000) == {"seed:2", "replaced:2"}
+    assert greeted_addresses(context, 60_000) == {"seed:2", "replaced:2"}
 
 
 @then("after {minutes:d} minutes it greets the seed alone")
 def step_greets_seed(context, minutes):
-    assert greeted(context, minutes * 60_000) == {"seed:2"}
+    assert greeted_addresses(context, minutes * 60_000) == {"seed:2"}
