--- a/features/steps/gateway_broadcast_steps.py
+++ b/features/steps/gateway_broadcast_steps.py
@@ -69,7 +69,7 @@
     async def watch():
         await fleet.until(lambda: sum(item._follower.active for item, _ in context.gateways) == 2)
         gateway, settings = next(item for item in context.gateways if not item[0]._follower.active)
-        far = {
+        remote_addresses = {
             other.peer_address
             for _, other in context.gateways
             if other.data_center != settings.data_center
@@ -78,11 +78,13 @@
 
         def record(address, data):
             message = decode(data)
-            if address in far and isinstance(message, Relay):
+            if address in remote_addresses and isinstance(message, Relay):
                 heartbeats.extend(
                     item for item in (decode(message.data),) if isinstance(item, Heartbeat)
                 )
-            assert address not in far or isinstance(message, Relay | Heartbeat), message
+            assert address not in remote_addresses or isinstance(
+                message, Relay | Heartbeat
+            ), message
             send(address, data)
 
         gateway._peering.link.send_encoded = record
@@ -149,14 +151,14 @@
 
 
 @given("a VM with 3 VMs in another data centre")
-def step_far_vms(context):
+def step_remote_vms(context):
     context.wire = Wire()
     members = members_of("vm-0", ("vm-1", "vm-2", "vm-3"), data_center=FAR)
     context.broadcast = Broadcast("vm-0", context.wire, members)
 
 
 @when("it sends 6 messages there")
-def step_send_far(context):
+def step_send_remote(context):
     for number in range(6):
         context.broadcast.send_remote(b"%d" % number, 0.0)
 
--- a/features/steps/gateway_changes_steps.py
+++ b/features/steps/gateway_changes_steps.py
@@ -115,7 +115,7 @@
 
 
 @given("a VM that has sent a configuration to {count:d} VMs of another data centre")
-def step_sent_far(context, count):
+def step_sent_remote(context, count):
     context.queue = TransferQueue(NEAR)
     context.receivers = [Requester(f"vm-{number}:2", FAR) for number in range(count)]
     for receiver in context.receivers:
--- a/features/steps/gateway_choice_steps.py
+++ b/features/steps/gateway_choice_steps.py
@@ -71,7 +71,7 @@
 @then(
     "a line of {count:d} requests that wait weighs none of them once it has seen that they are full"
 )
-def step_quiet_line(context, count):
+def step_idle_queue(context, count):
     context.queue = RequestQueue(context.balancer)
     for _ in range(count):
         context.queue.add(QueuedRequest(SERVICE, 1, WORK_MS, context.now_ms, 10_000.0, 20_000.0))
@@ -83,7 +83,7 @@
 
 
 @when("one of them has room again")
-def step_room(context):
+def step_slot_freed(context):
     context.now_ms += 1.0
     context.freed_incarnation = context.names[-1]
     context.load_table.get_or_create(context.freed_incarnation).update(
--- a/features/steps/gateway_crossing_steps.py
+++ b/features/steps/gateway_crossing_steps.py
@@ -130,7 +130,7 @@
 
 
 @given("a VM that hears of {count:d} requests in flight by a change")
-def step_hears(context, count):
+def step_receives_change(context, count):
     start_vm(context)
     context.updates.received_changes(
         InFlightCountChanges("vm-7", {ENDPOINT: count}), monotonic_ms()
@@ -138,12 +138,12 @@
 
 
 @when("it hears of none by a change")
-def step_hears_none(context):
+def step_receives_zero(context):
     context.updates.received_changes(InFlightCountChanges("vm-7", {ENDPOINT: 0}), monotonic_ms())
 
 
 @when("it hears of {count:d} by a change, and of all counts without it")
-def step_hears_all(context, count):
+def step_receives_all(context, count):
     context.updates.received_changes(
         InFlightCountChanges("vm-7", {ENDPOINT: count}), monotonic_ms()
     )
@@ -175,8 +175,8 @@
         before = len(wire.sent)
         updates.add(ENDPOINT, LoadReport(2, 0, 1.0), started_ms + 300.0)
         await asyncio.sleep(0.1)
-        far = [decode(data) for _, data in wire.sent[before:]]
-        return any(isinstance(item, Relay) for item in far)
+        sent_messages = [decode(data) for _, data in wire.sent[before:]]
+        return any(isinstance(item, Relay) for item in sent_messages)
 
     assert run(context, measure(True))
     assert not run(context, measure(False))
--- a/features/steps/gateway_crowd_steps.py
+++ b/features/steps/gateway_crowd_steps.py
@@ -42,13 +42,13 @@
     pass_crowd_time(context, time_s * 1_000)
     for peering in context.crowd.values():
         alive = peering._members.alive(context.now_ms)
-        near = [item for item in alive if item.data_center == peering._identity.data_center]
-        assert len(near) == len(context.crowd) // 2 - 1, len(near)
-        assert len(alive) - len(near) == count, len(alive) - len(near)
+        local_vms = [item for item in alive if item.data_center == peering._identity.data_center]
+        assert len(local_vms) == len(context.crowd) // 2 - 1, len(local_vms)
+        assert len(alive) - len(local_vms) == count, len(alive) - len(local_vms)
 
 
 @then("all of a data centre name the same {count:d} of its VMs to callers")
-def step_names_near(context, count):
+def step_local_names(context, count):
     for place, hosts in ((NEAR, NEAR_HOSTS), (FAR, FAR_HOSTS)):
         found = named_to_callers(context)
         (named,) = {answer for (data_center, _), answer in found.items() if data_center == place}
@@ -149,7 +149,7 @@
 
 
 @given("a VM that hears {heard:d} of {total:d} VMs of another data centre and {near:d} neighbours")
-def step_unheard(context, heard, total, near):
+def step_remote_fleet(context, heard, total, near):
     context.members = members_of("vm-own", [f"vm-{number}" for number in range(near)])
     for number in range(heard):
         remote_heartbeat = replace(heartbeat(f"far-{number}", FAR), near_vms=total)
@@ -158,7 +158,7 @@
 
 
 @when("all that it hears from there are silent for a minute")
-def step_far_silent(context):
+def step_remote_silent(context):
     context.members.forget(60_000.0)
 
 
@@ -182,12 +182,12 @@
 
 
 @then("one that callers are sent to hears at once")
-def step_serving_hears(context):
+def step_serving_receives(context):
     assert receive_batch_times_ms(context, Members.serves_callers) == {0.0}
 
 
 @then("one that would be next hears within 10 ms, and any other one within 100 ms")
-def step_others_hear(context):
+def step_others_receive(context):
     def is_next(members, now_ms):
         return members.is_load_subscriber(now_ms) and not members.serves_callers(now_ms)
 
@@ -199,23 +199,23 @@
 
 
 @then("one that has a request hears at once")
-def step_busy_hears(context):
+def step_busy_receives(context):
     for peering in context.crowd.values():
         peering._knowledge.load_table.get_or_create("i-0").in_flight = 1
     assert receive_batch_times_ms(context, lambda members, now_ms: True) == {0.0}
 
 
 @then("each of these few hears at once")
-def step_few_hear(context):
+def step_few_receive(context):
     for name in context.names:
         assert peering_of(name, context.names)._receive_batch_ms() == 0.0
 
 
 @when("a third of the other data centre dies without a sign")
-def step_far_deaths(context):
+def step_remote_deaths(context):
     pass_crowd_time(context, 8_000)
-    far = [address for address in context.crowd if address.startswith(FAR_HOSTS)]
-    context.dead = set(far[::3])
+    remote_addresses = [address for address in context.crowd if address.startswith(FAR_HOSTS)]
+    context.dead = set(remote_addresses[::3])
     for address in context.dead:
         del context.crowd[address]
 
--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -149,7 +149,7 @@
 
 
 @then("it is held at first and gone 1.9 seconds later")
-def step_held(context):
+def step_in_grace_period(context):
     assert context.registry.in_grace_period(context.registry.get("i-1"))
     assert context.registry.expire_grace_periods(context.now_ms + 1_900) == ("i-1",)
 
@@ -162,7 +162,7 @@
 
 
 @then("all are held 2.2 seconds later and those that come back stay")
-def step_all_held(context):
+def step_all_in_grace_period(context):
     registry, now_ms = context.registry, context.now_ms + 2_200
     assert registry.expire_grace_periods(now_ms) == ()
     registry.apply(ServerRecord("i-2", 20, server("i-2")), now_ms, False)
@@ -411,7 +411,7 @@
     context.decisions = []
 
 
-def enqueue(context, priority, urgent):
+def enqueue(context, priority, top_priority):
     """Add a request to the queue, collect the decisions that are due, and return the request."""
     request = QueuedRequest(
         fleet.SERVICE,
@@ -420,7 +420,7 @@
         context.now_ms,
         OBJECTIVE_MS,
         context.now_ms + TIMEOUT_MS,
-        is_top_priority=urgent,
+        is_top_priority=top_priority,
     )
     context.queue.add(request)
     collect_decisions(context)
@@ -573,7 +573,7 @@
 
 
 @given("datagrams that are cut short, swapped or random")
-def step_garbage(context):
+def step_invalid_datagrams(context):
     source = random.Random(5)
     messages = (
         Heartbeat(
--- a/features/steps/gateway_discovery_steps.py
+++ b/features/steps/gateway_discovery_steps.py
@@ -38,7 +38,7 @@
 
 
 @when("3 more gateways of another data centre start that know the seeds")
-def step_more_far(context):
+def step_more_remote(context):
     async def start():
         for index in range(3):
             host = f"127.0.0.{index + 3}"
