--- a/features/steps/gateway_evacuation_steps.py
+++ b/features/steps/gateway_evacuation_steps.py
@@ -1,4 +1,4 @@
-"""Steps on data centres that get nothing."""
+"""Steps for evacuated data centres, whose endpoints get neither requests nor probes."""
 
 import asyncio
 import json
@@ -21,22 +21,22 @@
 from features import gateway_fleet as fleet
 from features.shared import run
 
-AWAY = "new-kingston"
+EVACUATED_DATA_CENTER = "new-kingston"
 REQUESTS = 60
 
 
-def endpoints_away(context):
-    """Return the endpoints of the data centre that is evacuated."""
+def evacuated_endpoints(context):
+    """Return the endpoints in the data centre that the scenarios evacuate."""
     return [item for item in context.backends if item.incarnation.startswith("away")]
 
 
 def probes_of(backends):
-    """Return how many probes these endpoints have had."""
+    """Return how many probes these endpoints have received in total."""
     return sum(item.probes for item in backends)
 
 
 async def serve(context, number):
-    """Send requests to all gateways in turn."""
+    """Send a number of requests, to the gateways in turn."""
     for index in range(number):
         _, settings = context.gateways[index % len(context.gateways)]
         path = fleet.UNSAFE if index % 2 else fleet.SAFE
@@ -44,8 +44,8 @@
         assert answer.status == 200, answer
 
 
-def evacuated_by(context):
-    """Return what each gateway takes for evacuated."""
+def evacuated_by_gateway(context):
+    """Return, for each gateway, the data centres that it considers evacuated."""
     return [gateway._knowledge.evacuated() for gateway, _ in context.gateways]
 
 
@@ -56,7 +56,7 @@
         context.store = MemoryStore()
         context.store.put_config(fleet.config())
         context.backends = []
-        for name, data_center in (("here", fleet.DATA_CENTER), ("away", AWAY)):
+        for name, data_center in (("here", fleet.DATA_CENTER), ("away", EVACUATED_DATA_CENTER)):
             for number in range(2):
                 backend = await fleet.Backend(f"{name}-{number}").start(context)
                 context.backends.append(backend)
@@ -66,66 +66,73 @@
             context.log.extend(data)
             return len(data)
 
-        # Their own data centre is the one that is evacuated: its endpoints are preferred before.
+        # The gateways are in the data centre that gets evacuated: they prefer its endpoints before.
         context.gateways = [
-            await fleet.start_gateway(context, f"vm-{n}", write_log=write, data_center=AWAY)
+            await fleet.start_gateway(
+                context, f"vm-{n}", write_log=write, data_center=EVACUATED_DATA_CENTER
+            )
             for n in range(3)
         ]
         for gateway, _ in context.gateways:
-            known = gateway._knowledge
+            knowledge = gateway._knowledge
             await fleet.until(lambda item=gateway: len(item._members.all()) == 2)
-            await fleet.until(lambda item=known: len(item.registry) == 4 and item.can_serve)
+            await fleet.until(lambda item=knowledge: len(item.registry) == 4 and item.can_serve)
         await serve(context, REQUESTS)
-        assert any(item.ran for item in endpoints_away(context))
+        assert any(item.ran for item in evacuated_endpoints(context))
 
     run(context, start())
 
 
 @when("one data centre is evacuated")
 def step_evacuate(context):
-    context.store.evacuate(AWAY)
+    context.store.evacuate(EVACUATED_DATA_CENTER)
 
 
 @when("both data centres are evacuated")
 def step_evacuate_all(context):
-    context.store.evacuate(AWAY)
+    context.store.evacuate(EVACUATED_DATA_CENTER)
     context.store.evacuate(fleet.DATA_CENTER)
-    run(context, fleet.until(lambda: all(len(item) == 2 for item in evacuated_by(context))))
+    run(context, fleet.until(lambda: all(len(item) == 2 for item in evacuated_by_gateway(context))))
 
 
 @then("all gateways know of it and say so in their logs")
 def step_known(context):
-    run(context, fleet.until(lambda: all(item == {AWAY} for item in evacuated_by(context))))
+    run(
+        context,
+        fleet.until(
+            lambda: all(item == {EVACUATED_DATA_CENTER} for item in evacuated_by_gateway(context))
+        ),
+    )
 
-    def told():
+    def vms_that_logged():
         lines = (json.loads(line) for line in bytes(context.log).splitlines())
         found = [item for item in lines if item["kind"] == "evacuation"]
-        return {item["vm"] for item in found if item["data_centers"] == [AWAY]}
+        return {item["vm"] for item in found if item["data_centers"] == [EVACUATED_DATA_CENTER]}
 
-    run(context, fleet.until(lambda: told() == {"vm-0", "vm-1", "vm-2"}))
+    run(context, fleet.until(lambda: vms_that_logged() == {"vm-0", "vm-1", "vm-2"}))
 
 
 @then("of 60 requests and all probes none reaches an endpoint there")
 def step_none_there(context):
     async def check():
-        await asyncio.sleep(0.5)  # Probes under way end, and the order of measuring is drawn anew.
-        away = endpoints_away(context)
-        ran, probed = [len(item.seen) for item in away], probes_of(away)
+        await asyncio.sleep(0.5)  # Probes in flight end, and the probe order is drawn again.
+        endpoints = evacuated_endpoints(context)
+        ran, probed = [len(item.seen) for item in endpoints], probes_of(endpoints)
         await serve(context, REQUESTS)
-        assert [len(item.seen) for item in away] == ran
-        assert probes_of(away) == probed
+        assert [len(item.seen) for item in endpoints] == ran
+        assert probes_of(endpoints) == probed
 
     run(context, check())
 
 
 @when("the data centre is taken back")
 def step_taken_back(context):
-    context.store.evacuate(AWAY, wanted=False)
+    context.store.evacuate(EVACUATED_DATA_CENTER, wanted=False)
 
 
 @when("the data centre is taken back and the store forgets its history")
 def step_forgotten(context):
-    context.store.evacuate(AWAY, wanted=False)
+    context.store.evacuate(EVACUATED_DATA_CENTER, wanted=False)
     context.store.put_config(fleet.config(2))
     context.store.compact()
 
@@ -133,11 +140,11 @@
 @then("its endpoints get requests again")
 def step_used_again(context):
     async def check():
-        await fleet.until(lambda: not any(evacuated_by(context)))
-        away = endpoints_away(context)
-        before = sum(len(item.ran) for item in away)
+        await fleet.until(lambda: not any(evacuated_by_gateway(context)))
+        endpoints = evacuated_endpoints(context)
+        before = sum(len(item.ran) for item in endpoints)
         await serve(context, REQUESTS)
-        assert sum(len(item.ran) for item in away) > before
+        assert sum(len(item.ran) for item in endpoints) > before
 
     run(context, check())
 
@@ -145,9 +152,9 @@
 @then("a request is refused within half its objective, and its caller told to come back")
 def step_refused(context):
     _, settings = context.gateways[0]
-    begun_s = time.monotonic()
+    started_s = time.monotonic()
     answer = run(context, fleet.call(settings.caller_address))
-    assert time.monotonic() - begun_s < 0.5
+    assert time.monotonic() - started_s < 0.5
     assert answer.status == 503 and answer.body == b"evacuated", answer
     assert float(answer.headers["retry-after"]) >= 0.5, answer.headers
 
@@ -156,7 +163,9 @@
 def step_late(context):
     async def start():
         context.store.failure = PlatformSilentError("away")
-        context.late, _ = await fleet.start_gateway(context, "vm-late", data_center=AWAY)
+        context.late, _ = await fleet.start_gateway(
+            context, "vm-late", data_center=EVACUATED_DATA_CENTER
+        )
         context.late._peering.add_address(context.gateways[0][1].peer_address)
 
     run(context, start())
@@ -164,7 +173,9 @@
 
 @then("the late gateway knows of it too")
 def step_late_knows(context):
-    run(context, fleet.until(lambda: context.late._knowledge.evacuated() == {AWAY}))
+    run(
+        context, fleet.until(lambda: context.late._knowledge.evacuated() == {EVACUATED_DATA_CENTER})
+    )
 
 
 @given("an attempt at an endpoint whose data centre is evacuated before it is sent")
@@ -196,11 +207,11 @@
 @given("the evacuations {known} as of offset {offset:d}")
 def step_evacuations(context, known, offset):
     context.known = GatewayState()
-    context.known.apply_evacuations(Evacuations(offset, names(known)), 0.0)
+    context.known.apply_evacuations(Evacuations(offset, parse_data_centers(known)), 0.0)
 
 
-def names(text):
-    """Return the data centres that a step names."""
+def parse_data_centers(text):
+    """Parse the data centres in a step text."""
     return frozenset() if text == "none" else frozenset(text.split(" and "))
 
 
@@ -221,19 +232,19 @@
 
 @when("whole list of offset {offset:d} with {found} comes")
 def step_whole(context, offset, found):
-    records = [Evacuation(name, 1, True) for name in names(found)]
+    records = [Evacuation(name, 1, True) for name in parse_data_centers(found)]
     context.known.apply_evacuations(Evacuations.from_records(offset, records), 0.0)
 
 
 @when("a peer's state of offset {offset:d} with {found} comes")
 def step_state(context, offset, found):
-    document = Evacuations(offset, names(found)).to_document()
+    document = Evacuations(offset, parse_data_centers(found)).to_document()
     context.known.apply_evacuations(Evacuations.from_document(document), 0.0)
 
 
 @then("{result} are evacuated")
 def step_result(context, result):
-    assert context.known.evacuated() == names(result), context.known.evacuations
+    assert context.known.evacuated() == parse_data_centers(result), context.known.evacuations
 
 
 @given("endpoints in data centres of regions kingston and hobart, and a route to {region}")
@@ -259,10 +270,10 @@
 def step_kept_to(context, count, region, state):
     if state == "evacuated":
         context.known.apply_evacuations(Evacuations(1, frozenset({"papine"})), 0.0)
-    for room in (CapacityRequirement.FREE_SLOT, CapacityRequirement.NO_SLOWDOWN):
+    for required_capacity in (CapacityRequirement.FREE_SLOT, CapacityRequirement.NO_SLOWDOWN):
         for number in range(count):
             choice = context.balancer.choose(
-                fleet.SERVICE, 10.0, number, (), room, regions=(region,)
+                fleet.SERVICE, 10.0, number, (), required_capacity, regions=(region,)
             )
             if state == "evacuated":
                 assert choice is None, choice
--- a/features/steps/gateway_limits_steps.py
+++ b/features/steps/gateway_limits_steps.py
@@ -1,4 +1,4 @@
-"""Steps on backend servers that name a limit of requests a second."""
+"""Steps for backend servers that advertise a rate limit in requests per second."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 
 
 def most_in_window(times_ms, from_ms, window_ms=WINDOW_MS):
-    """Return the most arrivals in a window that ends after a time."""
+    """Return the most arrivals in any window that ends with an arrival at or after `from_ms`."""
     ends = [at_ms for at_ms in times_ms if at_ms >= from_ms]
     return max(
         (sum(end_ms - window_ms < at_ms <= end_ms for at_ms in times_ms) for end_ms in ends),
@@ -36,11 +36,11 @@
     async def start():
         context.log = bytearray()
 
-        def keep(data):
+        def write(data):
             context.log += data
             return len(data)
 
-        await fleet.start_fleet(context, backends, gateways, write_log=keep)
+        await fleet.start_fleet(context, backends, gateways, write_log=write)
         others = gateways - 1
         await fleet.until(lambda: all(len(item._members) == others for item, _ in context.gateways))
 
@@ -50,14 +50,14 @@
     for backend in context.backends:
         backend.work_ms = 180.0
         context.arrivals[backend.incarnation] = []
-        backend.on_request = lambda item, _: arrived(context, item)
+        backend.on_request = lambda item, _: record_arrival(context, item)
     context.limited = context.backends[:limited]
     for backend in context.limited:
         backend.limit_per_s = per_s
 
 
-def arrived(context, backend):
-    """Note a request that a backend server has got."""
+def record_arrival(context, backend):
+    """Record the arrival time of a request at a backend server, and that of its first one."""
     now_ms = monotonic_ms()
     context.arrivals[backend.incarnation].append(now_ms)
     context.first_named_ms.setdefault(backend.incarnation, now_ms)
@@ -66,14 +66,14 @@
 @when("callers send {rate:d} requests a second for {time_s:d} s")
 def step_load(context, rate, time_s):
     context.answers, context.timed = [], []
-    began_ms = monotonic_ms()
+    started_ms = monotonic_ms()
 
     async def one(number):
         _, settings = random.choice(context.gateways)
         sent_ms = monotonic_ms()
         answer = await fleet.call(settings.caller_address, request_id=f"r-{number}")
         context.answers.append(answer)
-        context.timed.append((sent_ms - began_ms, monotonic_ms() - sent_ms, answer))
+        context.timed.append((sent_ms - started_ms, monotonic_ms() - sent_ms, answer))
 
     async def load():
         tasks = []
@@ -193,22 +193,22 @@
 def step_no_limit(context):
     names = CallHeaders()
 
-    def named(value):
+    def parsed(value):
         return parse_rate_limit([(names.rate_limits[0], value)], names)
 
-    assert named(b"2.9") == 2.9 and named(b"0") == 0.0
+    assert parsed(b"2.9") == 2.9 and parsed(b"0") == 0.0
     assert parse_rate_limit([], names) is None
     for value in (b"", b"-1", b"nan", b"inf", b"1e9", b"2,9", b"9" * 40, b"two", b" 3"):
-        assert named(value) is None, value
+        assert parsed(value) is None, value
 
 
 @then("a datagram with a limit of another type or range is no message")
 def step_no_datagram(context):
     kind = MESSAGE_TYPES.index(RateLimitUpdate)
-    sound = ["i-1", 2.5, 10.0]
-    assert decode(cbor2.dumps([kind, "vm-1", [sound]])).rows[0].per_s == 2.5
-    unsound = (["i-1", -1, 0], ["i-1", "2", 0], [7, 2.5, 0], ["i-1", 2.5, -1], ["i-1", 2.5])
-    for row in (*unsound, ["i-1", float("nan"), 0], ["i-1", True, 0]):
+    valid_row = ["i-1", 2.5, 10.0]
+    assert decode(cbor2.dumps([kind, "vm-1", [valid_row]])).rows[0].per_s == 2.5
+    invalid_rows = (["i-1", -1, 0], ["i-1", "2", 0], [7, 2.5, 0], ["i-1", 2.5, -1], ["i-1", 2.5])
+    for row in (*invalid_rows, ["i-1", float("nan"), 0], ["i-1", True, 0]):
         with contextlib.suppress(MessageError):
             decode(cbor2.dumps([kind, "vm-1", [row]]))
             raise AssertionError(row)
