--- a/features/steps/gateway_peer_steps.py
+++ b/features/steps/gateway_peer_steps.py
@@ -1,4 +1,4 @@
-"""Steps with several gateways in one process."""
+"""Steps for several gateways that run in one process."""
 
 import asyncio
 
@@ -13,13 +13,13 @@
 NEW_VERSION = 9
 
 
-def known(context):
-    """Return what each gateway knows."""
+def gateway_states(context):
+    """Return the state that each gateway holds."""
     return [gateway._knowledge for gateway, _ in context.gateways]
 
 
-def reads(context):
-    """Return how many gateways read the store."""
+def reader_count(context):
+    """Return how many gateways currently read the store."""
     return sum(gateway._follower.active for gateway, _ in context.gateways)
 
 
@@ -29,8 +29,8 @@
     return [answer.status for answer in await asyncio.gather(*calls)]
 
 
-async def named_by(settings):
-    """Return the addresses that a gateway names to callers."""
+async def advertised_addresses(settings):
+    """Return the addresses that a gateway advertises to callers."""
     answer = await fleet.call(settings.directory_address, "/")
     return set(answer.body.decode().split(","))
 
@@ -42,7 +42,7 @@
         await fleet.until(
             lambda: all(len(item[0]._members.all()) == gateways - 1 for item in context.gateways)
         )
-        await fleet.until(lambda: reads(context) == min(2, gateways))
+        await fleet.until(lambda: reader_count(context) == min(2, gateways))
 
     run(context, start())
 
@@ -65,7 +65,7 @@
         fleet.until(
             lambda: all(
                 item.config_version == NEW_VERSION and item.registry.get("i-late") is not None
-                for item in known(context)
+                for item in gateway_states(context)
             )
         ),
     )
@@ -80,9 +80,9 @@
     store = MemoryStore()
     store.newest = store.changes = never
     reader._follower._store = store
-    # Its present calls still end; from then on it hears nothing.
+    # Its calls in progress still end; from then on it gets no answer.
     context.store.put_config(fleet.config(NEW_VERSION - 1))
-    run(context, fleet.until(lambda: known(context)[0].config_version == NEW_VERSION - 1))
+    run(context, fleet.until(lambda: gateway_states(context)[0].config_version == NEW_VERSION - 1))
 
 
 @then("in the next 3 seconds at most 2 of them read the store")
@@ -90,13 +90,13 @@
     async def watch():
         for _ in range(30):
             await asyncio.sleep(0.1)
-            assert reads(context) <= 2, reads(context)
+            assert reader_count(context) <= 2, reader_count(context)
 
     run(context, watch())
 
 
 @when("the store answers nobody")
-def step_away(context):
+def step_store_unavailable(context):
     context.store.failure = PlatformSilentError("away")
 
 
@@ -112,7 +112,7 @@
 
 @when("the store answers nobody and a gateway starts that knows a peer's address")
 def step_late_start(context):
-    step_away(context)
+    step_store_unavailable(context)
     _, settings = context.gateways[0]
 
     async def start():
@@ -143,7 +143,9 @@
 def step_others_follow(context):
     run(
         context,
-        fleet.until(lambda: all(item.config_version == NEW_VERSION for item in known(context))),
+        fleet.until(
+            lambda: all(item.config_version == NEW_VERSION for item in gateway_states(context))
+        ),
     )
 
 
@@ -166,7 +168,7 @@
         fleet.until(
             lambda: all(
                 item.registry.get("i-late") is not None and item.registry.get("i-0") is None
-                for item in known(context)
+                for item in gateway_states(context)
             )
         ),
     )
@@ -178,7 +180,7 @@
 
     async def check():
         for _, settings in context.gateways:
-            while await named_by(settings) != expected:
+            while await advertised_addresses(settings) != expected:
                 await asyncio.sleep(0.05)
 
     run(context, asyncio.wait_for(check(), fleet.WAIT_S))
@@ -197,7 +199,7 @@
     async def check():
         gone = context.gateways[0][1].caller_address
         for _, settings in context.gateways[1:]:
-            while gone in await named_by(settings):
+            while gone in await advertised_addresses(settings):
                 await asyncio.sleep(0.05)
 
     run(context, asyncio.wait_for(check(), fleet.WAIT_S))
@@ -217,7 +219,7 @@
                 if item.load_table.get_or_create("i-0").latest_report
                 else 0
             )
-            for item in known(context)
+            for item in gateway_states(context)
         }
 
     run(context, fleet.until(lambda: paces() == {7.0}))
@@ -225,8 +227,8 @@
 
 @then("each backend server comes to be measured over one connection")
 def step_measured(context):
-    # A stall of this process lets a second gateway step in; it has to stop again.
-    async def quiet_second():
+    # If this process stalls, a second gateway may start to probe; it has to stop again.
+    async def stable_for_a_second():
         before = [item.connections for item in context.backends]
         probes = [gateway._prober.probe_count for gateway, _ in context.gateways]
         await asyncio.sleep(1)
@@ -240,7 +242,7 @@
     async def check():
         await fleet.until(lambda: all(item.connections for item in context.backends))
         async with asyncio.timeout(fleet.WAIT_S):
-            while not await quiet_second():
+            while not await stable_for_a_second():
                 pass
 
     run(context, check())
@@ -275,7 +277,7 @@
 @then("the one that is left neither names it nor takes its configuration")
 def step_stranger(context):
     gateway, settings = context.gateways[0]
-    assert context.stranger.caller_address not in run(context, named_by(settings))
+    assert context.stranger.caller_address not in run(context, advertised_addresses(settings))
     assert gateway._knowledge.config_version == 1
     assert gateway._knowledge.registry.get("i-other") is None
 
@@ -298,7 +300,7 @@
         raise PlatformSilentError("no answer")
 
     context.store.changes = once_silent
-    context.store._changed.set()  # The present calls end.
+    context.store._changed.set()  # Ends the calls in progress.
     run(context, fleet.until(lambda: waiting == set(Feed)))
 
 
@@ -307,14 +309,14 @@
     store = context.store
     context.waits_ms = []
 
-    async def untold(feed, from_offset, wait_ms):
+    async def answer_after_wait(feed, from_offset, wait_ms):
         if store._end(feed) <= from_offset:
             context.waits_ms.append(wait_ms + POLL_GAP_MS)
             await asyncio.sleep(wait_ms / 1000)
         return await MemoryStore.changes(store, feed, from_offset, 0)
 
-    store.changes = untold
-    store._changed.set()  # The present calls end.
+    store.changes = answer_after_wait
+    store._changed.set()  # Ends the calls in progress.
     run(context, fleet.until(lambda: len(context.waits_ms) >= 4))
 
 
@@ -331,13 +333,13 @@
         host, _, port = settings.peer_address.rpartition(":")
         _, writer = await asyncio.open_connection(host, int(port))
         context.stack.callback(writer.close)
-        await fleet.until(serving_peers)
+        await fleet.until(peer_serving_tasks)
 
     run(context, start())
 
 
-def serving_peers():
-    """Return the tasks that wait for what a peer asks."""
+def peer_serving_tasks():
+    """Return the tasks that wait for a request from a peer."""
     return [task for task in asyncio.all_tasks() if "PeerLink._serve" in repr(task.get_coro())]
 
 
@@ -348,7 +350,7 @@
         asyncio.get_running_loop().set_exception_handler(
             lambda loop, found: context.unhandled.append(found)
         )
-        tasks = serving_peers()
+        tasks = peer_serving_tasks()
         for task in tasks:
             task.cancel()
         await asyncio.wait(tasks)
--- a/features/steps/gateway_quarantine_steps.py
+++ b/features/steps/gateway_quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps on requests that crash the endpoints that run them."""
+"""Steps for requests that crash the endpoints that run them."""
 
 import asyncio
 import json
@@ -11,21 +11,21 @@
 from features.shared import run
 
 FATAL = fleet.SAFE + "fatal"
-BACK_S = 1.0
-SOUND_EVERY_S = 0.02
+RESTART_DELAY_S = 1.0
+SOUND_REQUEST_INTERVAL_S = 0.02
 WORK_MS = 20.0
-CRASH_MS = 15.0
-CONTACT_MS = 3_000.0
+CRASH_DELAY_MS = 15.0
+LATE_ARRIVAL_MS = 3_000.0
 
 
 def log_lines(context, kind):
-    """Return the lines of a kind that gateways have written."""
+    """Return the log lines of one kind that the gateways have written."""
     lines = (json.loads(line) for line in bytes(context.log).splitlines())
     return [line for line in lines if line["kind"] == kind]
 
 
 async def start_crashing(context, gateways, backends):
-    """Start a fleet whose backend servers end when they get a fatal request, and come back."""
+    """Start a fleet whose backend servers crash on a fatal request and restart afterwards."""
     context.log = bytearray()
     context.ends_ms = []
     context.fatal_arrivals_ms = []
@@ -40,7 +40,7 @@
     for backend in context.backends:
         backend.work_ms = WORK_MS
         backend.on_request = lambda *got: on_request(context, *got)
-    await know_each_other(context)
+    await wait_for_membership(context)
 
 
 async def cancel_all(tasks):
@@ -50,44 +50,44 @@
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def know_each_other(context):
-    """Wait until all gateways have met."""
+async def wait_for_membership(context):
+    """Wait until every gateway has all the others as members."""
     others = len(context.gateways) - 1
     await fleet.until(lambda: all(len(item._members) == others for item, _ in context.gateways))
 
 
 def on_request(context, backend, head):
-    """Crash a backend server shortly after a fatal request has reached it."""
+    """Schedule a crash of a backend server shortly after a fatal request has reached it."""
     if b"fatal" not in head:
         return
     context.fatal_arrivals_ms.append(monotonic_ms())
-    task = asyncio.get_running_loop().create_task(crash_and_return(context, backend))
+    task = asyncio.get_running_loop().create_task(crash_and_restart(context, backend))
     context.after_crash.add(task)
     task.add_done_callback(context.after_crash.discard)
 
 
-async def crash_and_return(context, backend):
-    """Crash a backend server, and start it again under another name."""
+async def crash_and_restart(context, backend):
+    """Crash a backend server, and restart it as a new incarnation."""
     incarnation = backend.incarnation
-    await asyncio.sleep(CRASH_MS / 1000)
+    await asyncio.sleep(CRASH_DELAY_MS / 1000)
     if backend.incarnation != incarnation or not backend.listener.is_serving():
         return
     context.ends_ms.append(monotonic_ms())
     await backend.crash()
     context.store.remove_server(incarnation)
-    await asyncio.sleep(BACK_S)
+    await asyncio.sleep(RESTART_DELAY_S)
     await backend.restart(context, f"{incarnation}x")
     context.store.put_server(backend.entry())
 
 
 async def send(context, number, path, request_id, **fields):
-    """Send a request to one of the gateways by turns, and return its answer."""
+    """Send a request, to the gateways in turn by its number, and return the answer."""
     _, settings = context.gateways[number % len(context.gateways)]
     return await fleet.call(settings.caller_address, path, request_id=request_id, **fields)
 
 
 async def send_fatal(context, count, every_s):
-    """Send the fatal request again and again, without waiting for its answers."""
+    """Send the fatal request repeatedly, without waiting for answers in between."""
     calls = []
     for number in range(count):
         calls.append(asyncio.create_task(send(context, number, FATAL, f"fatal-{number}")))
@@ -96,13 +96,13 @@
 
 
 async def send_sound(context, until):
-    """Send sound requests, each of another content, until a task has ended."""
+    """Send harmless requests, each with different content, until a task has ended."""
     calls, number = [], 0
     while not until.done():
         path = f"{fleet.SAFE}{number}"
         calls.append(asyncio.create_task(send(context, number, path, f"sound-{number}")))
         number += 1
-        await asyncio.sleep(SOUND_EVERY_S)
+        await asyncio.sleep(SOUND_REQUEST_INTERVAL_S)
     context.sound_answers = await asyncio.gather(*calls)
 
 
@@ -174,7 +174,7 @@
 def step_retries(context, most):
     if len(context.ends_ms) < 3:
         return
-    since_ms = context.ends_ms[2] + CONTACT_MS
+    since_ms = context.ends_ms[2] + LATE_ARRIVAL_MS
     late = [at_ms for at_ms in context.fatal_arrivals_ms if at_ms > since_ms]
     assert len(late) <= most, len(late)
 
@@ -224,7 +224,7 @@
 def step_late(context):
     async def start():
         context.gateways.append(await fleet.start_gateway(context, "vm-late"))
-        await know_each_other(context)
+        await wait_for_membership(context)
         await fleet.until(context.gateways[-1][0]._is_ready)
         context.late_answers = [await send(context, len(context.gateways) - 1, FATAL, "late")]
 
@@ -299,9 +299,9 @@
 @then("its story says that it is in quarantine, and where endpoints crashed")
 def step_story(context):
     lines = bytes(context.log).decode().splitlines()
-    story = explain_request("fatal-later", read_lines(lines))
-    assert story.cause.startswith("quarantined (503)"), story.to_text()
-    held = [line for line in story.state_changes if line.kind == "quarantine"]
-    assert max(line.fields["crashes"] for line in held) == 2, story.to_text()
+    report = explain_request("fatal-later", read_lines(lines))
+    assert report.cause.startswith("quarantined (503)"), report.to_text()
+    rows = [line for line in report.state_changes if line.kind == "quarantine"]
+    assert max(row.fields["crashes"] for row in rows) == 2, report.to_text()
     ended = {line["server"] for line in log_lines(context, "attempt") if line["crashed"]}
-    assert ended and ended == {line.fields.get("server") for line in held} - {None}, story.to_text()
+    assert ended and ended == {row.fields.get("server") for row in rows} - {None}, report.to_text()
--- a/features/steps/gateway_soak_steps.py
+++ b/features/steps/gateway_soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps that play seeds of the soak."""
+"""Steps that run the soak test with a given seed."""
 
 from behave import then, when
 
@@ -18,6 +18,8 @@
 
 @then("callers were served, during the faults and after them")
 def step_served(context):
-    answered = [x for x in context.soak.calls if x.answer is not None and x.answer.status == 200]
+    answered = [
+        call for call in context.soak.calls if call.answer is not None and call.answer.status == 200
+    ]
     assert len(context.soak.faults) == STEPS
     assert len(answered) > len(context.soak.calls) / 2, (len(answered), len(context.soak.calls))
--- a/features/steps/gateway_start_steps.py
+++ b/features/steps/gateway_start_steps.py
@@ -1,4 +1,4 @@
-"""Steps on gateways that start again while others do: what they ask the store."""
+"""Steps for gateways that restart at the same time: their calls to the store, and isolation."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 
 
 class CountingStore:
-    """One gateway's way to a store, which counts the calls for each feed."""
+    """A store client of one gateway that counts the calls for each feed."""
 
     def __init__(self, store):
         self._store = store
@@ -21,22 +21,22 @@
         self.log = bytearray()
 
     def write_log(self, data):
-        """Keep what the gateway logs."""
+        """Collect what the gateway logs."""
         self.log += data
         return len(data)
 
     @property
     def was_followed(self):
-        """Whether the gateway has ever begun to follow the store: after a stall a third one may."""
+        """Whether the gateway ever started to follow the store; after a stall, a third one may."""
         return b'"kind":"reader","action":"start"' in self.log
 
     async def newest(self, feed):
-        """Count and pass on."""
+        """Count the call and forward it to the store."""
         self.calls[feed] += 1
         return await self._store.newest(feed)
 
     async def changes(self, feed, from_offset, wait_ms):
-        """Count and pass on."""
+        """Count the call and forward it to the store."""
         self.calls[feed] += 1
         return await self._store.changes(feed, from_offset, wait_ms)
 
@@ -96,17 +96,17 @@
     gateway, settings = context.gateways[0]
     members = gateway._members
 
-    async def hear():
+    async def start_heartbeats():
         names = [f"vm-near-{number}" for number in range(count)]
         context.heartbeats = asyncio.create_task(
-            _hear_on(members, [heartbeat(name, settings.data_center) for name in names])
+            _record_heartbeats(members, [heartbeat(name, settings.data_center) for name in names])
         )
         await asyncio.sleep(0.1)
 
-    run(context, hear())
+    run(context, start_heartbeats())
 
 
-async def _hear_on(members, heartbeats):
+async def _record_heartbeats(members, heartbeats):
     while True:
         for item in heartbeats:
             members.record_heartbeat(item, monotonic_ms())
@@ -120,30 +120,30 @@
 
 @then("it says that it is not cut off")
 def step_says_not(context):
-    check_said(context, False)
+    check_cut_off_report(context, False)
 
 
 @then("it says that it is cut off")
 def step_says(context):
-    check_said(context, True)
+    check_cut_off_report(context, True)
 
 
-def check_said(context, expected):
-    """Check what a gateway's log and metrics say of it."""
+def check_cut_off_report(context, expected):
+    """Check whether the first gateway's log and metrics report it as cut off."""
     gateway, _ = context.gateways[0]
 
-    def said():
+    def last_logged():
         lines = [json.loads(line) for line in context.stores[0].log.splitlines()]
-        told = [line["cut_off"] for line in lines if line["kind"] == "cut-off"]
-        return told[-1] if told else False
+        logged = [line["cut_off"] for line in lines if line["kind"] == "cut-off"]
+        return logged[-1] if logged else False
 
     def is_cut_off():
-        # After a stall between two steps of the scenario, nobody has been heard for a moment.
+        # A stall between two steps of the scenario leaves a moment without any heartbeat.
         return gateway._members.is_cut_off(monotonic_ms())
 
-    async def ask():
-        await fleet.until(lambda: said() == expected == is_cut_off())
+    async def fetch_metrics():
+        await fleet.until(lambda: last_logged() == expected == is_cut_off())
         return await gateway._serve_metrics(None)
 
-    page = run(context, ask()).body.decode()
+    page = run(context, fetch_metrics()).body.decode()
     assert f"cloverhook_gateway_cut_off {int(expected)}" in page, page
