--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -20,22 +20,22 @@
 from features import gateway_fleet as fleet
 from features.shared import run
 
-LONG_MS = 5_000
+LONG_TIMEOUT_MS = 5_000
 
 
 def caller_address(context):
-    """Return the address of the first gateway's callers' listener."""
+    """Return the address at which the first gateway listens for callers."""
     return context.gateways[0][1].caller_address
 
 
 def send(context, path, method="GET", **fields):
-    """Send a request and keep its answer."""
+    """Send a request to the first gateway and keep its answer in the context."""
     work = fleet.call(caller_address(context), path, method, **fields)
     context.answer = run(context, work)
 
 
-def ran(context):
-    """Return how often backend servers have run something."""
+def run_count(context):
+    """Return how many requests the backend servers have run in total."""
     return sum(len(backend.ran) for backend in context.backends)
 
 
@@ -48,12 +48,12 @@
 def step_some_full(context, count, full):
     async def start():
         await fleet.start_fleet(context, count)
-        board = context.gateways[0][0]._knowledge.load_table
+        table = context.gateways[0][0]._knowledge.load_table
         for backend in context.backends[:full]:
             backend.running = fleet.SLOTS
         await fleet.until(
             lambda: all(
-                board.get_or_create(item.incarnation).load(monotonic_ms()) == fleet.SLOTS
+                table.get_or_create(item.incarnation).load(monotonic_ms()) == fleet.SLOTS
                 for item in context.backends[:full]
             )
         )
@@ -167,7 +167,7 @@
 
 @when("a caller writes on that route")
 def step_write_short(context):
-    send(context, "/short/", "POST", body=b"pay", timeout_ms=LONG_MS)
+    send(context, "/short/", "POST", body=b"pay", timeout_ms=LONG_TIMEOUT_MS)
 
 
 @then("the answer is 200, whole and its own")
@@ -191,7 +191,7 @@
 
 @then("the request ran {runs:d} times")
 def step_ran(context, runs):
-    assert ran(context) == runs, [backend.ran for backend in context.backends]
+    assert run_count(context) == runs, [backend.ran for backend in context.backends]
 
 
 @then("the work at the backend server has ended")
@@ -202,9 +202,9 @@
 @when("a caller leaves after its request has arrived there")
 def step_leave(context):
     async def leave():
-        work = fleet.call(caller_address(context), fleet.SAFE, timeout_ms=LONG_MS)
+        work = fleet.call(caller_address(context), fleet.SAFE, timeout_ms=LONG_TIMEOUT_MS)
         task = asyncio.ensure_future(work)
-        await fleet.until(lambda: ran(context) == 1)
+        await fleet.until(lambda: run_count(context) == 1)
         task.cancel()
         await asyncio.wait({task})
 
@@ -270,7 +270,7 @@
             asyncio.ensure_future(fleet.call(settings.caller_address, request_id=f"r-{number}"))
             for number in range(count)
         ]
-        await fleet.until(lambda: ran(context) >= min(count, 4))
+        await fleet.until(lambda: run_count(context) >= min(count, 4))
         gateway.begin_shutdown()
         gateway.begin_shutdown()
         context.ready = await fleet.call(settings.ready_address, "/ready")
@@ -315,15 +315,15 @@
 
 
 def read_from_all(context):
-    """Send reads until each backend server has answered some."""
+    """Send reads until each backend server has run 3, then wait twice `LOAD_MAX_AGE_MS`."""
     while not all(len(backend.ran) >= 3 for backend in context.backends):
-        paths = [fleet.call(caller_address(context), fleet.SAFE) for _ in range(8)]
-        run(context, gather(paths))
+        calls_at_once = [fleet.call(caller_address(context), fleet.SAFE) for _ in range(8)]
+        run(context, gather(calls_at_once))
     run(context, asyncio.sleep(2 * LOAD_MAX_AGE_MS / 1000))
 
 
 async def gather(calls):
-    """Make calls at once."""
+    """Make calls concurrently."""
     return await asyncio.gather(*calls)
 
 
@@ -398,17 +398,17 @@
 @when("the pace of its backend server falls {after_ms:d} ms after a read has begun")
 def step_pace_falls(context, after_ms):
     gateway = context.gateways[0][0]
-    board = gateway._knowledge.load_table
+    table = gateway._knowledge.load_table
 
     async def read():
         for backend in context.backends:
             backend.seen.clear()
-            board.get_or_create(backend.incarnation).update(LoadReport(0, 0, 1.0), monotonic_ms())
+            table.get_or_create(backend.incarnation).update(LoadReport(0, 0, 1.0), monotonic_ms())
         answer = asyncio.ensure_future(fleet.call(caller_address(context), fleet.SAFE))
         await fleet.until(lambda: any(backend.seen for backend in context.backends))
         busy = next(backend for backend in context.backends if backend.seen)
-        (began,) = gateway._forwarder._running[busy.incarnation]
-        began.attempts[-1].began_ms = monotonic_ms() - after_ms  # A stall must not count.
+        (forwarding,) = gateway._forwarder._running[busy.incarnation]
+        forwarding.attempts[-1].began_ms = monotonic_ms() - after_ms  # Stalls don't count.
         server = gateway._knowledge.registry.get(busy.incarnation)
         gateway._on_load_report(server, LoadReport(1, 0, 7.0), monotonic_ms())
         assert (await answer).status == 200
--- a/features/steps/gateway_store_era_steps.py
+++ b/features/steps/gateway_store_era_steps.py
@@ -1,4 +1,4 @@
-"""Steps on a store that comes back from an older copy."""
+"""Steps for a store that is restored from an older copy."""
 
 import asyncio
 import json
@@ -14,13 +14,13 @@
 from features.era_replay import HOLD_MS, EraReplay, usable
 from features.shared import run
 
-ELSEWHERE = "new-kingston"
-GONE_S = 4.0
-AWAY_S = 0.3
+OTHER_DATA_CENTER = "new-kingston"
+GRACE_PERIOD_WAIT_S = 4.0
+OUTAGE_S = 0.3
 
 
-def names_known(context):
-    """Return the names of the backend servers that each gateway knows."""
+def registered_names(context):
+    """Return, for each gateway, the names of the backend servers in its registry."""
     return [
         {server.name for server in gateway._knowledge.registry.servers()}
         for gateway, _ in context.gateways
@@ -28,7 +28,7 @@
 
 
 async def start(context, gateways, backends):
-    """Start a fleet whose entries count what they report, and keep its log."""
+    """Start a fleet whose entries carry a sequence number of reports, and collect its log."""
     context.log = bytearray()
     await fleet.start_fleet(
         context, backends, gateways, write_log=lambda data: context.log.extend(data) or len(data)
@@ -41,23 +41,23 @@
 
 
 def report_all(context):
-    """Have every backend server write its entry again."""
+    """Write every backend server's entry again, with the next sequence number."""
     context.sequence += 1
     for backend in context.backends:
         context.store.put_server(backend.entry(sequence=context.sequence))
 
 
 async def until_read(context):
-    """Wait until the store has been read up to its end."""
+    """Wait until every gateway has the records up to the end of the store."""
     marker = f"marker-{len(context.store.log[Feed.SERVERS])}-{context.store.era}"
-    context.store.put_server(BackendServer(marker, "none", "10.0.0.1:1", ELSEWHERE))
-    await fleet.until(lambda: all(marker in names for names in names_known(context)))
+    context.store.put_server(BackendServer(marker, "none", "10.0.0.1:1", OTHER_DATA_CENTER))
+    await fleet.until(lambda: all(marker in names for names in registered_names(context)))
 
 
 async def restore(context, **lost):
-    """Have the store be away for a moment and come back without its last records."""
+    """Make the store unavailable for a moment and restore it without its last records."""
     context.store.failure = PlatformSilentError("away")
-    await asyncio.sleep(AWAY_S)
+    await asyncio.sleep(OUTAGE_S)
     context.store.restore_older_copy({Feed[name.upper()]: count for name, count in lost.items()})
     context.store.failure = None
 
@@ -88,7 +88,7 @@
         context.come = await fleet.Backend("i-come").start(context)
         store.put_server(context.come.entry(sequence=1))
         store.put_config(fleet.config(9))
-        store.evacuate(ELSEWHERE)
+        store.evacuate(OTHER_DATA_CENTER)
 
     run(context, write())
 
@@ -98,9 +98,9 @@
     def all_known():
         return all(
             gateway._knowledge.config_version == 9
-            and gateway._knowledge.evacuated() == {ELSEWHERE}
+            and gateway._knowledge.evacuated() == {OTHER_DATA_CENTER}
             and context.come.incarnation in names
-            for (gateway, _), names in zip(context.gateways, names_known(context), strict=True)
+            for (gateway, _), names in zip(context.gateways, registered_names(context), strict=True)
         )
 
     run(context, fleet.until(all_known))
@@ -108,8 +108,8 @@
 
 @then("no gateway knows the one that left")
 def step_left(context):
-    run(context, asyncio.sleep(GONE_S))
-    assert not any(context.left in names for names in names_known(context))
+    run(context, asyncio.sleep(GRACE_PERIOD_WAIT_S))
+    assert not any(context.left in names for names in registered_names(context))
 
 
 @given(
@@ -175,7 +175,9 @@
 def step_known_throughout(context):
     async def watch():
         for tick in range(60):
-            assert all(context.odd.incarnation in names for names in names_known(context)), tick
+            assert all(
+                context.odd.incarnation in names for names in registered_names(context)
+            ), tick
             if tick == 18:
                 context.store.put_server(context.odd.entry(sequence=2))
             await asyncio.sleep(0.1)
@@ -185,8 +187,8 @@
 
 @then("no gateway knows it 4 s later")
 def step_forgotten(context):
-    run(context, asyncio.sleep(GONE_S))
-    assert not any(context.odd.incarnation in names for names in names_known(context))
+    run(context, asyncio.sleep(GRACE_PERIOD_WAIT_S))
+    assert not any(context.odd.incarnation in names for names in registered_names(context))
 
 
 @given("{gateways:d} gateways and {backends:d} backend servers whose data centre is evacuated")
@@ -200,7 +202,7 @@
 
 
 def evacuated(context):
-    """Return whether each gateway takes the data centre for evacuated."""
+    """Return, for each gateway, whether it considers the data centre evacuated."""
     return [fleet.DATA_CENTER in gateway._knowledge.evacuated() for gateway, _ in context.gateways]
 
 
@@ -223,7 +225,7 @@
 
 @then("it is evacuated for no gateway 4 s later")
 def step_evacuated_no_more(context):
-    run(context, asyncio.sleep(GONE_S))
+    run(context, asyncio.sleep(GRACE_PERIOD_WAIT_S))
     assert not any(evacuated(context))
 
 
@@ -240,7 +242,7 @@
 
 
 def config_versions(context):
-    """Return the versions of the configuration that are in force."""
+    """Return the configuration versions in force at the gateways."""
     return {gateway._knowledge.config_version for gateway, _ in context.gateways}
 
 
@@ -251,7 +253,7 @@
 
 @then("every gateway keeps the later one")
 def step_keeps(context):
-    run(context, asyncio.sleep(GONE_S))
+    run(context, asyncio.sleep(GRACE_PERIOD_WAIT_S))
     assert config_versions(context) == {7}
 
 
@@ -259,13 +261,15 @@
 def step_offsets_again(context):
     context.fresh = [f"i-fresh-{number}" for number in range(3)]
     for name in context.fresh:
-        context.store.put_server(BackendServer(name, "none", "10.0.0.1:1", ELSEWHERE, sequence=1))
+        context.store.put_server(
+            BackendServer(name, "none", "10.0.0.1:1", OTHER_DATA_CENTER, sequence=1)
+        )
 
 
 @then("every gateway knows what each of them says")
 def step_knows_fresh(context):
     fresh = set(context.fresh)
-    run(context, fleet.until(lambda: all(fresh <= names for names in names_known(context))))
+    run(context, fleet.until(lambda: all(fresh <= names for names in registered_names(context))))
 
 
 @given("the registries of a gateway that saw an era, and of one that was cut off in the era before")
@@ -308,7 +312,9 @@
 
 @when("a backend server comes")
 def step_comes(context):
-    context.store.put_server(BackendServer("i-come", fleet.SERVICE, "10.0.0.1:1", ELSEWHERE))
+    context.store.put_server(
+        BackendServer("i-come", fleet.SERVICE, "10.0.0.1:1", OTHER_DATA_CENTER)
+    )
     run(context, asyncio.sleep(2.0))
 
 
@@ -322,20 +328,20 @@
 
 @then("each gateway that reads the store has logged the era, and its metrics show it")
 def step_era_told(context):
-    def all_told():
+    def all_logged():
         reading = {item._settings.vm for item, _ in context.gateways if item._follower.reading}
         lines = [json.loads(line) for line in bytes(context.log).splitlines()]
-        told_by = {line["vm"] for line in lines if line.get("state") == "new-era"}
-        return reading and reading <= told_by
+        logged_by = {line["vm"] for line in lines if line.get("state") == "new-era"}
+        return reading and reading <= logged_by
 
-    async def told():
-        await fleet.until(all_told)
+    async def check_reports():
+        await fleet.until(all_logged)
         for gateway, _ in context.gateways:
             await fleet.until(lambda item=gateway: item._knowledge.store_era == 2)
             page = (await gateway._serve_metrics(None)).body
             assert b"cloverhook_gateway_store_era 2" in page
 
-    run(context, told())
+    run(context, check_reports())
 
 
 @given("{count:d} replays of {vms:d} gateways that read the store or hear of it from others")
--- a/features/steps/gateway_trust_steps.py
+++ b/features/steps/gateway_trust_steps.py
@@ -1,4 +1,4 @@
-"""Steps on endpoints that lie about their health."""
+"""Steps for circuit breakers, on endpoints whose reported health is wrong."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 from features import gateway_fleet as fleet
 from features.shared import run
 
-FAILS = {"resets": "reset", "answers 500": "error"}
+FAILURE_MODES = {"resets": "reset", "answers 500": "error"}
 WORK_MS = 50.0
 
 
@@ -38,7 +38,7 @@
 
 @given("the first backend server {how} all it gets")
 def step_fails(context, how):
-    context.backends[0].default = FAILS[how]
+    context.backends[0].default = FAILURE_MODES[how]
 
 
 @given("the first backend server says that it is ill")
@@ -47,7 +47,7 @@
 
 
 async def call_all(context, count, path):
-    """Send requests one after the other, to the gateways by turns."""
+    """Send requests one after the other, to the gateways in turn."""
     context.statuses = []
     for number in range(count):
         _, settings = context.gateways[number % len(context.gateways)]
@@ -69,7 +69,7 @@
 
 @when("callers read {count:d} times from both gateways by turns, and on until it has failed one")
 def step_read(context, count):
-    """Read on: connections that are open already are preferred, so it may not be asked at first."""
+    """Read until it is asked: open connections are preferred, so it may get no request at first."""
     run(context, call_all(context, count, fleet.SAFE))
     statuses = context.statuses
     while not context.backends[0].seen:
@@ -77,11 +77,11 @@
         statuses = statuses + context.statuses
     context.statuses = statuses
     incarnation = context.backends[0].entry().incarnation
-    trusts = [
+    breakers = [
         item._knowledge.load_table.get_or_create(incarnation).circuit_breaker
         for item, _ in context.gateways
     ]
-    run(context, fleet.until(lambda: all(trust.needs_check for trust in trusts)))
+    run(context, fleet.until(lambda: all(breaker.needs_check for breaker in breakers)))
 
 
 @when("callers write {count:d} times")
@@ -105,7 +105,7 @@
 
 
 def start_endpoints(context, count):
-    """Know so many endpoints of one service, on a clock of the scenario's own."""
+    """Register a number of endpoints of one service; the scenario sets the clock itself."""
     context.now_ms = 0.0
     context.knowledge = GatewayState()
     registry = context.knowledge.registry
@@ -117,27 +117,27 @@
     )
 
 
-def chosen(context, repeatable):
-    """Return the endpoint that a request would go to, or None."""
+def chosen(context, retryable):
+    """Return the incarnation of the endpoint that is chosen for a request, or None."""
     choice = context.balancer.choose(
-        fleet.SERVICE, WORK_MS, context.now_ms, (), CapacityRequirement.FREE_SLOT, repeatable
+        fleet.SERVICE, WORK_MS, context.now_ms, (), CapacityRequirement.FREE_SLOT, retryable
     )
     return None if choice is None else choice.server.incarnation
 
 
 @given("an endpoint that was suspended")
 def step_suspended(context):
-    # Nothing is suspended where that leaves nobody: the others of its service are full.
+    # If nearly all endpoints of a service are suspended, all are used as if none were.  The three
+    # others keep their circuit breakers closed, and are full so that none of them is chosen.
     start_endpoints(context, 4)
-    context.board = context.knowledge.load_table
+    context.loads = context.knowledge.load_table
     for number in range(1, 4):
-        context.board.get_or_create(f"i-{number}").in_flight = fleet.SLOTS
-    context.trust = context.board.get_or_create("i-0").circuit_breaker
-    assert not context.trust.record_failure(0.0, -5.0)
-    assert not context.trust.record_failure(
-        1.0, -5.0
-    )  # It was under way when the first one failed.
-    assert context.trust.record_failure(10.0, 5.0)
+        context.loads.get_or_create(f"i-{number}").in_flight = fleet.SLOTS
+    context.breaker = context.loads.get_or_create("i-0").circuit_breaker
+    assert not context.breaker.record_failure(0.0, -5.0)
+    # This request was already in flight when the first one failed.
+    assert not context.breaker.record_failure(1.0, -5.0)
+    assert context.breaker.record_failure(10.0, 5.0)
 
 
 @then("it gets nothing for a second, and then one request that can be repeated")
@@ -147,14 +147,14 @@
     context.now_ms = 1_200.0
     assert chosen(context, False) is None
     assert chosen(context, True) == "i-0"
-    context.board.get_or_create("i-0").in_flight = 1
+    context.loads.get_or_create("i-0").in_flight = 1
     assert chosen(context, True) is None
 
 
 @when("that one is answered well")
 def step_answered(context):
-    context.board.get_or_create("i-0").in_flight = 0
-    context.trust.record_answer(context.now_ms)
+    context.loads.get_or_create("i-0").in_flight = 0
+    context.breaker.record_answer(context.now_ms)
 
 
 @then("it gets any request")
@@ -168,7 +168,7 @@
     for context.now_ms in range(10, 60_000, 20):
         if chosen(context, True) is not None:
             context.trials += 1
-            context.trust.record_failure(context.now_ms + 5.0, context.now_ms)
+            context.breaker.record_failure(context.now_ms + 5.0, context.now_ms)
 
 
 @then("it was tried {low:d} to {high:d} times")
@@ -179,18 +179,18 @@
 @given("{count:d} endpoints that one VM says have all failed twice")
 def step_accused(context, count):
     start_endpoints(context, count)
-    news = FailureUpdates("vm-0", None, context.knowledge, EventLog("vm-0", len))
+    updates = FailureUpdates("vm-0", None, context.knowledge, EventLog("vm-0", len))
     for number in range(count):
         for now_ms in (10.0, 20.0):
-            news.received(Failures("vm-1", [[f"i-{number}", 5.0, False]]), now_ms)
+            updates.received(Failures("vm-1", [[f"i-{number}", 5.0, False]]), now_ms)
     context.now_ms = 30.0
 
 
 @then("at most {count:d} of them are suspended")
 def step_few_suspended(context, count):
-    board, servers = context.knowledge.load_table, context.knowledge.registry.servers()
-    trusts = [board.get_or_create(server.incarnation).circuit_breaker for server in servers]
-    suspended = sum(1 for trust in trusts if trust.is_suspended(context.now_ms))
+    loads, servers = context.knowledge.load_table, context.knowledge.registry.servers()
+    breakers = [loads.get_or_create(server.incarnation).circuit_breaker for server in servers]
+    suspended = sum(1 for breaker in breakers if breaker.is_suspended(context.now_ms))
     assert 1 <= suspended <= count, suspended
 
 
@@ -198,11 +198,11 @@
 def step_many_suspended(context, count, suspended):
     start_endpoints(context, count)
     for number in range(suspended):
-        trust: CircuitBreaker = context.knowledge.load_table.get_or_create(
+        breaker: CircuitBreaker = context.knowledge.load_table.get_or_create(
             f"i-{number}"
         ).circuit_breaker
-        trust.record_failure(0.0, -5.0)
-        trust.record_failure(5.0, 1.0)
+        breaker.record_failure(0.0, -5.0)
+        breaker.record_failure(5.0, 1.0)
     context.now_ms = 10.0
 
 
@@ -222,24 +222,24 @@
 @then("a VM holds it for suspended at most {limit:g} of ten minutes")
 def step_hardly_suspended(context, limit):
     vms, rate, lost = context.lossy
-    source = random.Random(11)
-    trusts = [CircuitBreaker() for _ in range(vms)]
+    rng = random.Random(11)
+    breakers = [CircuitBreaker() for _ in range(vms)]
     now_ms, suspended_ms = 0.0, 0.0
     while now_ms < 600_000.0:
-        step_ms = source.expovariate(rate) * 1_000
+        step_ms = rng.expovariate(rate) * 1_000
         now_ms += step_ms
-        suspended_ms += step_ms if trusts[0].is_suspended(now_ms) else 0.0
-        own = source.choice(trusts)
-        if own.is_suspended(now_ms):
+        suspended_ms += step_ms if breakers[0].is_suspended(now_ms) else 0.0
+        sender = rng.choice(breakers)
+        if sender.is_suspended(now_ms):
             continue
-        if source.random() >= lost:
-            own.record_answer(now_ms)
+        if rng.random() >= lost:
+            sender.record_answer(now_ms)
             continue
-        answered = own.answered_since(now_ms - RECENT_ANSWER_MS)
-        own.record_failure(now_ms, now_ms - 1.0)
-        for trust in trusts:
-            if trust is not own:
-                trust.record_peer_failure(now_ms, now_ms - 1.0, answered)
+        answered = sender.answered_since(now_ms - RECENT_ANSWER_MS)
+        sender.record_failure(now_ms, now_ms - 1.0)
+        for breaker in breakers:
+            if breaker is not sender:
+                breaker.record_peer_failure(now_ms, now_ms - 1.0, answered)
     assert suspended_ms <= limit * now_ms, suspended_ms / now_ms
 
 
@@ -261,7 +261,7 @@
     async def send():
         _, settings = context.gateways[0]
         for backend in context.backends:
-            backend.work_ms = 20.0  # So that each is needed.
+            backend.work_ms = 20.0  # Long enough that both are needed.
         for _ in range(100):
             calls = [fleet.call(settings.caller_address, request_id=f"r-{n}") for n in range(6)]
             await asyncio.gather(*calls)
@@ -275,9 +275,9 @@
 @then("both gateways know that it turns away between {least:g} and {most:g} of what it gets")
 def step_refusal_share(context, least, most):
     def shares():
-        boards = [gateway._knowledge.load_table for gateway, _ in context.gateways]
+        load_tables = [gateway._knowledge.load_table for gateway, _ in context.gateways]
         name = context.shedding.incarnation
-        return [board.get_or_create(name).refusal_share(monotonic_ms()) for board in boards]
+        return [loads.get_or_create(name).refusal_share(monotonic_ms()) for loads in load_tables]
 
     run(context, fleet.until(lambda: all(least <= share <= most for share in shares())))
 
@@ -285,10 +285,10 @@
 @then("it is not suspended")
 def step_not_suspended(context):
     for gateway, _ in context.gateways:
-        trust = gateway._knowledge.load_table.get_or_create(
+        breaker = gateway._knowledge.load_table.get_or_create(
             context.shedding.incarnation
         ).circuit_breaker
-        assert not trust.is_suspended(monotonic_ms())
+        assert not breaker.is_suspended(monotonic_ms())
 
 
 @given(
@@ -300,9 +300,9 @@
         context.shedding, context.slow = context.backends
         context.shedding.default = "reject"
         context.slow.pace = 6_000
-        board = context.gateways[0][0]._knowledge.load_table
+        loads = context.gateways[0][0]._knowledge.load_table
         await fleet.until(
-            lambda: board.get_or_create(context.slow.incarnation).slowdown(monotonic_ms()) == 60.0
+            lambda: loads.get_or_create(context.slow.incarnation).slowdown(monotonic_ms()) == 60.0
         )
 
     run(context, start())
