--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the shares of brands: the object alone, and a real daemon under one brand's flood."""
+"""Steps for the fair shares of brands: `Admission` alone, and a real daemon that a brand floods."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 LIMIT = 6
 OTHER_HOST = "routes.saltbush.example"
-PATIENT_POLICY = "[services.policy]\ntimeout_ms = 60000\nwait_limit_ms = 60000\n"
+LONG_TIMEOUT_POLICY = "[services.policy]\ntimeout_ms = 60000\nwait_limit_ms = 60000\n"
 
 
 @then("a brand alone may use all, and another's first requests are taken all the same")
@@ -23,7 +23,7 @@
 
 
 @then("room that a flood gives back goes to the brand below its share first")
-def step_given_back(context):
+def step_released_place(context):
     admission = Admission(LIMIT)
     assert admission.try_enter("b")
     assert [admission.try_enter("a") for _ in range(LIMIT)] == [True] * (LIMIT - 1) + [False]
@@ -55,16 +55,16 @@
         answers = {"/hang": ScriptedBackend.hang}
         backend = await context.stack.enter_async_context(ScriptedBackend(answers))
         context.backends.append(backend)
-        text = CONFIG.format(host=host, endpoints=f'"{backend.address}"') + PATIENT_POLICY
+        text = CONFIG.format(host=host, endpoints=f'"{backend.address}"') + LONG_TIMEOUT_POLICY
         path = context.fleet.folder / f"{brand}.toml"
         path.write_text(text.replace('"brathwaite"', f'"{brand}"'))
         code, output, errors = await context.fleet.tool("publish", str(path))
         assert code == 0, output + errors
 
-    async def followed():
+    async def both_configured():
         return len((await context.fleet.status("vm-0"))["brands"]) == 2
 
-    await eventually(followed)
+    await eventually(both_configured)
 
 
 @given("a daemon that takes few requests of two brands")
@@ -88,7 +88,7 @@
 
 
 @then("the flood's next request is refused at once, as not run, with a time to come back")
-def step_shed(context):
+def step_rejected(context):
     reply = context.replies[-1]
     assert reply.header(b"cloverhook-error") == [b"overloaded"], reply
     assert reply.header(b"cloverhook-outcome") == [b"not-run"], reply
--- a/features/steps/claim_steps.py
+++ b/features/steps/claim_steps.py
@@ -1,4 +1,4 @@
-"""Steps for claims on idempotency keys: the book alone, and real daemons over a failing log."""
+"""Steps for claims on idempotency keys: the table alone, and real daemons over a failing log."""
 
 import asyncio
 import random
@@ -22,131 +22,131 @@
 SEEDS = 30
 STEPS = 600
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"
-REFUSAL = b"HTTP/1.1 503 No\r\nCloverhook-Outcome: not-run\r\nContent-Length: 0\r\n\r\n"
+REJECTION = b"HTTP/1.1 503 No\r\nCloverhook-Outcome: not-run\r\nContent-Length: 0\r\n\r\n"
 
 
 def _now_ms():
     return time.time() * 1000
 
 
-def _book(vm="vm-0"):
+def _new_table(vm="vm-0"):
     return ClaimTable(vm, WINDOW_MS)
 
 
-def _append(log, book, now_ms):
-    batch = book.take_batch(now_ms)
+def _append(log, table, now_ms):
+    batch = table.take_batch(now_ms)
     log.append(batch.to_document())
     return batch
 
 
-def _read(log, book, now_ms, first=0):
-    start = max(first, book.next_offset)
-    return book.fold(start, log[start:], now_ms)
+def _read(log, table, now_ms, first=0):
+    start = max(first, table.next_offset)
+    return table.fold(start, log[start:], now_ms)
 
 
-# The book alone.
+# The claim table alone.
 
 
 @then("the first claim in the log holds the key, whichever daemon reads first")
 def step_first(context):
-    log, one, two = [], _book("vm-1"), _book("vm-2")
-    two.claim("k", "second", 0)
-    one.claim("k", "first", 5)
-    _append(log, one, 5)
-    _append(log, two, 0)
-    assert _read(log, two, 9) == (Denied("second", "first", "vm-1", ClaimState.CLAIMED),)
-    assert _read(log, one, 9) == (Granted("first"),)
+    log, table_1, table_2 = [], _new_table("vm-1"), _new_table("vm-2")
+    table_2.claim("k", "second", 0)
+    table_1.claim("k", "first", 5)
+    _append(log, table_1, 5)
+    _append(log, table_2, 0)
+    assert _read(log, table_2, 9) == (Denied("second", "first", "vm-1", ClaimState.CLAIMED),)
+    assert _read(log, table_1, 9) == (Granted("first"),)
 
 
 @then("a claim that lands twice, or after its own release, never holds a key again")
-def step_doubled(context):
-    log, one, two = [], _book("vm-1"), _book("vm-2")
-    one.claim("k", "a", 0)
-    batch = _append(log, one, 0)
-    assert _read(log, one, 1) == (Granted("a"),)
-    one.release("k", "a")
-    _append(log, one, 2)
+def step_late_claim(context):
+    log, table_1, table_2 = [], _new_table("vm-1"), _new_table("vm-2")
+    table_1.claim("k", "a", 0)
+    batch = _append(log, table_1, 0)
+    assert _read(log, table_1, 1) == (Granted("a"),)
+    table_1.release("k", "a")
+    _append(log, table_1, 2)
     log.append(batch.to_document())
-    two.claim("k", "b", 3)
-    _append(log, two, 3)
-    assert _read(log, two, 4) == (Granted("b"),)
-    late, given_up = [], _book("vm-3")
-    given_up.claim("k", "late", 0)
-    lost = given_up.take_batch(0)
-    given_up.release("k", "late")
-    _append(late, given_up, 1)
-    late.append(lost.to_document())
-    two = _book("vm-2")
-    two.claim("k", "c", 2)
-    _append(late, two, 2)
-    assert _read(late, two, 3) == (Granted("c"),)
+    table_2.claim("k", "b", 3)
+    _append(log, table_2, 3)
+    assert _read(log, table_2, 4) == (Granted("b"),)
+    other_log, table_3 = [], _new_table("vm-3")
+    table_3.claim("k", "late", 0)
+    lost_batch = table_3.take_batch(0)
+    table_3.release("k", "late")
+    _append(other_log, table_3, 1)
+    other_log.append(lost_batch.to_document())
+    table_2 = _new_table("vm-2")
+    table_2.claim("k", "c", 2)
+    _append(other_log, table_2, 2)
+    assert _read(other_log, table_2, 3) == (Granted("c"),)
 
 
 @then("a claim whose append was not answered is asked for again and counts once")
 def step_lost(context):
-    log, one = [], _book()
-    one.claim("k", "a", 0)
-    batch = _append(log, one, 0)
-    one.append_failed(batch)
-    assert one.has_claims
-    assert _read(log, one, 1) == (Granted("a"),)
-    assert not one.has_batch
-    one.append_failed(batch)
-    assert not one.has_claims
-    one.claim("j", "b", 2)
-    one.append_failed(one.take_batch(2))
-    _append(log, one, 3)
-    assert _read(log, one, 4) == (Granted("b"),)
+    log, table_1 = [], _new_table()
+    table_1.claim("k", "a", 0)
+    batch = _append(log, table_1, 0)
+    table_1.append_failed(batch)
+    assert table_1.has_claims
+    assert _read(log, table_1, 1) == (Granted("a"),)
+    assert not table_1.has_batch
+    table_1.append_failed(batch)
+    assert not table_1.has_claims
+    table_1.claim("j", "b", 2)
+    table_1.append_failed(table_1.take_batch(2))
+    _append(log, table_1, 3)
+    assert _read(log, table_1, 4) == (Granted("b"),)
 
 
 @then("a key is free again after its release or its window, by the times in the log")
 def step_window(context):
-    log, one, two = [], _book("vm-1"), _book("vm-2")
-    one.claim("k", "a", 0)
-    _append(log, one, 0)
-    two.claim("k", "b", WINDOW_MS)
-    _append(log, two, WINDOW_MS)
-    one.claim("k", "c", WINDOW_MS + 1)
-    _append(log, one, WINDOW_MS + 1)
-    assert isinstance(_read(log, two, 10 * WINDOW_MS)[0], Denied)
-    assert Granted("c") in _read(log, one, 0)
+    log, table_1, table_2 = [], _new_table("vm-1"), _new_table("vm-2")
+    table_1.claim("k", "a", 0)
+    _append(log, table_1, 0)
+    table_2.claim("k", "b", WINDOW_MS)
+    _append(log, table_2, WINDOW_MS)
+    table_1.claim("k", "c", WINDOW_MS + 1)
+    _append(log, table_1, WINDOW_MS + 1)
+    assert isinstance(_read(log, table_2, 10 * WINDOW_MS)[0], Denied)
+    assert Granted("c") in _read(log, table_1, 0)
 
 
 @then("what has run is known to every daemon")
 def step_known(context):
-    log, one, two = [], _book("vm-1"), _book("vm-2")
-    one.claim("k", "a", 0)
-    _append(log, one, 0)
-    _read(log, one, 0)
-    one.mark_ran("k", "a")
-    two.claim("k", "b", 1)
-    _append(log, one, 1)
-    _append(log, two, 1)
-    assert _read(log, two, 1) == (Denied("b", "a", "vm-1", ClaimState.RAN),)
+    log, table_1, table_2 = [], _new_table("vm-1"), _new_table("vm-2")
+    table_1.claim("k", "a", 0)
+    _append(log, table_1, 0)
+    _read(log, table_1, 0)
+    table_1.mark_ran("k", "a")
+    table_2.claim("k", "b", 1)
+    _append(log, table_1, 1)
+    _append(log, table_2, 1)
+    assert _read(log, table_2, 1) == (Denied("b", "a", "vm-1", ClaimState.RAN),)
 
 
 @then("a daemon that missed records grants nothing until a window has passed")
 def step_missed(context):
-    log, one, two = [], _book("vm-1"), _book("vm-2")
-    one.claim("k", "a", 0)
-    _append(log, one, 0)
-    two.claim("k", "b", 1)
-    _append(log, two, 1)
-    assert _read(log, two, 1, first=1) == (Undecidable("b"),)
-    two.release("k", "b")
-    two.claim("k", "c", WINDOW_MS + 1)
-    _append(log, two, WINDOW_MS + 1)
-    assert _read(log, two, WINDOW_MS + 1, first=1) == (Granted("c"),)
+    log, table_1, table_2 = [], _new_table("vm-1"), _new_table("vm-2")
+    table_1.claim("k", "a", 0)
+    _append(log, table_1, 0)
+    table_2.claim("k", "b", 1)
+    _append(log, table_2, 1)
+    assert _read(log, table_2, 1, first=1) == (Undecidable("b"),)
+    table_2.release("k", "b")
+    table_2.claim("k", "c", WINDOW_MS + 1)
+    _append(log, table_2, WINDOW_MS + 1)
+    assert _read(log, table_2, WINDOW_MS + 1, first=1) == (Granted("c"),)
 
 
 @then("records that are no claims change nothing")
 def step_invalid(context):
-    book = _book()
-    book.claim("k", "a", 0)
-    good = book.take_batch(0).to_document()
+    table = _new_table()
+    table.claim("k", "a", 0)
+    good = table.take_batch(0).to_document()
     bad = [{}, {**good, "claims": [["k"]]}, {**good, "vm": 1}, {**good, "released": None}]
-    assert book.fold(0, [*bad, good], 0) == (Granted("a"),)
-    assert book.next_offset == len(bad) + 1
+    assert table.fold(0, [*bad, good], 0) == (Granted("a"),)
+    assert table.next_offset == len(bad) + 1
 
 
 @then("no key runs twice while appends are lost, late and doubled and daemons start over")
@@ -157,53 +157,53 @@
     assert ran > SEEDS, ran
 
 
-def _random_run(source):
-    """Let three daemons work on a few keys; return how many requests ran."""
-    log, delayed, held, ran = [], [], {}, {}
-    books = {f"vm-{index}": _book(f"vm-{index}") for index in range(3)}
+def _random_run(rng):
+    """Let three daemons claim a few keys at random, and return how many requests ran."""
+    log, delayed, pending, ran = [], [], {}, {}
+    tables = {f"vm-{index}": _new_table(f"vm-{index}") for index in range(3)}
     for step in range(STEPS):
-        vm = source.choice(sorted(books))
-        book, claim_id, key = books[vm], f"c{step}", f"k{source.randrange(KEYS)}"
-        match source.randrange(8):
+        vm = rng.choice(sorted(tables))
+        table, claim_id, key = tables[vm], f"c{step}", f"k{rng.randrange(KEYS)}"
+        match rng.randrange(8):
             case 0 | 1:
-                book.claim(key, claim_id, step)
-                held[claim_id] = (vm, key)
-            case 2 | 3 if book.has_batch:
-                batch = book.take_batch(step)
-                if source.random() < 0.6:
+                table.claim(key, claim_id, step)
+                pending[claim_id] = (vm, key)
+            case 2 | 3 if table.has_batch:
+                batch = table.take_batch(step)
+                if rng.random() < 0.6:
                     log.append(batch.to_document())
-                elif source.random() < 0.7:
+                elif rng.random() < 0.7:
                     delayed.append(batch.to_document())
-                if source.random() < 0.4:
-                    book.append_failed(batch)
+                if rng.random() < 0.4:
+                    table.append_failed(batch)
             case 4 | 5:
-                for decision in _read(log, book, step):
-                    _follow(source, book, held, ran, decision)
+                for decision in _read(log, table, step):
+                    _act_on_decision(rng, table, pending, ran, decision)
             case 6 if delayed:
-                log.append(delayed[source.randrange(len(delayed))])
-            case 7 if source.random() < 0.1:
-                books[vm] = _book(vm)
-                held = {name: item for name, item in held.items() if item[0] != vm}
+                log.append(delayed[rng.randrange(len(delayed))])
+            case 7 if rng.random() < 0.1:
+                tables[vm] = _new_table(vm)
+                pending = {name: item for name, item in pending.items() if item[0] != vm}
     assert all(count == 1 for count in ran.values()), ran
     return len(ran)
 
 
-def _follow(source, book, held, ran, decision):
-    vm, key = held.pop(decision.claim_id, (None, None))
+def _act_on_decision(rng, table, pending, ran, decision):
+    vm, key = pending.pop(decision.claim_id, (None, None))
     if vm is None:
         return
-    if isinstance(decision, Granted) and source.random() < 0.4:
+    if isinstance(decision, Granted) and rng.random() < 0.4:
         ran[key] = ran.get(key, 0) + 1
-        book.mark_ran(key, decision.claim_id)
+        table.mark_ran(key, decision.claim_id)
     else:
-        book.release(key, decision.claim_id)
+        table.release(key, decision.claim_id)
 
 
-# The way to the log, over a platform in this process.
+# The claim log, over a platform in this process.
 
 
 class _FailingPlatform(MemoryPlatform):
-    """Loses the first append without a trace, refuses the second, and counts all."""
+    """Drops the first append and does not answer it, rejects the second, and counts all appends."""
 
     appends = 0
 
@@ -219,8 +219,8 @@
 @given("a way to a log that loses one append and refuses the next")
 def step_claim_log(context):
     context.platform = _FailingPlatform()
-    book = ClaimTable("vm-0", WINDOW_MS)
-    context.claims = ClaimLog(context.platform, book, _now_ms, WAIT_MS, appends_per_s=10)
+    table = ClaimTable("vm-0", WINDOW_MS)
+    context.claims = ClaimLog(context.platform, table, _now_ms, WAIT_MS, appends_per_s=10)
 
 
 @then("{count:d} claims at once are all granted, with {appends:d} appends at most")
@@ -257,11 +257,11 @@
     code, output, errors = await context.fleet.tool("publish", str(path))
     assert code == 0, output + errors
 
-    async def followed():
+    async def all_configured():
         statuses = [await context.fleet.status(vm) for vm in context.fleet.daemons]
         return all("brathwaite" in status["brands"] for status in statuses)
 
-    await eventually(followed)
+    await eventually(all_configured)
 
 
 async def _set_faults(context, **faults):
@@ -278,7 +278,7 @@
     return await call(address, request(method, path, *headers, body=b"pay"))
 
 
-def _told(reply):
+def _rejection_of(reply):
     kind = (reply.header(b"cloverhook-error") or [b""])[0].decode()
     return reply.status, reply.header(b"cloverhook-outcome")[0].decode(), kind
 
@@ -300,10 +300,10 @@
 
 @then("a repeat at another daemon is told that the first ran")
 def step_other(context):
-    async def told():
-        return _told(await _pay(context, "vm-1", "same")) == (409, "ran", "repeated")
+    async def rejected():
+        return _rejection_of(await _pay(context, "vm-1", "same")) == (409, "ran", "repeated")
 
-    run(context, eventually(told))
+    run(context, eventually(rejected))
     assert len(context.backend.ran("/pay")) == 1
 
 
@@ -324,9 +324,9 @@
 
 @then("a request that was refused before it ran may be repeated anywhere")
 def step_released(context):
-    context.backend.answers["/pay"] = REFUSAL
-    refused = run(context, _pay(context, "vm-0", "refused"))
-    assert refused.header(b"cloverhook-outcome") == [b"not-run"], refused
+    context.backend.answers["/pay"] = REJECTION
+    rejected = run(context, _pay(context, "vm-0", "refused"))
+    assert rejected.header(b"cloverhook-outcome") == [b"not-run"], rejected
     context.backend.answers["/pay"] = OK
 
     async def runs():
@@ -351,7 +351,7 @@
 @then("its repeat at another daemon is answered as unknown and does not run")
 def step_unknown(context):
     reply = run(context, _pay(context, "vm-1", "lost"))
-    assert _told(reply) == (409, "unknown", "repeat-unsettled"), reply
+    assert _rejection_of(reply) == (409, "unknown", "repeat-unsettled"), reply
     assert len(context.backend.ran("/pay")) == 1
 
 
@@ -363,7 +363,7 @@
     repeat = run(context, _pay(context, "vm-0", "elsewhere"))
     assert repeat.header(b"cloverhook-outcome") != [b"not-run"], repeat
     reply = run(context, _pay(context, "vm-0", "down"))
-    assert _told(reply) == (503, "unknown", "log-unavailable"), reply
+    assert _rejection_of(reply) == (503, "unknown", "log-unavailable"), reply
     assert reply.header(b"retry-after"), reply
     assert run(context, _pay(context, "vm-0", "")).status == 200
     assert run(context, _pay(context, "vm-0", "down", method="PUT")).status == 200
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps for checking documents and folding records, without any process."""
+"""Steps that check documents and fold records, without starting a process."""
 
 import json
 import tomllib
@@ -20,8 +20,8 @@
     return {"brand": brand, "services": [{"name": "orders", "hosts": [host]}]}
 
 
-def faults_told(build, text):
-    """Return the faults that building from a TOML text tells."""
+def reported_faults(build, text):
+    """Return the faults that `build` reports for a TOML text."""
     try:
         build(tomllib.loads(text))
     except ConfigError as error:
@@ -30,7 +30,7 @@
 
 
 def append(context, operator, brand, base_version, action, change_id=None):
-    """Fold a change at the end of the scenario's log and keep the result."""
+    """Fold a change at the end of the scenario's log, and keep the result in the context."""
     change_id = change_id or f"{operator}-{context.state.next_offset}"
     record = encode_record(Change(change_id, brand, base_version, operator, action))
     data = json.loads(json.dumps(record))
@@ -41,21 +41,21 @@
 
 @when("this document is checked")
 def step_check(context):
-    context.faults = faults_told(Brand.from_document, context.text)
+    context.faults = reported_faults(Brand.from_document, context.text)
 
 
 @when("these settings are checked")
 def step_check_settings(context):
-    context.faults = faults_told(DaemonSettings.from_document, context.text)
+    context.faults = reported_faults(DaemonSettings.from_document, context.text)
 
 
 @then("these faults are told")
 def step_faults(context):
-    told = {fault.key: fault for fault in context.faults}
-    assert len(told) == len(context.faults), context.faults
-    assert set(told) == {row["key"] for row in context.table}, set(told)
+    by_key = {fault.key: fault for fault in context.faults}
+    assert len(by_key) == len(context.faults), context.faults
+    assert set(by_key) == {row["key"] for row in context.table}, set(by_key)
     for row in context.table:
-        fault = told[row["key"]]
+        fault = by_key[row["key"]]
         assert fault.found == row["found"], fault
         assert row["allowed"] in fault.allowed, fault
 
@@ -102,13 +102,13 @@
 
     @example_settings(max_examples=count, derandomize=True, database=None, deadline=None)
     @given_example(RECORDS)
-    def judge(data):
+    def check_record(data):
         _, result = fold_data(before, before.next_offset, data)
         assert result.state.next_offset == before.next_offset + 1
         assert result.state.same_brands(before) or result.verdict is Verdict.ACCEPTED
         assert result.state.brands["saltbush"] == before.brands["saltbush"]
 
-    judge()
+    check_record()
 
 
 @given('brand "{brand}" at version 2 with host "{host}" and brand "{other}" with "{other_host}"')
--- a/features/steps/control_cost_steps.py
+++ b/features/steps/control_cost_steps.py
@@ -1,4 +1,4 @@
-"""Steps that count the work of control: wake-ups asked for, and events that routers take."""
+"""Steps that count the control work: requested wake-ups, and events that routers handle."""
 
 import asyncio
 import random
@@ -44,37 +44,37 @@
 WAIT_LIMIT_MS = 75
 POLICY = {"measuring_ms_per_s": 0, "wait_limit_ms": WAIT_LIMIT_MS}
 DEADLINE_MS = 1e12
-LOOK_AFTER_S = 0.5
+LISTENER_IDLE_S = 0.5
 TIMEOUT_S = 20
-PROBED_FOR_MS = 120_000
+PROBING_MS = 120_000
 SETTLE_MS = 10_000
-AT_REST_MS = 10_000
+IDLE_MS = 10_000
 HEARTBEAT_MS = 250
 
 
-class _Outlet:
+class _UnusedTransport:
     def send_message(self, vm, message):
-        raise AssertionError(f"{vm} was told {message}")
+        raise AssertionError(f"{vm} was sent the message {message}")
 
     def probe(self, target, address):
         raise AssertionError(f"{address} of {target.key} was probed")
 
 
 class _CountingRouter(ServiceRouter):
-    """A router that notes its service for each event it takes."""
+    """A router that records its service for each event that it handles."""
 
-    taken: ClassVar = []
+    handled: ClassVar = []
 
     def __init__(self, source, service, peer_bytes, turns):
         super().__init__(source, service, peer_bytes, turns)
         self.service = service
 
     def handle(self, event, now_ms):
-        self.taken.append(self.service)
+        self.handled.append(self.service)
         return super().handle(event, now_ms)
 
 
-def _without_measuring(document):
+def _without_probe_budget(document):
     for service in document["services"]:
         service["policy"] = dict(POLICY)
     return document
@@ -85,7 +85,7 @@
     result = fold(context.state, context.state.next_offset, change)
     assert result.verdict.value == "accepted", result.reason
     context.state = result.state
-    _CountingRouter.taken.clear()
+    _CountingRouter.handled.clear()
     before = {target.key: target for target in context.dispatcher.targets()}
     context.dispatcher.configure(context.state, 2.0)
     for target in context.dispatcher.targets():
@@ -98,9 +98,9 @@
     context.stack.enter_context(mock.patch.object(dispatch, "ServiceRouter", _CountingRouter))
     context.state = State()
     for change in publishes(count, ["10.0.0.1:80"], ["papine"]):
-        _without_measuring(change.action.document)
+        _without_probe_budget(change.action.document)
         context.state = fold(context.state, context.state.next_offset, change).state
-    context.dispatcher = Dispatcher(random.Random(1), _Outlet())
+    context.dispatcher = Dispatcher(random.Random(1), _UnusedTransport())
     context.dispatcher.configure(context.state, 0.0)
 
 
@@ -132,18 +132,18 @@
     assert all(task.done() for task in started)
     context.waiting = _arrive(context, context.target, "waits", 1.0)
     run(context, asyncio.sleep(0))
-    _CountingRouter.taken.clear()
+    _CountingRouter.handled.clear()
 
 
 @then("only that router asks to be woken")
 def step_only_one(context):
     context.dispatcher.wake(context.dispatcher.next_wake_ms())
-    assert set(_CountingRouter.taken) == {context.target.key}, _CountingRouter.taken
+    assert set(_CountingRouter.handled) == {context.target.key}, _CountingRouter.handled
     context.waiting.cancel()
     run(context, asyncio.wait([context.waiting]))
 
 
-def _refusal(context, task):
+def _assert_overloaded(context, task):
     run(context, asyncio.wait([task], timeout=TIMEOUT_S))
     error = task.exception()
     assert isinstance(error, RequestError) and error.kind is ErrorKind.OVERLOADED, error
@@ -158,7 +158,7 @@
         context.dispatcher.wake(now_ms)
         run(context, asyncio.sleep(0))
     assert now_ms == 1.0 + limit_ms
-    _refusal(context, context.waiting)
+    _assert_overloaded(context, context.waiting)
 
 
 @then("another one is refused by the event loop's own timer")
@@ -166,7 +166,7 @@
     while (now_ms := context.dispatcher.next_wake_ms()) is not None:
         context.dispatcher.wake(now_ms)
 
-    async def refuse():
+    async def reject_by_timer():
         context.dispatcher.start_timer(monotonic_ms)
         started_ms = monotonic_ms()
         task = _arrive(context, context.target, "waits-too", started_ms)
@@ -175,10 +175,10 @@
         assert monotonic_ms() >= started_ms + WAIT_LIMIT_MS
         return task
 
-    _refusal(context, run(context, refuse()))
+    _assert_overloaded(context, run(context, reject_by_timer()))
 
 
-def _owner(measuring_ms_per_s, turns=None):
+def _owning_router(measuring_ms_per_s, turns=None):
     router = ServiceRouter(random.Random(1), turns=turns)
     policy = Policy(measuring_ms_per_s=measuring_ms_per_s)
     router.handle(EndpointsChanged((Endpoint("10.0.0.1:80", "papine"),), policy), 0.0)
@@ -188,7 +188,7 @@
 
 @given("a router that owns one endpoint")
 def step_owner(context):
-    context.router = _owner(60)
+    context.router = _owning_router(60)
 
 
 @then("it probes once its budget allows, and wakes up next when the answer has grown stale")
@@ -199,10 +199,10 @@
     assert context.router.handle(Tick(), wake_ms) == (Probe("10.0.0.1:80"),)
     assert context.router.next_wake_ms(wake_ms) is None
     context.router.handle(ProbeEnded("10.0.0.1:80", 0, 5.0), wake_ms + 5.0)
-    looked_ms = context.router.next_wake_ms(wake_ms + 5.0)
-    assert context.router.handle(Tick(), looked_ms) == ()
+    checked_ms = context.router.next_wake_ms(wake_ms + 5.0)
+    assert context.router.handle(Tick(), checked_ms) == ()
     stale_ms = wake_ms + 5.0 + EVIDENCE_LIFETIME_MS
-    wake_ms = context.router.next_wake_ms(looked_ms)
+    wake_ms = context.router.next_wake_ms(checked_ms)
     assert wake_ms == stale_ms, (wake_ms, stale_ms)
     assert context.router.handle(Tick(), wake_ms) == (Probe("10.0.0.1:80"),)
 
@@ -213,8 +213,8 @@
     context.router.handle(ProbeEnded(address, 0, 5.0), now_ms)
     context.router.handle(Tick(), context.router.next_wake_ms(now_ms))
     context.router.handle(Arrival("r1", Priority.NORMAL, DEADLINE_MS, True), now_ms + 1_000)
-    refused = AttemptEnded("r1", address, AttemptResult.REFUSED, 1.0)
-    context.router.handle(refused, now_ms + 1_001)
+    rejected = AttemptEnded("r1", address, AttemptResult.REFUSED, 1.0)
+    context.router.handle(rejected, now_ms + 1_001)
     wake_ms = context.router.next_wake_ms(now_ms + 1_001)
     assert wake_ms <= now_ms + 1_001 + CHECK_EVERY_MS, wake_ms
     assert Probe(address, health=True) in context.router.handle(Tick(), wake_ms)
@@ -222,7 +222,7 @@
 
 @then("a router without the budget for a probe never wakes up for one")
 def step_no_budget(context):
-    router = _owner(0)
+    router = _owning_router(0)
     assert router.handle(Tick(), router.next_wake_ms(0.0)) == ()
     assert router.next_wake_ms(2.0) is None
 
@@ -230,7 +230,7 @@
 @given("400 routers that each own one endpoint and share their turns")
 def step_share(context):
     turns = ProbeSpacing()
-    context.routers = [_owner(60, turns) for _ in range(400)]
+    context.routers = [_owning_router(60, turns) for _ in range(400)]
 
 
 @then("they probe no more often than a daemon may, and go through all endpoints")
@@ -238,27 +238,27 @@
     probed, times = [], WakeTimes()
     for index, router in enumerate(context.routers):
         times.request(str(index), router.next_wake_ms(0.0))
-    while (now_ms := times.earliest_ms()) < PROBED_FOR_MS:
+    while (now_ms := times.earliest_ms()) < PROBING_MS:
         for key in times.pop_due(now_ms):
             router = context.routers[int(key)]
             for probe in router.handle(Tick(), now_ms):
                 probed.append(key)
                 router.handle(ProbeEnded(probe.address, 0, 5.0), now_ms)
             times.request(key, router.next_wake_ms(now_ms))
-    assert len(probed) <= PROBES_PER_S * (1 + PROBED_FOR_MS / 1000), len(probed)
+    assert len(probed) <= PROBES_PER_S * (1 + PROBING_MS / 1000), len(probed)
     assert len(set(probed)) == len(context.routers), len(set(probed))
 
 
 @when('"brand-7" changes the policy of "service-3"')
 def step_one_policy(context):
-    document = _without_measuring(brand_document("brand-7", 10, ["10.0.0.1:80"], ["papine"]))
+    document = _without_probe_budget(brand_document("brand-7", 10, ["10.0.0.1:80"], ["papine"]))
     document["services"][3]["policy"]["wait_limit_ms"] = 2 * WAIT_LIMIT_MS
     _change(context, Publish(document), 1)
 
 
 @then('only the router of "{key}" has taken an event')
 def step_only_router(context, key):
-    assert _CountingRouter.taken == [key], _CountingRouter.taken
+    assert _CountingRouter.handled == [key], _CountingRouter.handled
 
 
 @when('"brand-7" is removed')
@@ -269,7 +269,7 @@
 @then('only the ten routers of "brand-7" have taken an event')
 def step_only_ten(context):
     keys = [f"brand-7/service-{index}" for index in range(10)]
-    assert sorted(_CountingRouter.taken) == keys, _CountingRouter.taken
+    assert sorted(_CountingRouter.handled) == keys, _CountingRouter.handled
 
 
 @then("its host names are unknown and all others are known")
@@ -300,14 +300,14 @@
 @then("in ten seconds each has a tick for every heartbeat and search, and none besides")
 def step_ticks(context):
     before = context.network.ticks
-    context.network.run(AT_REST_MS)
+    context.network.run(IDLE_MS)
     ticks = (context.network.ticks - before) / len(context.network.nodes)
-    heartbeats, searches = AT_REST_MS / HEARTBEAT_MS, AT_REST_MS / SEARCH_INTERVAL_MS
+    heartbeats, searches = IDLE_MS / HEARTBEAT_MS, IDLE_MS / SEARCH_INTERVAL_MS
     assert heartbeats * 0.8 <= ticks <= heartbeats + searches + 1, ticks
 
 
 @given("a daemon with a heartbeat each ten seconds and one neighbour")
-def step_slow_heart(context):
+def step_slow_heartbeat(context):
     own = Member("vm-0", "papine", "vm-0:80", "vm-0:90", 1)
     context.membership = Membership(own, random.Random(1), 0.0, heartbeat_ms=10_000)
     context.membership.handle(LinkOpened(Hello("vm-1", "papine", "vm-1:80", "vm-1:90", 1)), 0.0)
@@ -336,12 +336,12 @@
 
 @given("a listener that has answered a request")
 def step_listener(context):
-    looks = context.stack.enter_context(
+    tick_mock = context.stack.enter_context(
         mock.patch.object(
             uvicorn.Server, "on_tick", autospec=True, side_effect=uvicorn.Server.on_tick
         )
     )
-    context.looks = looks
+    context.tick_mock = tick_mock
 
     async def start():
         context.listener = Listener(_answer, "127.0.0.1:0")
@@ -355,9 +355,9 @@
 
 
 @then("it has looked once at whether to stop after half a second")
-def step_looked_once(context):
-    run(context, asyncio.sleep(LOOK_AFTER_S))
-    assert context.looks.call_count == 1, context.looks.call_count
+def step_ticked_once(context):
+    run(context, asyncio.sleep(LISTENER_IDLE_S))
+    assert context.tick_mock.call_count == 1, context.tick_mock.call_count
 
 
 @then("it stops when it is told to")
--- a/features/steps/cut_proxy_steps.py
+++ b/features/steps/cut_proxy_steps.py
@@ -1,4 +1,4 @@
-"""Steps that try the stand-in for a failing network."""
+"""Steps that test the proxy that simulates a failing network."""
 
 import asyncio
 import contextlib
@@ -43,7 +43,7 @@
     context.stack.push_async_callback(context.proxy.close)
 
 
-async def _ends(connection):
+async def _is_closed(connection):
     reader, _ = connection
     async with asyncio.timeout(WAIT_S):
         try:
@@ -95,13 +95,13 @@
 
 
 @then("the open connection ends")
-def step_open_ends(context):
-    assert run(context, _ends(context.connection))
+def step_open_closes(context):
+    assert run(context, _is_closed(context.connection))
 
 
 @then("a new connection ends")
-def step_new_ends(context):
-    assert run(context, _ends(run(context, _open(context))))
+def step_new_closes(context):
+    assert run(context, _is_closed(run(context, _open(context))))
 
 
 @then("the server gets what is sent but no echo comes back")
--- a/features/steps/datagram_steps.py
+++ b/features/steps/datagram_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the socket between gateways: what comes close together is read together."""
+"""Steps on the socket between gateways: datagrams close together are read in one batch."""
 
 import asyncio
 import contextlib
@@ -15,7 +15,7 @@
 
 
 class CountingPort(DatagramPort):
-    """A port that counts how often it was woken to read."""
+    """A port that counts how often it wakes up to read."""
 
     def __init__(self, on_datagram, together_ms):
         super().__init__(on_datagram, together_ms)
@@ -28,17 +28,17 @@
 
 @given("a port that reads what comes within {time_ms:d} ms together")
 def step_port(context, time_ms):
-    context.got = []
+    context.received = []
     host, _, port = free_address().rpartition(":")
     context.address = host, int(port)
 
-    def take(data, sender):
+    def receive(data, sender):
         if data == b"bad":
-            raise ValueError("a fault of the reader")
-        context.got.append(data)
+            raise ValueError("the reader can't handle this datagram")
+        context.received.append(data)
 
     async def start():
-        context.port = CountingPort(take, lambda: float(time_ms))
+        context.port = CountingPort(receive, lambda: float(time_ms))
         context.port.open(context.address)
         context.stack.callback(context.port.close)
 
@@ -53,25 +53,25 @@
     context.sent = [b"%d" % number for number in range(count)]
 
     async def send():
-        begun_ms = monotonic_ms()
+        started_ms = monotonic_ms()
         for data in context.sent:
             context.sender.sendto(data, context.address)
             await asyncio.sleep(apart_ms / 1000)
-        await until(lambda: len(context.got) == count)
-        context.sending_ms = monotonic_ms() - begun_ms
+        await until(lambda: len(context.received) == count)
+        context.sending_ms = monotonic_ms() - started_ms
 
     run(context, send())
 
 
 @then("all have been read in order, in a wake-up for each {time_ms:d} ms")
 def step_read_together(context, time_ms):
-    assert context.got == context.sent
+    assert context.received == context.sent
     limit = 2 + context.sending_ms / time_ms
     assert context.port.wakes <= limit < len(context.sent), (context.port.wakes, limit)
 
 
 def send_after_a_pause(context, data):
-    """Send a datagram once the port waits for one; return how many wake-ups that took."""
+    """Send a datagram once the port is idle, and keep the number of wake-ups before it."""
 
     async def send():
         await asyncio.sleep(PAUSE_S)
@@ -88,7 +88,7 @@
 
 @then("it is read at once")
 def step_read_at_once(context):
-    run(context, until(lambda: context.got[-1] == b"late"))
+    run(context, until(lambda: context.received[-1] == b"late"))
     assert context.port.wakes == context.wakes + 1
 
 
@@ -101,5 +101,5 @@
 @then("it reads the next one all the same")
 def step_reads_on(context):
     send_after_a_pause(context, b"next")
-    run(context, until(lambda: context.got[-1] == b"next"))
+    run(context, until(lambda: context.received[-1] == b"next"))
     context.loop.set_exception_handler(None)
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -1,4 +1,4 @@
-"""Steps that drive the routers of one service on a clock of their own."""
+"""Steps that drive the routers of one service on a simulated clock."""
 
 from behave import given, then, when
 
@@ -6,7 +6,7 @@
 from cloverhook.routing_events import AttemptResult, CallerDisconnected, EndpointsChanged
 from features.decision_driver import Driver, endpoints, usual_work
 
-SLOW = "10.0.0.0:80"
+SLOW_ADDRESS = "10.0.0.0:80"
 
 
 @given("a router that owns {count:d} endpoints")
@@ -24,11 +24,11 @@
 @given("all slots are taken")
 def step_taken(context):
     driver = context.driver
-    context.holders = []
-    while not context.holders or not driver.waiting(context.holders[-1]):
-        context.holders.append(driver.arrive(Priority.HIGH))
+    context.slot_holders = []
+    while not context.slot_holders or not driver.waiting(context.slot_holders[-1]):
+        context.slot_holders.append(driver.arrive(Priority.HIGH))
 
-    driver.do(CallerDisconnected(context.holders.pop()))
+    driver.do(CallerDisconnected(context.slot_holders.pop()))
 
 
 @when("{count:d} requests arrive at once")
@@ -57,9 +57,11 @@
 def step_order(context, names):
     driver = context.driver
     driver.now_ms += 20
-    for holder in context.holders:
-        driver.end(holder)
-    started = [request_id for request_id in driver.attempts if request_id not in context.holders]
+    for slot_holder in context.slot_holders:
+        driver.end(slot_holder)
+    started = [
+        request_id for request_id in driver.attempts if request_id not in context.slot_holders
+    ]
     name_of = dict(context.order)
     assert [name_of[request_id] for request_id in started] == names.split(", ")
     high = [request_id for request_id, name in context.order if name == "HIGH"]
@@ -83,7 +85,7 @@
 
 @then("the times to come back are spread and grow with the overload")
 def step_spread(context):
-    times = [refuse.retry_after_ms for refuse in context.driver.refused.values()]
+    times = [rejection.retry_after_ms for rejection in context.driver.refused.values()]
     assert len(set(times)) == len(times)
     early, late = times[:20], times[-20:]
     assert sum(late) > 2 * sum(early)
@@ -91,31 +93,31 @@
 
 
 @when("20 requests wait and one arrives with 50 ms left")
-def step_tight(context):
+def step_short_timeout(context):
     for _ in range(20):
         context.driver.arrive()
-    context.tight = context.driver.arrive(timeout_ms=50.0)
+    context.short_timeout_id = context.driver.arrive(timeout_ms=50.0)
 
 
 @then("it is refused at once as overloaded")
-def step_refused_tight(context):
-    refuse = context.driver.refused[context.tight]
-    assert refuse.kind.value == "overloaded"
-    assert refuse.retry_after_ms > 0
+def step_rejected_short_timeout(context):
+    rejection = context.driver.refused[context.short_timeout_id]
+    assert rejection.kind.value == "overloaded"
+    assert rejection.retry_after_ms > 0
 
 
 @when("one endpoint becomes {factor:d} times slower for {ms:d} ms")
 def step_slow(context, factor, ms):
     work = usual_work()
-    context.before = context.driver.starts[SLOW]
-    slow = {SLOW: float(factor)}
+    context.before = context.driver.starts[SLOW_ADDRESS]
+    slow = {SLOW_ADDRESS: float(factor)}
     context.driver.run(ms, context.every_ms, lambda a: work(a) * slow.get(a, 1.0))
 
 
 @then("it gets at most {most:d} requests of {ms:d} ms")
 def step_at_most(context, most, ms):
-    got = context.driver.starts[SLOW] - context.before
-    assert got <= most, got
+    started = context.driver.starts[SLOW_ADDRESS] - context.before
+    assert started <= most, started
 
 
 @then("{ms:d} ms after its recovery it gets its share again")
@@ -124,19 +126,19 @@
     driver.run(ms, context.every_ms, usual_work())
     before = driver.starts.copy()
     driver.run(500, context.every_ms, usual_work())
-    got = driver.starts - before
-    assert got[SLOW] > 0.5 * sum(got.values()) / 5, got
+    started = driver.starts - before
+    assert started[SLOW_ADDRESS] > 0.5 * sum(started.values()) / 5, started
 
 
 @when("one endpoint answers errors after 1 ms for {ms:d} ms")
 def step_failing(context, ms):
     work = usual_work()
-    context.before = context.driver.starts[SLOW]
+    context.before = context.driver.starts[SLOW_ADDRESS]
     context.driver.run(
         ms,
         context.every_ms,
-        lambda address: 1.0 if address == SLOW else work(address),
-        lambda a: AttemptResult.FAILED if a == SLOW else AttemptResult.ANSWERED,
+        lambda address: 1.0 if address == SLOW_ADDRESS else work(address),
+        lambda a: AttemptResult.FAILED if a == SLOW_ADDRESS else AttemptResult.ANSWERED,
     )
 
 
@@ -171,7 +173,7 @@
     calls = driver.arrived - context.arrived_before
     attempts = sum(driver.starts.values()) - context.attempts_before
     assert attempts / calls < 1.1, attempts / calls
-    assert all(refuse.retry_after_ms > 0 for refuse in driver.refused.values())
+    assert all(rejection.retry_after_ms > 0 for rejection in driver.refused.values())
 
 
 @then("99 of 100 refusals came within {ms:d} ms")
@@ -246,7 +248,7 @@
 
 
 def call_chain(chain, layer, attempt):
-    """Call a layer; a layer whose lower one has given up passes that on as its own failure."""
+    """Call one layer of the chain. A layer reports the failure of the layer below as its own."""
     driver = chain[layer]
     request_id = driver.arrive(attempt=attempt)
     while request_id in driver.open:
@@ -276,7 +278,7 @@
 def step_added(context, count):
     driver = context.driver
     driver.run(60, 1e9, usual_work())
-    context.new = "10.0.0.2:80"
+    context.added_address = "10.0.0.2:80"
     driver.do(EndpointsChanged(endpoints(3), Policy()))
     for _ in range(count):
         driver.arrive()
@@ -287,7 +289,7 @@
     driver = context.driver
 
     def in_flight():
-        return sum(address == context.new for address, _ in driver.open.values())
+        return sum(address == context.added_address for address, _ in driver.open.values())
 
     assert in_flight() == first
     most = 0
@@ -298,11 +300,11 @@
 
 
 @when("the first endpoint is marked as leaving and its requests end")
-def step_leaving(context):
+def step_draining(context):
     driver = context.driver
     first, second = endpoints(2)
-    leaving = Endpoint(first.address, first.data_center, first.slots, leaving=True)
-    driver.do(EndpointsChanged((leaving, second), Policy()))
+    draining = Endpoint(first.address, first.data_center, first.slots, leaving=True)
+    driver.do(EndpointsChanged((draining, second), Policy()))
     context.before = driver.starts[first.address]
     for _ in range(20):
         driver.arrive()
@@ -311,7 +313,7 @@
 
 @then("no request starts there any more")
 def step_none_there(context):
-    assert context.driver.starts[SLOW] == context.before
+    assert context.driver.starts[SLOW_ADDRESS] == context.before
 
 
 @when("{count:d} requests wait and the policy changes")
