--- a/features/steps/demo_steps.py
+++ b/features/steps/demo_steps.py
@@ -49,7 +49,7 @@
         )
         context.stack.callback(_kill, context.demo)
         while words not in (line := (await context.demo.stdout.readline()).decode()):
-            assert line, "the demo has ended"
+            assert line, "the demo ended before it printed the expected words"
 
     _run(context, start())
 
@@ -71,12 +71,14 @@
 
 @then("no process of it is left")
 def step_none_left(context):
-    left = [path.name for path in Path("/proc").glob("[0-9]*") if _is_left(path, context.demo.pid)]
-    assert not left, left
+    remaining = [
+        path.name for path in Path("/proc").glob("[0-9]*") if _is_in_session(path, context.demo.pid)
+    ]
+    assert not remaining, remaining
 
 
-def _is_left(path, session):
-    """Return whether a process is of a session and not a zombie."""
+def _is_in_session(path, session):
+    """Return whether a process belongs to a session and is not a zombie."""
     try:
         state, _, _, own_session = (path / "stat").read_text().rpartition(")")[2].split()[:4]
     except OSError:
--- a/features/steps/dispatch_steps.py
+++ b/features/steps/dispatch_steps.py
@@ -33,25 +33,25 @@
 
 
 class NoOutlet:
-    """An outlet that loses every message and probe."""
+    """A transport that drops every message and probe."""
 
     def send_message(self, vm, message):
-        """Lose a message."""
+        """Drop a message."""
 
     def probe(self, target, address, health):
-        """Lose a probe."""
+        """Drop a probe."""
 
 
 def admit(context, request_id, priority=Priority.NORMAL):
-    """Return a task that waits for a request's start."""
+    """Return a task that waits until a request may start and returns the address for it."""
     now_ms = monotonic_ms()
     arrival = Arrival(request_id, priority, now_ms + 60_000, idempotent=False)
     work = context.dispatcher.admit(context.target, arrival, now_ms)
     return asyncio.ensure_future(work, loop=context.loop)
 
 
-async def leave(task):
-    """Cancel a task, as the listener does when the caller leaves."""
+async def cancel_and_wait(task):
+    """Cancel a task, as the listener does when the caller disconnects."""
     task.cancel()
     with contextlib.suppress(asyncio.CancelledError):
         await task
@@ -67,40 +67,40 @@
 
 @when("a caller leaves between the start of its request and its next step")
 def step_leave_started(context):
-    async def started_then_left():
+    async def start_then_leave():
         assert await admit(context, "first") == ADDRESS
         task = admit(context, "left")
         await asyncio.sleep(0)
         ended = AttemptEnded("first", ADDRESS, AttemptResult.ANSWERED, 5.0)
         context.dispatcher.record_attempt_end(context.target, ended, monotonic_ms())
-        await leave(task)
+        await cancel_and_wait(task)
 
-    run(context, started_then_left())
+    run(context, start_then_leave())
 
 
 @when("the slot is in use and a caller leaves while its request waits")
 def step_leave_waiting(context):
-    async def waiting_then_left():
+    async def wait_then_leave():
         assert await admit(context, "first") == ADDRESS
-        gone = admit(context, "gone")
+        left = admit(context, "gone")
         context.behind = admit(context, "behind")
         await asyncio.sleep(0)
-        await leave(gone)
+        await cancel_and_wait(left)
         ended = AttemptEnded("first", ADDRESS, AttemptResult.ANSWERED, 5.0)
         context.dispatcher.record_attempt_end(context.target, ended, monotonic_ms())
 
-    run(context, waiting_then_left())
+    run(context, wait_then_leave())
 
 
 @then("the next request gets the slot at once")
 def step_next(context):
-    async def next_one():
+    async def admit_next():
         task = admit(context, "next")
         for _ in range(3):
             await asyncio.sleep(0)
         return task.done() and task.result()
 
-    assert run(context, next_one()) == ADDRESS
+    assert run(context, admit_next()) == ADDRESS
 
 
 @then("the slot goes to the request behind it")
@@ -118,37 +118,37 @@
 
 
 @then("a request of low priority is refused with a time to come back")
-def step_refused_low(context):
-    async def refused():
+def step_rejected_low(context):
+    async def rejection_of_low():
         try:
             await admit(context, "low", Priority.LOW)
         except RequestError as error:
             return error
 
-    error = run(context, refused())
+    error = run(context, rejection_of_low())
     assert error.kind is ErrorKind.OVERLOADED, error
     assert error.retry_after_ms > 0
 
 
 @then("a request of high priority is started")
 def step_started_high(context):
-    async def started():
+    async def admit_high():
         return await admit(context, "high", Priority.HIGH)
 
-    assert run(context, started()) == ADDRESS
+    assert run(context, admit_high()) == ADDRESS
 
 
 @given("a watch of the load of this process")
-def step_watch(context):
-    context.limit = LoadShedder()
-    context.told = []
-    context.watch = LoadMonitor(context.limit, context.told.append)
+def step_load_monitor(context):
+    context.load_shedder = LoadShedder()
+    context.reported_tenths = []
+    context.load_monitor = LoadMonitor(context.load_shedder, context.reported_tenths.append)
 
 
 @then("a load that grows to 80 percent is told in few steps, each a second apart")
-def step_told(context):
-    for look in range(200):
-        context.limit.observe(0.0, busy=0.8)
-        context.watch.report_if_changed(1_000.0 + 50.0 * look)
-    assert context.told[-1] == 8, context.told
-    assert len(context.told) <= 3, context.told
+def step_reported(context):
+    for step in range(200):
+        context.load_shedder.observe(0.0, busy=0.8)
+        context.load_monitor.report_if_changed(1_000.0 + 50.0 * step)
+    assert context.reported_tenths[-1] == 8, context.reported_tenths
+    assert len(context.reported_tenths) <= 3, context.reported_tenths
--- a/features/steps/docs_steps.py
+++ b/features/steps/docs_steps.py
@@ -1,4 +1,4 @@
-"""Steps that compare the documents with the programs."""
+"""Steps that check the documents against the programs."""
 
 import re
 import subprocess
@@ -24,7 +24,7 @@
 USERS_BENCH_FLAGS = {"seed", "log"}
 
 
-def _known(title):
+def _documented_names(title):
     """Return the names that the tables of the reference page list under a title."""
     tables = PAGE.read_text().split("\n## ")
     return {name for table in tables if table.startswith(title) for name in ROW.findall(table)}
@@ -32,9 +32,14 @@
 
 def _problems(text, folder):
     targets = set(re.findall(r"^([a-z]+):", (ROOT / "Makefile").read_text(), re.MULTILINE))
-    commands = {name.split()[0] for name in _known("Commands")} | {"help"}
-    flags = {name.removeprefix("--") for name in _known("Flags")} | USERS_BENCH_FLAGS
-    names = _known("Settings") | _known("Policy") | _known("Metrics") | {"deadline_ms"}
+    commands = {name.split()[0] for name in _documented_names("Commands")} | {"help"}
+    flags = {name.removeprefix("--") for name in _documented_names("Flags")} | USERS_BENCH_FLAGS
+    names = (
+        _documented_names("Settings")
+        | _documented_names("Policy")
+        | _documented_names("Metrics")
+        | {"deadline_ms"}
+    )
     problems = [f"command {x}" for x in COMMAND.findall(text) if x not in commands]
     problems += [f"flag {x}" for x in FLAG.findall(text) if x not in flags]
     problems += [f"target {a or b}" for a, b in TARGET.findall(text) if (a or b) not in targets]
@@ -73,27 +78,27 @@
         for page in context.pages
         for problem in _problems(page.read_text(), page.parent)
     ]
-    _none_of(context, "command", "flag", "target")
+    _assert_no_problems(context, "command", "flag", "target")
 
 
 @then("each link and each file that they name exists")
 def step_links(context):
-    _none_of(context, "link", "file")
+    _assert_no_problems(context, "link", "file")
 
 
 @then("each name that looks like a setting, metric or error kind is one")
 def step_names(context):
-    _none_of(context, "metric", "setting")
+    _assert_no_problems(context, "metric", "setting")
 
 
-def _none_of(context, *kinds):
+def _assert_no_problems(context, *kinds):
     found = [item for item in context.problems if item.split(": ")[1].split()[0] in kinds]
     assert not found, found
 
 
 @given("a document with a command, a flag, a target, a link and a metric that do not exist")
 def step_wrong(context):
-    context.wrong = (
+    context.faulty_text = (
         "`cloverhook explode` with `--loudly`, `make noise`, [a page](nowhere.md) and "
         "cloverhook_wishes_total"
     )
@@ -101,5 +106,5 @@
 
 @then("all {count:d} are reported")
 def step_all_reported(context, count):
-    found = _problems(context.wrong, Path(ROOT))
+    found = _problems(context.faulty_text, Path(ROOT))
     assert len(found) == count, found
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -1,4 +1,4 @@
-"""Steps on entries of backend servers: foreign ones, and those of an endpoint's next start."""
+"""Steps on entries of backend servers: invalid ones, and those of an endpoint's next start."""
 
 import asyncio
 import copy
@@ -51,19 +51,19 @@
 )
 
 BORN_MS = 1_760_000_000_000
-COLD_MS = 60_000
+COLD_START_MS = 60_000
 NAME = "i-1"
-SOUND = json.loads(entry())
+VALID = json.loads(entry())
 
 
 def record(key, value):
-    """Return a record of a keyed topic as it lies in the log."""
+    """Return a record of a keyed topic in the format of the log."""
     body = bytes([len(key)]) + key + value
     return struct.pack(">I", len(body)) + body
 
 
-def foreign_record(what):
-    """Return the log's bytes for a record that a scenario describes."""
+def invalid_record(what):
+    """Return the log's bytes for the invalid record that a scenario describes."""
     match what:
         case "an empty record":
             return struct.pack(">I", 0)
@@ -75,7 +75,7 @@
             return record(b"i-bad", b"\xff\xfe\x00")
         case "a list nested 100000 times":
             return record(b"i-bad", b"[" * 100_000)
-    document = dict(SOUND)
+    document = dict(VALID)
     if what.startswith("an entry without "):
         del document[what.split()[-1]]
         return record(b"i-bad", json.dumps(document).encode())
@@ -85,15 +85,15 @@
 
 
 @given("an adapter that has read 3 sound entries and {what}")
-def step_foreign(context, what):
-    sound = [record(f"i-{number}".encode(), entry()) for number in range(3)]
-    records = [*sound[:2], foreign_record(what), sound[2]]
+def step_invalid(context, what):
+    valid = [record(f"i-{number}".encode(), entry()) for number in range(3)]
+    records = [*valid[:2], invalid_record(what), valid[2]]
     body = struct.pack(">QQ", 4, 0) + b"".join(records)
     context.found = store_client._slice(Feed.SERVERS, list(store_client._records(body, 0)), 4)
 
 
 @then("it names 3 backend servers and tells of 1 record that is not sound")
-def step_named_sound(context):
+def step_valid_named(context):
     named = [item.name for item in context.found.servers if item.server is not None]
     assert named == ["i-0", "i-1", "i-2"], named
     assert len(context.found.unreadable) == 1, context.found.unreadable
@@ -116,7 +116,7 @@
 
 
 @then("i-1 is held, the others stay, and i-1 is gone within the time to drain")
-def step_held_then_gone(context):
+def step_grace_period(context):
     registry = context.registry
     assert registry.in_grace_period(registry.get("i-1")) and not registry.in_grace_period(
         registry.get("i-2")
@@ -177,48 +177,50 @@
 )
 
 
-def places(document, path=()):
+def value_paths(document, path=()):
     """Return the path of every value within a document."""
     items = document.items() if isinstance(document, dict) else enumerate(document)
     found = []
     for key, value in items:
         found.append((*path, key))
         if isinstance(value, dict | list):
-            found += places(value, (*path, key))
+            found += value_paths(value, (*path, key))
     return found
 
 
-def altered(data, document):
-    """Return a copy of a sound document with up to three values replaced or dropped."""
+def mutated(data, document):
+    """Return a copy of a valid document with up to three values replaced or removed."""
     changed = copy.deepcopy(document)
     for _ in range(data.draw(strategies.integers(0, 3))):
-        found = places(changed)
+        found = value_paths(changed)
         if not found:
             break
-        *way, last = data.draw(strategies.sampled_from(found))
-        place = changed
-        for key in way:
-            place = place[key]
+        *parents, last = data.draw(strategies.sampled_from(found))
+        container = changed
+        for key in parents:
+            container = container[key]
         if data.draw(strategies.booleans()):
-            place[last] = data.draw(JSON_VALUES)
+            container[last] = data.draw(JSON_VALUES)
         else:
-            del place[last]
+            del container[last]
     return changed
 
 
-def damaged(data, text):
-    """Return bytes as they are, cut short, or with one replaced."""
-    cut = data.draw(strategies.integers(0, 8))
-    if cut == 0:
+def corrupted(data, text):
+    """Return bytes unchanged, truncated, or with one byte replaced."""
+    kind = data.draw(strategies.integers(0, 8))
+    if kind == 0:
         return text[: data.draw(strategies.integers(0, len(text)))]
-    if cut == 1 and text:
-        place = data.draw(strategies.integers(0, len(text) - 1))
-        return text[:place] + bytes([data.draw(strategies.integers(0, 255))]) + text[place + 1 :]
+    if kind == 1 and text:
+        position = data.draw(strategies.integers(0, len(text) - 1))
+        return (
+            text[:position] + bytes([data.draw(strategies.integers(0, 255))]) + text[position + 1 :]
+        )
     return text
 
 
 def fuzz(count, check):
-    """Call `check` with drawn data, the same each time."""
+    """Call `check` with generated data, which is the same in every run."""
     test = given_data(strategies.data())(check)
     settings(
         max_examples=count,
@@ -234,10 +236,10 @@
     "are read or told to be unsound"
 )
 def step_fuzz_store(context, count, others):
-    sound = {**SOUND, "born": BORN_MS}
+    valid = {**VALID, "born": BORN_MS}
 
     def check_entry(data):
-        text = damaged(data, json.dumps(altered(data, sound)).encode())
+        text = corrupted(data, json.dumps(mutated(data, valid)).encode())
         try:
             server = decode_server(data.draw(strategies.text(max_size=4)), text, 0.0)
         except InvalidRecordError:
@@ -246,7 +248,7 @@
         server.name.encode("latin-1")
 
     def check_config(data):
-        text = damaged(data, json.dumps(altered(data, DOCUMENT)).encode())
+        text = corrupted(data, json.dumps(mutated(data, DOCUMENT)).encode())
         try:
             config = decode_config(text)
         except InvalidRecordError:
@@ -255,7 +257,9 @@
         assert GatewayConfig.from_document(found) == config
 
     def check_member(data):
-        text = damaged(data, json.dumps(altered(data, ["z", "10.0.0.1:1", "10.0.0.1:2"])).encode())
+        text = corrupted(
+            data, json.dumps(mutated(data, ["z", "10.0.0.1:1", "10.0.0.1:2"])).encode()
+        )
         try:
             decode_member("vm", text)
         except InvalidRecordError:
@@ -263,14 +267,14 @@
 
     def check_answer(data):
         body = struct.pack(">QQ", 2, 0) + record(b"i-1", entry()) + record(b"i-2", entry())
-        body = damaged(data, damaged(data, body))
+        body = corrupted(data, corrupted(data, body))
         try:
             store_client._slice(Feed.SERVERS, list(store_client._records(body, 0)), 2)
         except struct.error:
             return
 
     def check_quarantine(data):
-        text = damaged(data, json.dumps(altered(data, [[7, 2, 1_700_000_000_000]])).encode())
+        text = corrupted(data, json.dumps(mutated(data, [[7, 2, 1_700_000_000_000]])).encode())
         try:
             found = decode_quarantine(text)
         except InvalidRecordError:
@@ -308,11 +312,11 @@
     def check_message(data):
         rows = cbor2.loads(encode(data.draw(strategies.sampled_from(messages))))
         try:
-            altered_data = damaged(data, cbor2.dumps(altered(data, rows)))
+            mutated_data = corrupted(data, cbor2.dumps(mutated(data, rows)))
         except UnicodeEncodeError:
             return
         try:
-            message = decode(altered_data)
+            message = decode(mutated_data)
         except MessageError:
             return
         knowledge = GatewayState()
@@ -320,9 +324,9 @@
             case ServerChanges():
                 knowledge.registry.adopt(message.document, 0.0)
             case LoadReports():
-                for incarnation, figure, age_ms in message.reports:
+                for incarnation, load_report, age_ms in message.reports:
                     knowledge.load_table.get_or_create(incarnation).update_from_probe(
-                        figure, -age_ms
+                        load_report, -age_ms
                     )
             case CrashRecords():
                 for row in message.rows:
@@ -335,7 +339,7 @@
 
     def check_state(data):
         try:
-            GatewayConfig.from_document(altered(data, config))
+            GatewayConfig.from_document(mutated(data, config))
         except MessageError:
             return
 
@@ -344,24 +348,24 @@
 
 
 class FaultyStore:
-    """A store client whose calls end by a fault of its own until it is mended."""
+    """A store client whose reads of the newest records fail by an internal fault while `broken`."""
 
     def __init__(self, store):
         self._store = store
         self.broken = True
 
     async def changes(self, feed, from_offset, wait_ms):
-        """Return the records from an offset, or fail."""
+        """Return the records from an offset."""
         return await self._store.changes(feed, from_offset, wait_ms)
 
     async def newest(self, feed):
-        """Return the newest records, or fail."""
+        """Return the newest records, or fail while `broken`."""
         if self.broken:
             raise IndexError("a fault of the client")
         return await self._store.newest(feed)
 
     def __getattr__(self, name):
-        """Leave the rest to the store behind."""
+        """Forward all other calls to the wrapped store."""
         return getattr(self._store, name)
 
 
@@ -397,23 +401,25 @@
     assert EventKind.FAULT.value.encode() in b"".join(context.lines)
 
 
-def life(born_ms, sequence, **fields):
-    """Return what an endpoint says of itself in one of its lives."""
+def backend_server(born_ms, sequence, **fields):
+    """Return what an endpoint reports about one of its incarnations."""
     return BackendServer(
         NAME, "orders", "10.0.0.1:1", "z", 2, born_ms=born_ms, sequence=sequence, **fields
     )
 
 
-def tell(knowledge, offset, server, now_ms=1_000.0):
-    """Tell a gateway what the store says under the endpoint's name."""
+def apply_record(knowledge, offset, server, now_ms=1_000.0):
+    """Apply to a gateway's state the store's record under the endpoint's name."""
     return knowledge.apply_server_record(ServerRecord(NAME, offset, server), now_ms)
 
 
 @given("a gateway's knowledge of an endpoint that is loaded, slow, failing and warm")
-def step_known(context):
+def step_endpoint_state(context):
     context.knowledge = knowledge = GatewayState()
-    context.first, context.second = life(BORN_MS, 7), life(BORN_MS + 9, 1, warm_at_ms=4_000.0)
-    tell(knowledge, 3, context.first)
+    context.first, context.second = backend_server(BORN_MS, 7), backend_server(
+        BORN_MS + 9, 1, warm_at_ms=4_000.0
+    )
+    apply_record(knowledge, 3, context.first)
     load = knowledge.load_table.get_or_create(context.first.incarnation)
     load.update(LoadReport(2, 1, 4.0), 900.0)
     load.in_flight = 2
@@ -423,16 +429,16 @@
 
 
 @when("the endpoint starts again under its name")
-def step_reborn(context):
-    assert tell(context.knowledge, 4, context.second)
+def step_restarted(context):
+    assert apply_record(context.knowledge, 4, context.second)
 
 
 @when("the endpoint drains, leaves, and starts again under its name")
-def step_left_and_reborn(context):
-    tell(context.knowledge, 4, life(BORN_MS, 8, draining=True))
-    tell(context.knowledge, 5, None)
+def step_left_and_restarted(context):
+    apply_record(context.knowledge, 4, backend_server(BORN_MS, 8, draining=True))
+    apply_record(context.knowledge, 5, None)
     assert not context.knowledge.registry.of_service("orders")
-    assert tell(context.knowledge, 6, context.second)
+    assert apply_record(context.knowledge, 6, context.second)
 
 
 @then("the new incarnation is cold and nothing of before counts for it")
@@ -449,21 +455,21 @@
 
 @then("what was told of the earlier one changes nothing")
 def step_no_change(context):
-    board = context.knowledge.load_table
-    board.get_or_create(context.first.incarnation).update_from_probe(LoadReport(2, 4, 9.0), 1_100.0)
-    board.get_or_create(context.first.incarnation).set_peer_in_flight("vm-2", 3, 1_100.0)
-    assert board.get_or_create(context.second.incarnation).load(1_100.0) == 0
-    board.get_or_create(context.first.incarnation).in_flight = 0
-    board.remove_unknown(context.knowledge.registry.get)
-    assert context.second.incarnation not in board.in_flight()
+    table = context.knowledge.load_table
+    table.get_or_create(context.first.incarnation).update_from_probe(LoadReport(2, 4, 9.0), 1_100.0)
+    table.get_or_create(context.first.incarnation).set_peer_in_flight("vm-2", 3, 1_100.0)
+    assert table.get_or_create(context.second.incarnation).load(1_100.0) == 0
+    table.get_or_create(context.first.incarnation).in_flight = 0
+    table.remove_unknown(context.knowledge.registry.get)
+    assert context.second.incarnation not in table.in_flight()
 
 
 @when("the store tells a report of the earlier start, and one of the same start that was overtaken")
 def step_late(context):
-    newer = life(BORN_MS + 9, 5, draining=True)
-    tell(context.knowledge, 5, newer)
-    assert not tell(context.knowledge, 6, life(BORN_MS, 8))
-    assert not tell(context.knowledge, 7, life(BORN_MS + 9, 4))
+    newer = backend_server(BORN_MS + 9, 5, draining=True)
+    apply_record(context.knowledge, 5, newer)
+    assert not apply_record(context.knowledge, 6, backend_server(BORN_MS, 8))
+    assert not apply_record(context.knowledge, 7, backend_server(BORN_MS + 9, 4))
 
 
 @then("the newer one stays as it is")
@@ -474,10 +480,10 @@
 
 @then("a peer that was told the same in another order has the same")
 def step_peer(context):
-    known = context.knowledge.registry.to_document(1_000.0)
+    document = context.knowledge.registry.to_document(1_000.0)
     peer = GatewayState()
-    tell(peer, 8, life(BORN_MS, 8))
-    peer.registry.adopt({**known, "version": 9}, 1_000.0)
+    apply_record(peer, 8, backend_server(BORN_MS, 8))
+    peer.registry.adopt({**document, "version": 9}, 1_000.0)
     (server,) = peer.registry.of_service("orders")
     assert server.born_ms == BORN_MS + 9 and server.draining, server
 
@@ -501,15 +507,15 @@
 def step_crash(context):
     async def crash():
         context.backend.script = ["silent"]
-        running = asyncio.ensure_future(fleet.call(context.address, fleet.UNSAFE, "POST"))
+        request = asyncio.ensure_future(fleet.call(context.address, fleet.UNSAFE, "POST"))
         await fleet.until(lambda: len(context.backend.seen) == 2)
         context.store.failure = PlatformError("away")
         await context.backend.crash()
-        context.lost = await running
-        context.reborn = await fleet.Backend(context.backend.incarnation).start(context)
+        context.lost_reply = await request
+        context.restarted = await fleet.Backend(context.backend.incarnation).start(context)
         context.store.put_server(
-            context.reborn.entry(
-                born_ms=BORN_MS + 5, sequence=1, warm_at_ms=monotonic_ms() + COLD_MS
+            context.restarted.entry(
+                born_ms=BORN_MS + 5, sequence=1, warm_at_ms=monotonic_ms() + COLD_START_MS
             )
         )
         await asyncio.sleep(0.2)
@@ -529,7 +535,7 @@
         load = gateway._knowledge.load_table.get_or_create(server.incarnation)
         assert load.in_flight == 0 and load.failure_share(monotonic_ms()) == 0.0
         answer = await fleet.call(context.address)
-        assert answer.status == 200 and len(context.reborn.ran) == 1
+        assert answer.status == 200 and len(context.restarted.ran) == 1
 
-    assert context.lost.status == 502, context.lost
+    assert context.lost_reply.status == 502, context.lost_reply
     run(context, serve())
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -1,4 +1,4 @@
-"""Steps that ask the logs of gateways why a request ended so."""
+"""Steps that ask the logs of gateways why a request failed."""
 
 import random
 import subprocess
@@ -43,12 +43,12 @@
         address, fleet.UNSAFE, "POST", REQUEST_ID, timeout_ms=300, host=host, body=b"pay"
     )
     context.answer = run(context, work)
-    context.asked = [backend for backend in context.backends if backend.seen]
+    context.asked_servers = [backend for backend in context.backends if backend.seen]
     context.gateways[0][0]._log.flush()
 
 
-def story(context, request_id=REQUEST_ID):
-    """Return the story, from lines in another order and with a collector's words before them."""
+def explanation(context, request_id=REQUEST_ID):
+    """Return the explanation, from shuffled log lines that have a log collector's prefix."""
     lines = [f"2026-01-01 vm-x {line}" for line in context.log.decode().splitlines()]
     random.Random(3).shuffle(lines)
     return explain_request(
@@ -58,31 +58,33 @@
 
 @then("its story names the cause {cause}")
 def step_cause(context, cause):
-    found = story(context)
+    found = explanation(context)
     assert found.cause.startswith(f"{cause} ({context.answer.status})"), found.to_text()
     assert REQUEST_ID in found.to_text()
 
 
 @then("it names each backend server that was asked, its load, the age of that and the outcome")
 def step_attempts(context):
-    attempts = [line for line in story(context).lines if line.kind == "attempt"]
-    assert {line.fields["address"] for line in attempts} == {x.address for x in context.asked}
+    attempts = [line for line in explanation(context).lines if line.kind == "attempt"]
+    assert {line.fields["address"] for line in attempts} == {
+        x.address for x in context.asked_servers
+    }
     for line in attempts:
         assert {"load", "pace", "figure_age_ms", "outcome", "latency_ms"} <= line.fields.keys()
 
 
 @then("it says what the gateway had learned before")
-def step_beliefs(context):
-    kinds = {line.kind for line in story(context).state_changes}
+def step_state_changes(context):
+    kinds = {line.kind for line in explanation(context).state_changes}
     assert {"started", "config", "server"} <= kinds, kinds
 
 
 @then("the story of an unknown identifier says that nothing names it")
 def step_unknown(context):
-    assert "no line names it" in story(context, "r-unknown").to_text()
+    assert "no line names it" in explanation(context, "r-unknown").to_text()
 
 
-def tool(*arguments):
+def run_tool(*arguments):
     """Run the operators' tool."""
     command = [sys.executable, "-m", "cloverhook.cli", *arguments]
     return subprocess.run(command, capture_output=True, text=True, check=False)
@@ -95,12 +97,12 @@
     (folder / "deep").mkdir()
     (folder / "a.log").write_text("".join(lines[::2]))
     (folder / "deep" / "b.log").write_text("".join(lines[1::2]))
-    found = tool("explain", REQUEST_ID, str(folder))
+    found = run_tool("explain", REQUEST_ID, str(folder))
     assert found.returncode == 0 and "refused (503)" in found.stdout, found
-    assert tool("explain", "r-unknown", str(folder)).returncode == NOT_FOUND
+    assert run_tool("explain", "r-unknown", str(folder)).returncode == NOT_FOUND
 
 
 @then("it complains about a file that is not there")
 def step_missing(context):
-    found = tool("explain", REQUEST_ID, "nowhere.log")
+    found = run_tool("explain", REQUEST_ID, "nowhere.log")
     assert found.returncode == USAGE and "can't be read" in found.stderr, found
--- a/features/steps/failure_change_steps.py
+++ b/features/steps/failure_change_steps.py
@@ -18,15 +18,15 @@
 
 PRESETS = (Preset.PEAK, Preset.MAINTENANCE)
 SLOW_FACTOR = 10
-LEAVING_LIMIT_S = 3
-AFTER_S = 1.0
-PROBE_MS = 6
+DRAIN_LIMIT_S = 3
+OBSERVATION_S = 1.0
+PROBE_COST_MS = 6
 FEW_CALLS_PER_S = 30
 PROBES_LINE = re.compile(r"^cloverhook_probes_total\{[^}]*\} (\d+)", re.MULTILINE)
 
 
 class _RacingPlatform(HttpPlatform):
-    """Appends once every operator of a race has read the log."""
+    """Delays each append until every operator of the race has read the log."""
 
     def __init__(self, url, barrier):
         super().__init__(url)
@@ -69,11 +69,11 @@
     assert len(won) == len(lost) == 1, context.switches
     preset, result = won[0]
     assert lost[0].winner.startswith(result.change_id), lost
-    wanted = {"version": result.version, "preset": preset.value}
+    expected = {"version": result.version, "preset": preset.value}
 
     async def everywhere():
         statuses = [await context.fleet.status(vm) for vm in context.fleet.daemons]
-        return all(status["brands"][BRAND] == wanted for status in statuses)
+        return all(status["brands"][BRAND] == expected for status in statuses)
 
     run(context, context.loaded.until(everywhere))
 
@@ -84,8 +84,11 @@
     assert codes == [0] * len(codes), codes
 
 
-async def _begin_work(loaded):
-    """Make requests take longer, so that some are in flight at the server that will leave."""
+async def _slow_down_requests(loaded):
+    """Make requests take longer, so that some are in flight at the server that will drain.
+
+    Returns the address of that server.
+    """
     address = loaded.servers[0]
     await loaded.fleet.set_faults({"slow_factor": SLOW_FACTOR})
 
@@ -96,19 +99,22 @@
     return address
 
 
-async def _wait_out(context):
-    """Wait for as long as the server may still get requests, and then for some that it may not."""
-    await asyncio.sleep(LEAVING_LIMIT_S)
-    context.counts = await context.fleet.counts()
-    await asyncio.sleep(AFTER_S)
+async def _wait_for_drain(context):
+    """Wait while the server may still get requests, then for a time in which it may get none.
+
+    The counts of requests at the end of the first time are kept in the context.
+    """
+    await asyncio.sleep(DRAIN_LIMIT_S)
+    context.counts_before = await context.fleet.counts()
+    await asyncio.sleep(OBSERVATION_S)
 
 
 @when("a backend server at work leaves by the configuration")
 def step_leave(context):
     async def leave():
-        context.leaving = await _begin_work(context.loaded)
-        await context.loaded.publish(leaving=[context.leaving])
-        await _wait_out(context)
+        context.draining_server = await _slow_down_requests(context.loaded)
+        await context.loaded.publish(leaving=[context.draining_server])
+        await _wait_for_drain(context)
 
     run(context, leave())
 
@@ -116,27 +122,29 @@
 @when("a backend server at work begins to drain")
 def step_drain(context):
     async def drain():
-        context.leaving = await _begin_work(context.loaded)
+        context.draining_server = await _slow_down_requests(context.loaded)
         faults = {"slow_factor": SLOW_FACTOR, "drain": True}
-        await context.fleet.set_faults(faults, [context.leaving])
-        await _wait_out(context)
+        await context.fleet.set_faults(faults, [context.draining_server])
+        await _wait_for_drain(context)
 
     run(context, drain())
 
 
 @then("{seconds:d} seconds later it gets no request, and what was in flight there has ended well")
 def step_left(context, seconds):
-    assert seconds == LEAVING_LIMIT_S
+    assert seconds == DRAIN_LIMIT_S
 
     async def records():
         return await context.fleet.counts(), await context.fleet.ran()
 
     counts, ran = run(context, records())
-    before, after = context.counts[context.leaving], counts[context.leaving]
+    before, after = context.counts_before[context.draining_server], counts[context.draining_server]
     arrived = {name: after[name] - before[name] for name in ("ran", "refused")}
     assert not any(arrived.values()), (arrived, before)
-    mine = [record for record in ran if record.server == context.leaving]
-    assert mine and all(record.outcome is RunOutcome.DONE for record in mine), mine
+    server_records = [record for record in ran if record.server == context.draining_server]
+    assert server_records and all(
+        record.outcome is RunOutcome.DONE for record in server_records
+    ), server_records
 
 
 @given(
@@ -152,12 +160,12 @@
     run(context, start_loaded(context, daemons, **options))
 
 
-async def _probes(fleet):
+async def _received_probes(fleet):
     return sum(item["probes"] for item in (await fleet.counts()).values())
 
 
-async def _counted(context):
-    """Return how many probes the daemons' metrics count."""
+async def _probes_in_metrics(context):
+    """Return the number of probes that the daemons report in their metrics."""
     headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
     counted = 0
     for daemon in context.fleet.daemons.values():
@@ -170,7 +178,7 @@
 @when("{count:d} probes have reached the backend servers")
 def step_probes(context, count):
     async def reached():
-        return await _probes(context.fleet) >= count
+        return await _received_probes(context.fleet) >= count
 
     run(context, context.loaded.until(reached))
 
@@ -178,13 +186,16 @@
 @then("by their own count no more came than the budget allows, and the daemons count as many")
 def step_within(context):
     async def compare():
-        probes = await _probes(context.fleet)
+        probes = await _received_probes(context.fleet)
         passed_s = (now_ms() - context.loaded.published_ms) / 1000
-        first = len(context.fleet.daemons)
-        assert probes * PROBE_MS <= context.budget_ms_per_s * passed_s + first * PROBE_MS, probes
+        first_probes = len(context.fleet.daemons)
+        assert (
+            probes * PROBE_COST_MS
+            <= context.budget_ms_per_s * passed_s + first_probes * PROBE_COST_MS
+        ), probes
 
         async def counted():
-            return await _counted(context) >= probes
+            return await _probes_in_metrics(context) >= probes
 
         await context.loaded.until(counted)
 
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -1,4 +1,4 @@
-"""Steps that bring failures about under load and ask the invariant checker what they did."""
+"""Steps that cause failures under load and check their effects with the invariant checker."""
 
 import asyncio
 import signal
@@ -22,11 +22,11 @@
 
 
 async def start_loaded(context, daemons, **options):
-    """Start a fleet whose load has begun to be answered."""
+    """Start a fleet under load, and wait until its first calls have been answered."""
     context.fleet = await context.stack.enter_async_context(Fleet())
     context.session = await context.stack.enter_async_context(aiohttp.ClientSession())
     context.loaded = LoadedFleet(context.fleet, context.session)
-    context.left_hanging = []
+    context.hanging_writes = []
     context.stack.push_async_callback(context.loaded.close)
     await context.loaded.start(daemons, **options)
     await context.loaded.until_answered(50)
@@ -71,8 +71,8 @@
     writes = [asyncio.create_task(loaded.write(vm, key)) for key in keys]
     await loaded.until(some_run)
     await loaded.lose(vm)
-    ends = await asyncio.gather(*writes, return_exceptions=True)
-    assert all(isinstance(end, aiohttp.ClientError) for end in ends), ends
+    results = await asyncio.gather(*writes, return_exceptions=True)
+    assert all(isinstance(result, aiohttp.ClientError) for result in results), results
     await fleet.set_faults({"hang": False})
     await asyncio.gather(*(loaded.write(other, key) for key in keys))
 
@@ -91,18 +91,18 @@
         repeated = await asyncio.gather(*(context.loaded.write(second, key) for key in keys))
         assert all(record.status == 200 for record in repeated), repeated
         assert not any(task.done() for task in hanging)
-        context.left_hanging += hanging
+        context.hanging_writes += hanging
 
     run(context, repeat())
 
 
 @then("none of the writes that hung has run")
 def step_hung(context):
-    async def ends():
-        return await asyncio.gather(*context.left_hanging)
+    async def results():
+        return await asyncio.gather(*context.hanging_writes)
 
-    found = run(context, ends())
-    assert found and all(record.status == 409 for record in found), found
+    records = run(context, results())
+    assert records and all(record.status == 409 for record in records), records
 
 
 @when("backend process {number:d} gets {name}")
@@ -127,8 +127,8 @@
 
 
 @when("a keyed write is refused as unknown while {count:d} reads are answered")
-def step_refused(context, count):
-    async def refused():
+def step_unknown_outcome(context, count):
+    async def rejected_as_unknown():
         return any(
             record.error == "log-unavailable" and record.outcome == "unknown"
             for record in context.loaded.load.result.told
@@ -136,7 +136,7 @@
 
     async def both():
         await context.loaded.until_answered(count, lambda record: record.method == "GET")
-        await context.loaded.until(refused)
+        await context.loaded.until(rejected_as_unknown)
 
     run(context, both())
 
@@ -146,10 +146,10 @@
     result = context.loaded.load.result
     seen = len(result.ends)
 
-    async def told():
+    async def deadline_passed():
         return any(end.status == DEADLINE_STATUS for end in result.ends[seen:])
 
-    run(context, context.loaded.until(told))
+    run(context, context.loaded.until(deadline_passed))
 
 
 @when("{count:d} keyed writes are answered")
@@ -161,38 +161,39 @@
 @when("the log keeps nothing of what it held")
 def step_truncated(context):
     async def truncate():
-        ends = [
-            (stream, await _end_of(context, stream)) for stream in (CONFIG_STREAM, CLAIM_STREAM)
+        next_offsets = [
+            (stream, await _next_offset(context, stream))
+            for stream in (CONFIG_STREAM, CLAIM_STREAM)
         ]
         await _until_all_have_read(context)
-        for stream, end in ends:
-            document = {"first_offset": end}
+        for stream, next_offset in next_offsets:
+            document = {"first_offset": next_offset}
             await call(context, "POST", f"/v1/streams/{stream}/truncate", document)
 
     run(context, truncate())
 
 
-async def _end_of(context, stream):
+async def _next_offset(context, stream):
     path = f"/v1/streams/{stream}/records?from=0"
     async with context.session.get(f"{context.fleet.platform_url}{path}") as answer:
         return (await answer.json())["next_offset"]
 
 
 async def _until_all_have_read(context):
-    """Wait until each daemon has read the log up to now, as its answer to a new keyed write shows.
+    """Wait until each daemon has read the log up to now: it then answers a new keyed write.
 
-    A daemon that has missed a record rightly refuses keyed writes for a whole window.  Where the
-    records that are lost had not been read by any daemon, all three refused them for 30 s.
+    A daemon that has missed a record correctly rejects keyed writes for a whole window.  If the
+    log drops records that no daemon has read, all three daemons reject keyed writes for 30 s.
     """
     loaded = context.loaded
-    asked_ms = now_ms()
+    started_ms = now_ms()
 
     async def has_read(address):
         return any(
             end.status == 200
             and end.idempotency_key
             and end.address == address
-            and end.intended_ms > asked_ms
+            and end.intended_ms > started_ms
             for end in loaded.load.result.ends
         )
 
@@ -201,7 +202,7 @@
 
 
 @when('"{vm}" starts with the address of a peer and answers {count:d} calls')
-def step_fresh(context, vm, count):
+def step_new_daemon(context, vm, count):
     async def start():
         loaded = context.loaded
         peer = context.fleet.daemons["vm-0"].peer_address
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps that start a small fleet of real processes and call it."""
+"""Steps that start a small fleet of real processes and send requests to it."""
 
 import asyncio
 import uuid
@@ -23,24 +23,24 @@
 
 
 @then("every daemon has the configuration")
-def step_followed(context):
-    async def everywhere():
+def step_all_configured(context):
+    async def all_configured():
         statuses = [await context.fleet.status(vm) for vm in context.fleet.daemons]
         return all("brathwaite" in status["brands"] for status in statuses)
 
-    run(context, eventually(everywhere))
+    run(context, eventually(all_configured))
 
 
 @then("a caller gets {count:d} addresses for the service")
 def step_addresses(context, count):
-    async def enough():
+    async def all_addresses():
         daemon = next(iter(context.fleet.daemons.values()))
         url = f"http://{daemon.caller_address}/.well-known/cloverhook/addresses"
         async with context.session.get(url, headers={"Host": HOST}) as answer:
             context.addresses = (await answer.json())["addresses"]
         return len(context.addresses) == count
 
-    run(context, eventually(enough))
+    run(context, eventually(all_addresses))
 
 
 @then("{count:d} requests at all addresses each get their own answer")
--- a/features/steps/following_steps.py
+++ b/features/steps/following_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run followers and operators over a log in this process."""
+"""Steps that run followers and operators over an in-process log."""
 
 import asyncio
 import random
@@ -20,8 +20,8 @@
 POLLS = 8
 
 
-class PromptLog(FaultyPlatform):
-    """A platform whose reads never wait, with something to do just before or after an append."""
+class NonBlockingLog(FaultyPlatform):
+    """A platform whose reads never wait, with hooks that run once before or after an append."""
 
     before_append = None
     after_append = None
@@ -31,7 +31,7 @@
         return await super().read(stream, from_offset)
 
     async def append(self, stream, record):
-        """Append, with what the scenario wants around it."""
+        """Append, and run the scenario's hooks before and after it."""
         before, self.before_append = self.before_append, None
         if before:
             await before()
@@ -49,27 +49,27 @@
 
 def start_follower(context):
     """Start a follower with its own random source."""
-    source = random.Random(len(context.followers))
-    follower = Follower(context.log, lambda record, result: None, lambda: context.now_ms, source)
+    rng = random.Random(len(context.followers))
+    follower = Follower(context.log, lambda record, result: None, lambda: context.now_ms, rng)
     context.followers.append(follower)
     return follower
 
 
 def poll_all(context, followers=None):
-    """Let followers read until they have come to the log's end."""
+    """Let followers poll often enough to reach the end of the log."""
 
-    async def polls():
+    async def poll_each():
         for follower in followers or context.followers:
             for _ in range(POLLS):
                 await follower.poll()
 
-    run(context, polls())
+    run(context, poll_each())
 
 
 def pass_time(context, passed_ms):
-    """Let followers read and keep snapshots while time passes."""
+    """Let time pass, while followers read and append snapshots when due."""
 
-    async def passing():
+    async def poll_until_end():
         end_ms = context.now_ms + passed_ms
         while context.now_ms < end_ms:
             context.now_ms += STEP_MS
@@ -77,25 +77,25 @@
                 await follower.poll()
                 await follower.append_snapshot_if_due()
 
-    run(context, passing())
+    run(context, poll_until_end())
 
 
 def records(context):
-    """Return the records that the log holds."""
+    """Return the records in the log."""
     return context.log.streams.get(CONFIG_STREAM, [])
 
 
-def set_down(context, down):
-    """Take the log down or bring it back."""
+def set_unavailable(context, down):
+    """Make the log unavailable or available again."""
     context.log.set_faults(PlatformFaults(down=down))
 
 
 @given("a log and {count:d} followers")
 def step_log(context, count):
     context.now_ms = 0.0
-    context.log = PromptLog(appends_per_s=100_000)
+    context.log = NonBlockingLog(appends_per_s=100_000)
     context.followers = []
-    context.snapshots = 0
+    context.appends_before = 0
     for _ in range(count):
         start_follower(context)
 
@@ -122,7 +122,7 @@
 @when("the log goes down after the next append")
 def step_down_after(context):
     async def go_down():
-        set_down(context, True)
+        set_unavailable(context, True)
         raise PlatformSilentError("the log went down")
 
     context.log.after_append = go_down
@@ -143,7 +143,7 @@
 
 @when("the operator switches to peak and interrupts it in the append")
 def step_interrupt(context):
-    async def interrupted():
+    async def interrupt():
         context.log.after_append = asyncio.Event().wait
         work = asyncio.create_task(porcelain.switch(context.log, BRAND, Preset.PEAK, ANN))
         while len(records(context)) < 4:
@@ -151,26 +151,26 @@
         work.cancel()
         return await work
 
-    context.result = run(context, interrupted())
+    context.result = run(context, interrupt())
 
 
 @when("the log is down")
 def step_down(context):
-    set_down(context, True)
+    set_unavailable(context, True)
 
 
 @when("the log is down for an hour")
 def step_down_hour(context):
-    set_down(context, True)
-    context.snapshots = context.log.appends
+    set_unavailable(context, True)
+    context.appends_before = context.log.appends
     pass_time(context, 10_000)
     context.now_ms += 3_600_000
-    set_down(context, False)
+    set_unavailable(context, False)
 
 
 @when("the log is back")
 def step_back(context):
-    set_down(context, False)
+    set_unavailable(context, False)
 
 
 @when("a snapshot is due and the log loses its head")
@@ -187,7 +187,7 @@
 
 @when("one follower is cut off, a race is lost and the log keeps nothing but the loser")
 def step_gap(context):
-    context.cut_off = context.followers[0]
+    context.isolated = context.followers[0]
     for change_id, preset in (("winner", Preset.PEAK), ("loser", Preset.MAINTENANCE)):
         change = Change(change_id, BRAND, 3, "ann", SwitchPreset(preset))
         run(context, context.log.append(CONFIG_STREAM, encode_record(change)))
@@ -196,18 +196,18 @@
 
 
 @then("the follower that was cut off has version 3 and says that it is behind")
-def step_cut_off(context):
-    poll_all(context, [context.cut_off])
-    assert context.cut_off.state.version_of(BRAND) == 3
-    assert context.cut_off.behind
-    assert context.cut_off.status()["records_lost"]
+def step_isolated(context):
+    poll_all(context, [context.isolated])
+    assert context.isolated.state.version_of(BRAND) == 3
+    assert context.isolated.behind
+    assert context.isolated.status()["records_lost"]
 
 
 @when("the other followers append a snapshot")
 def step_others_snapshot(context):
-    everyone, context.followers = context.followers, context.followers[1:]
+    all_followers, context.followers = context.followers, context.followers[1:]
     pass_time(context, 11_000)
-    context.followers = everyone
+    context.followers = all_followers
 
 
 @when("the log starts over")
@@ -222,18 +222,18 @@
 
 @then("an operator who knows the daemons' versions is refused")
 def step_refused_by_versions(context):
-    knowing = Operator("ann", context.followers[0].status()["versions"])
+    informed_operator = Operator("ann", context.followers[0].status()["versions"])
     count = len(records(context))
-    result = run(context, porcelain.switch(context.log, BRAND, Preset.PEAK, knowing))
+    result = run(context, porcelain.switch(context.log, BRAND, Preset.PEAK, informed_operator))
     assert result.settlement is Settlement.REFUSED, result
     assert len(records(context)) == count
 
 
 @when("the log is down for the followers, starts over and grows further")
-def step_outgrown(context):
-    set_down(context, True)
+def step_log_replaced(context):
+    set_unavailable(context, True)
     poll_all(context)
-    set_down(context, False)
+    set_unavailable(context, False)
     context.log.reset(CONFIG_STREAM)
     for index in range(6):
         change = Change(f"new-{index}", BRAND, 0, "eve", Publish(DOCUMENT))
@@ -241,19 +241,19 @@
 
 
 @when("the followers' patience is over")
-def step_patience(context):
+def step_timeout(context):
     pass_time(context, 14_000)
 
 
 @when("{minutes:d} minutes pass")
 def step_minutes(context, minutes):
-    context.snapshots = context.log.appends
+    context.appends_before = context.log.appends
     pass_time(context, minutes * 60_000)
 
 
 @then("at most {count:d} appends were snapshots")
 def step_few_snapshots(context, count):
-    appended = context.log.appends - context.snapshots
+    appended = context.log.appends - context.appends_before
     assert 1 <= appended <= count, appended
 
 
@@ -276,7 +276,7 @@
 
 
 @then("the change is rejected, and the operator is told of the one that won and what differs")
-def step_loser(context):
+def step_rejected(context):
     result = context.result
     assert result.settlement is Settlement.REJECTED, result
     assert "by bob (switch to maintenance), version 4" in result.winner, result
--- a/features/steps/home_steps.py
+++ b/features/steps/home_steps.py
@@ -1,4 +1,4 @@
-"""Steps for several VMs of one service: owners, lending, steering and probes."""
+"""Steps for several VMs of one service: owners, slot lending, home rotation and probes."""
 
 from behave import given, then, when
 
@@ -12,14 +12,14 @@
 from cloverhook.steering import HomeRotation, answer_lifetime_ms
 from features.decision_driver import Driver, endpoints, usual_work
 
-CENTERS = ("halfway-tree", "new-kingston", "papine")
+DATA_CENTERS = ("halfway-tree", "new-kingston", "papine")
 HOMES = ("vm-0", "vm-1", "vm-2")
-HOME_CENTERS = dict(zip(HOMES, CENTERS, strict=True))
+HOME_DATA_CENTERS = dict(zip(HOMES, DATA_CENTERS, strict=True))
 SLOW = "10.0.0.0:80"
 
 
 def spread_fleet(count=15, slots=4):
-    return tuple(Endpoint(f"10.0.0.{i}:80", CENTERS[i % 3], slots) for i in range(count))
+    return tuple(Endpoint(f"10.0.0.{i}:80", DATA_CENTERS[i % 3], slots) for i in range(count))
 
 
 @given("homes in three data centres and 15 endpoints spread over them")
@@ -30,42 +30,42 @@
 @then("every VM gives each endpoint the same owner, in its own data centre")
 def step_same_owner(context):
     orders = (HOMES, HOMES[::-1], (HOMES[1], HOMES[2], HOMES[0]))
-    results = [assign_owners(context.fleet, order, HOME_CENTERS) for order in orders]
+    results = [assign_owners(context.fleet, order, HOME_DATA_CENTERS) for order in orders]
     assert results[0] == results[1] == results[2]
     assert set(results[0]) == {endpoint.address for endpoint in context.fleet}
     for endpoint in context.fleet:
-        assert HOME_CENTERS[results[0][endpoint.address]] == endpoint.data_center
+        assert HOME_DATA_CENTERS[results[0][endpoint.address]] == endpoint.data_center
 
 
 @then("the owners' slots differ by at most a quarter")
 def step_balanced(context):
     for homes in (HOMES, HOMES[:2], (*HOMES, "vm-3", "vm-4")):
-        result = list(assign_owners(context.fleet, homes, HOME_CENTERS).values())
+        result = list(assign_owners(context.fleet, homes, HOME_DATA_CENTERS).values())
         counts = [result.count(vm) for vm in homes]
         assert max(counts) <= 1.25 * len(context.fleet) / len(homes) + 1, counts
 
 
 @then("without one home its endpoints have other owners and the rest stay spread")
 def step_without_one(context):
-    left = assign_owners(context.fleet, HOMES[:2], HOME_CENTERS)
-    assert set(left.values()) == set(HOMES[:2])
-    assert len(left) == len(context.fleet)
+    owner_of = assign_owners(context.fleet, HOMES[:2], HOME_DATA_CENTERS)
+    assert set(owner_of.values()) == set(HOMES[:2])
+    assert len(owner_of) == len(context.fleet)
 
 
 def homed(own, fleet, homes=HOMES[:1], **kwargs):
     driver = Driver(fleet, **kwargs)
-    driver.do(HomesChanged(own, homes, HOME_CENTERS))
+    driver.do(HomesChanged(own, homes, HOME_DATA_CENTERS))
     return driver
 
 
 def deliver(drivers):
-    """Pass on the messages between drivers until there are none."""
+    """Deliver the messages between drivers until none are left."""
     while any(driver.told for driver in drivers.values()):
         for name, driver in drivers.items():
-            told, driver.told = driver.told, []
-            for tell in told:
-                if tell.vm in drivers:
-                    drivers[tell.vm].hear(name, tell.message)
+            actions, driver.told = driver.told, []
+            for action in actions:
+                if action.vm in drivers:
+                    drivers[action.vm].hear(name, action.message)
 
 
 @given("an owner and a VM that owns nothing")
@@ -76,7 +76,7 @@
 
 
 def free_slots(driver):
-    """Return how many requests the router starts at once now, and end them again."""
+    """Return how many requests the router would start now, and end all of them again."""
     ids = [driver.arrive() for _ in range(20)]
     started = [request_id for request_id in ids if request_id in driver.open]
 
@@ -90,13 +90,13 @@
 
 @when("a request arrives at the VM that owns nothing")
 def step_other_arrives(context):
-    context.request = context.other.arrive()
+    context.request_id = context.other.arrive()
     deliver(context.vms)
 
 
 @then("it is started on a slot that the owner has lent")
 def step_on_lent(context):
-    assert context.request in context.other.open
+    assert context.request_id in context.other.open
     assert free_slots(context.owner) == 7
 
 
@@ -104,7 +104,7 @@
 def step_returned(context):
     for driver in context.vms.values():
         driver.now_ms += 20
-    context.other.end(context.request)
+    context.other.end(context.request_id)
     deliver(context.vms)
     assert free_slots(context.owner) == 8
 
@@ -113,12 +113,12 @@
 def step_returned_twice(context):
     for vm in ("vm-8", "vm-9"):
         context.owner.hear(vm, SlotRequest("brathwaite/booking", 1, 2, 5))
-    grants = [tell.message for tell in context.owner.told]
+    grants = [action.message for action in context.owner.told]
     assert [len(grant.addresses) for grant in grants] == [2, 2]
     assert set(grants[0].addresses) == set(grants[1].addresses)
     assert free_slots(context.owner) == 4
-    context.lent = grants[1].addresses[:1]
-    message = SlotReturn("brathwaite/booking", context.lent, (0,))
+    context.lent_addresses = grants[1].addresses[:1]
+    message = SlotReturn("brathwaite/booking", context.lent_addresses, (0,))
     context.owner.hear("vm-9", message)
     context.owner.hear("vm-9", message)
 
@@ -129,14 +129,14 @@
 
 
 @then("the owner has all its slots again after {ms:d} ms")
-def step_lapsed(context, ms):
+def step_lease_expired(context, ms):
     context.owner.pass_time(ms)
     assert free_slots(context.owner) == 8
 
 
 @then("a return that comes late changes nothing")
 def step_late_return(context):
-    message = SlotReturn("brathwaite/booking", context.lent, (0,))
+    message = SlotReturn("brathwaite/booking", context.lent_addresses, (0,))
     context.owner.hear("vm-9", message)
     context.owner.hear("vm-9", message)
     assert free_slots(context.owner) == 8
@@ -146,11 +146,11 @@
 def step_silent(context):
     context.fleet = spread_fleet(6)
     context.driver = homed("vm-0", context.fleet, HOMES[:2])
-    owner_of = assign_owners(context.fleet, HOMES[:2], HOME_CENTERS)
-    context.theirs = {address for address, vm in owner_of.items() if vm == "vm-1"}
+    owner_of = assign_owners(context.fleet, HOMES[:2], HOME_DATA_CENTERS)
+    context.other_home_addresses = {address for address, vm in owner_of.items() if vm == "vm-1"}
     for _ in range(40):
         context.driver.arrive()
-    assert not context.theirs & set(context.driver.starts)
+    assert not context.other_home_addresses & set(context.driver.starts)
 
 
 @when("{ms:d} ms pass")
@@ -166,7 +166,7 @@
 
 @then("the first home starts requests at the other's endpoints")
 def step_taken_over(context):
-    assert context.theirs <= set(context.driver.starts)
+    assert context.other_home_addresses <= set(context.driver.starts)
 
 
 @then("it hands them back when the other home speaks again")
@@ -177,26 +177,26 @@
     driver.now_ms += 20
     for request_id in tuple(driver.open):
         driver.end(request_id)
-    assert not context.theirs & set(driver.starts - before)
+    assert not context.other_home_addresses & set(driver.starts - before)
 
 
 @given("a VM that owns nothing and may send {bytes_per_s:d} bytes a second")
-def step_few_bytes(context, bytes_per_s):
+def step_byte_limit(context, bytes_per_s):
     context.driver = homed("vm-9", spread_fleet(), HOMES, peer_bytes=bytes_per_s)
 
 
 @when("100 requests a second arrive for 10 s and no owner ever has a slot")
-def step_storm(context):
+def step_overload(context):
     driver = context.driver
     context.sent_bytes = 0
     for _ in range(1_000):
         driver.arrive()
         driver.pass_time(10)
-        told, driver.told = driver.told, []
-        for tell in told:
-            assert isinstance(tell, SendMessage)
-            context.sent_bytes += len(encode(tell.message))
-            driver.hear(tell.vm, SlotGrant("brathwaite/booking", ()))
+        actions, driver.told = driver.told, []
+        for action in actions:
+            assert isinstance(action, SendMessage)
+            context.sent_bytes += len(encode(action.message))
+            driver.hear(action.vm, SlotGrant("brathwaite/booking", ()))
         for request_id in tuple(driver.open):
             driver.end(request_id, latency_ms=20.0)
 
@@ -221,7 +221,7 @@
 
 @then("every endpoint was probed by its owner only")
 def step_one_prober(context):
-    owner_of = assign_owners(context.fleet, HOMES, HOME_CENTERS)
+    owner_of = assign_owners(context.fleet, HOMES, HOME_DATA_CENTERS)
     probed = {(vm, a) for vm, driver in context.homes.items() for _, a in driver.probes}
     assert probed == {(vm, address) for address, vm in owner_of.items()}
 
@@ -283,7 +283,7 @@
 
 @given("3 homes that own 16, 12 and 12 slots")
 def step_weights(context):
-    context.members = [Member(vm, HOME_CENTERS[vm], "", "") for vm in HOMES]
+    context.members = [Member(vm, HOME_DATA_CENTERS[vm], "", "") for vm in HOMES]
     context.weights = dict(zip(HOMES, (16.0, 12.0, 12.0), strict=True))
 
 
@@ -292,12 +292,12 @@
     order = HomeRotation()
     answers = [order.next_order("s", context.members, context.weights) for _ in range(count)]
     assert all({member.vm for member in answer} == set(HOMES) for answer in answers)
-    context.firsts = [answer[0].vm for answer in answers]
+    context.first_vms = [answer[0].vm for answer in answers]
 
 
 @then("the homes stand first in 160, 120 and 120 answers")
 def step_firsts(context):
-    assert [context.firsts.count(vm) for vm in HOMES] == [160, 120, 120]
+    assert [context.first_vms.count(vm) for vm in HOMES] == [160, 120, 120]
 
 
 @then("answers are kept for less long while the homes have just changed")
@@ -308,20 +308,20 @@
 
 
 @given("a daemon whose event loop comes {late:d} ms late")
-def step_late(context, late):
-    context.limit = LoadShedder()
+def step_loop_lag(context, late):
+    context.load_shedder = LoadShedder()
     for _ in range(30):
-        context.limit.observe(float(late), 1.0)
+        context.load_shedder.observe(float(late), 1.0)
 
 
 @then("it refuses priority LOW and NORMAL, not HIGH")
 def step_limit(context):
-    refused = [priority for priority in Priority if context.limit.should_shed(priority)]
-    assert refused == [Priority.NORMAL, Priority.LOW]
+    rejected = [priority for priority in Priority if context.load_shedder.should_shed(priority)]
+    assert rejected == [Priority.NORMAL, Priority.LOW]
 
 
 @then("it takes all again once the loop is on time")
 def step_on_time(context):
     for _ in range(30):
-        context.limit.observe(0.0, 0.2)
-    assert not any(context.limit.should_shed(priority) for priority in Priority)
+        context.load_shedder.observe(0.0, 0.2)
+    assert not any(context.load_shedder.should_shed(priority) for priority in Priority)
