--- a/features/steps/control_cost_steps.py
+++ b/features/steps/control_cost_steps.py
@@ -178,8 +178,8 @@
     _assert_overloaded(context, run(context, reject_by_timer()))
 
 
-def _owning_router(measuring_ms_per_s, turns=None):
-    router = ServiceRouter(random.Random(1), turns=turns)
+def _owning_router(measuring_ms_per_s, spacing=None):
+    router = ServiceRouter(random.Random(1), turns=spacing)
     policy = Policy(measuring_ms_per_s=measuring_ms_per_s)
     router.handle(EndpointsChanged((Endpoint("10.0.0.1:80", "papine"),), policy), 0.0)
     router.handle(HomesChanged("vm-1", ("vm-1",)), 0.0)
@@ -229,8 +229,8 @@
 
 @given("400 routers that each own one endpoint and share their turns")
 def step_share(context):
-    turns = ProbeSpacing()
-    context.routers = [_owning_router(60, turns) for _ in range(400)]
+    spacing = ProbeSpacing()
+    context.routers = [_owning_router(60, spacing) for _ in range(400)]
 
 
 @then("they probe no more often than a daemon may, and go through all endpoints")
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -391,7 +391,7 @@
 
 
 @when("the store client works again")
-def step_mended(context):
+def step_store_client_works(context):
     context.faulty.broken = False
 
 
--- a/features/steps/following_steps.py
+++ b/features/steps/following_steps.py
@@ -85,9 +85,9 @@
     return context.log.streams.get(CONFIG_STREAM, [])
 
 
-def set_unavailable(context, down):
+def set_unavailable(context, unavailable):
     """Make the log unavailable or available again."""
-    context.log.set_faults(PlatformFaults(down=down))
+    context.log.set_faults(PlatformFaults(down=unavailable))
 
 
 @given("a log and {count:d} followers")
