--- a/bench/added.py
+++ b/bench/added.py
@@ -17,7 +17,7 @@
 from cloverhook_emulator.fleet_runner import Fleet
 from cloverhook_emulator.http_client import ClientPool
 
-__all__ = ["HOST", "close_loop", "measure_added", "start_daemon"]
+__all__ = ["HOST", "run_closed_loop", "measure_added", "start_daemon"]
 
 HOST = "booking.brathwaite.example"
 CONFIG = """brand = "brathwaite"
@@ -30,11 +30,11 @@
 connections = 200
 endpoints = ["{address}"]
 """
-LETTER_MS = 0.56
+TARGET_MS = 0.56
 CONNECTIONS = (1, 4, 16)
 SATURATING = 32
 CALL_TIMEOUT_S = 10
-WAYS = ("direct", "forwarder", "cloverhook")
+PATHS = ("direct", "forwarder", "cloverhook")
 
 
 @dataclass(slots=True)
@@ -80,15 +80,17 @@
         measured: dict[tuple[str, str], _Measured] = defaultdict(_Measured)
         for _ in range(rounds):
             for connections in (*CONNECTIONS, SATURATING):
-                for way in WAYS:
-                    latencies_ms = await close_loop(addresses[way], connections, seconds, refused)
-                    measured[f"{connections} connections", way].add(latencies_ms, seconds)
-        saturation = {way: _saturation(measured, way) for way in WAYS}
+                for path in PATHS:
+                    latencies_ms = await run_closed_loop(
+                        addresses[path], connections, seconds, refused
+                    )
+                    measured[f"{connections} connections", path].add(latencies_ms, seconds)
+        saturation = {path: _saturation(measured, path) for path in PATHS}
         rate = min(saturation["forwarder"], saturation["cloverhook"]) / 4
         for _ in range(rounds):
-            for way in WAYS:
-                latencies_ms = await _open_loop(addresses[way], rate, seconds * 2, refused)
-                measured["a quarter", way].add(latencies_ms, seconds * 2)
+            for path in PATHS:
+                latencies_ms = await _run_open_loop(addresses[path], rate, seconds * 2, refused)
+                measured["a quarter", path].add(latencies_ms, seconds * 2)
         memory_mb = {
             "forwarder": _memory_mb(forwarder.process.pid),
             "cloverhook": _memory_mb(fleet.daemons["vm-0"].process.process.pid),
@@ -98,7 +100,7 @@
     return figures, [_table(measured)]
 
 
-async def close_loop(
+async def run_closed_loop(
     address: str, connections: int, seconds: float, refused: Counter[str]
 ) -> list[float]:
     """Call over some connections, each as fast as answers come; return latencies in ms.
@@ -123,7 +125,7 @@
     return latencies_ms
 
 
-async def _open_loop(
+async def _run_open_loop(
     address: str, calls_per_s: float, seconds: float, refused: Counter[str]
 ) -> list[float]:
     """Send Poisson arrivals, spinning for exact starts; latency counts from when a call was due."""
@@ -161,14 +163,16 @@
     return f"GET /open HTTP/1.1\r\nhost: {HOST}\r\n\r\n".encode()
 
 
-def _saturation(measured: dict[tuple[str, str], _Measured], way: str) -> float:
+def _saturation(measured: dict[tuple[str, str], _Measured], path: str) -> float:
     levels = (f"{connections} connections" for connections in (*CONNECTIONS, SATURATING))
-    return max(median(measured[level, way].calls_per_s) for level in levels)
+    return max(median(measured[level, path].calls_per_s) for level in levels)
 
 
-def _added_ms(measured: dict[tuple[str, str], _Measured], level: str, way: str, name: str) -> float:
+def _added_ms(
+    measured: dict[tuple[str, str], _Measured], level: str, path: str, name: str
+) -> float:
     """Return the median over rounds of what a way adds to the direct path."""
-    values = getattr(measured[level, way], name)
+    values = getattr(measured[level, path], name)
     direct = getattr(measured[level, "direct"], name)
     return median(value - base for value, base in zip(values, direct, strict=True))
 
@@ -195,7 +199,7 @@
             "added.a_quarter.p99_ms",
             letter,
             "ms",
-            f"the letter's {LETTER_MS} ms; {rate:.0f} calls/s",
+            f"the letter's {TARGET_MS} ms; {rate:.0f} calls/s",
         ),
         Figure(
             "added.calls_per_s",
@@ -210,8 +214,8 @@
 
 def _table(measured: dict[tuple[str, str], _Measured]) -> Table:
     rows = [
-        (f"{level}, {way}", median(item.p50_ms), median(item.p99_ms), median(item.calls_per_s))
-        for (level, way), item in measured.items()
+        (f"{level}, {path}", median(item.p50_ms), median(item.p99_ms), median(item.calls_per_s))
+        for (level, path), item in measured.items()
     ]
     return Table(
         "one daemon before an instant server", ("way", "p50 ms", "p99 ms", "calls/s"), rows
--- a/bench/baseline_router.py
+++ b/bench/baseline_router.py
@@ -22,7 +22,7 @@
     Start,
 )
 
-__all__ = ["WAYS", "BaselineRouter"]
+__all__ = ["ALGORITHMS", "BaselineRouter"]
 
 MAX_ATTEMPTS = 3
 RETRY_AFTER_MS = 1_000
@@ -43,8 +43,8 @@
 class BaselineRouter:
     """The decisions for one service by one way."""
 
-    def __init__(self, way: "Way", source: random.Random) -> None:
-        self._way = way
+    def __init__(self, algorithm: "Way", source: random.Random) -> None:
+        self._algorithm = algorithm
         self.random = source
         self.addresses: list[str] = []
         self.in_flight: dict[str, int] = {}
@@ -60,7 +60,7 @@
                 self._requests[event.request_id] = _Request(event.idempotent)
                 return (self._start(event.request_id),)
             case AttemptEnded():
-                return self._ended(event)
+                return self._handle_end(event)
             case CallerDisconnected():
                 self._requests.pop(event.request_id, None)
         return ()
@@ -79,7 +79,7 @@
         del address
         return ProbationReason.NONE
 
-    def _ended(self, event: AttemptEnded) -> tuple[Action, ...]:
+    def _handle_end(self, event: AttemptEnded) -> tuple[Action, ...]:
         self.in_flight[event.address] -= 1
         request = self._requests.get(event.request_id)
         if request is None or not event.wants_retry:
@@ -96,7 +96,7 @@
         if not self.addresses:
             del self._requests[request_id]
             return Reject(request_id, ErrorKind.NO_BACKEND_SERVER, RETRY_AFTER_MS)
-        address = self._way(self)
+        address = self._algorithm(self)
         self._requests[request_id].attempts += 1
         self.started += 1
         self.in_flight[address] = self.in_flight.get(address, 0) + 1
@@ -129,7 +129,7 @@
     return _least_of(router, router.random.sample(router.addresses, count))
 
 
-WAYS: dict[str, Way] = {
+ALGORITHMS: dict[str, Way] = {
     "random": _at_random,
     "round-robin": _round_robin,
     "least-in-flight": _least_in_flight,
--- a/bench/bench_daemon.py
+++ b/bench/bench_daemon.py
@@ -11,17 +11,17 @@
 
 from absl import flags
 
-from bench.baseline_router import WAYS, BaselineRouter
+from bench.baseline_router import ALGORITHMS, BaselineRouter
 from cloverhook import daemon, dispatch
 from cloverhook.routing import ServiceRouter
 from cloverhook.routing_events import Action, Event, Start
 
-__all__ = ["COUNT_EVERY_MS"]
+__all__ = ["COUNT_INTERVAL_MS"]
 
-COUNT_EVERY_MS = 100
+COUNT_INTERVAL_MS = 100
 
 FLAGS = flags.FLAGS
-flags.DEFINE_enum("way", "cloverhook", ["cloverhook", *WAYS], "How endpoints are chosen.")
+flags.DEFINE_enum("way", "cloverhook", ["cloverhook", *ALGORITHMS], "How endpoints are chosen.")
 flags.DEFINE_string("attempts_file", None, "The file for lines of wall-clock ms and attempts.")
 
 
@@ -30,16 +30,16 @@
 
     def __init__(self, path: str) -> None:
         self._path = Path(path)
-        self._slot = 0
+        self._interval = 0
         self._count = 0
 
     def add(self, count: int) -> None:
-        slot = int(time.time() * 1000) // COUNT_EVERY_MS
-        if slot != self._slot and self._count:
+        interval = int(time.time() * 1000) // COUNT_INTERVAL_MS
+        if interval != self._interval and self._count:
             with self._path.open("a") as file:
-                file.write(f"{self._slot * COUNT_EVERY_MS} {self._count}\n")
+                file.write(f"{self._interval * COUNT_INTERVAL_MS} {self._count}\n")
             self._count = 0
-        self._slot = slot
+        self._interval = interval
         self._count += count
 
 
@@ -52,7 +52,7 @@
         if FLAGS.way == "cloverhook":
             self._router = ServiceRouter(*arguments, **named)
         else:
-            self._router = BaselineRouter(WAYS[FLAGS.way], arguments[0])
+            self._router = BaselineRouter(ALGORITHMS[FLAGS.way], arguments[0])
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._router, name)
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -22,7 +22,7 @@
 LIMIT_S = 600
 
 
-def replaced(page: str, name: str, table: str) -> str:
+def replace_table(page: str, name: str, table: str) -> str:
     """Return the page with the table between the markers of a name replaced."""
     begin, end = f"<!-- {name}: begin -->", f"<!-- {name}: end -->"
     if begin not in page or end not in page:
@@ -32,7 +32,7 @@
     return f"{head}{begin}\n{table}\n{end}{tail}"
 
 
-def table(columns: tuple[str, ...], rows: list[tuple[str, ...]]) -> str:
+def markdown_table(columns: tuple[str, ...], rows: list[tuple[str, ...]]) -> str:
     """Return a table in Markdown."""
     lines = [columns, tuple("---" for _ in columns), *rows]
     return "\n".join(f"| {' | '.join(line)} |" for line in lines)
@@ -42,7 +42,7 @@
     """Return a slope as a row: points, gradient, spread and growth."""
     points = ", ".join(f"{size:g}: {cost:.3g}" for size, cost in slope.points)
     growth = f"size^{slope.exponent:.1f}"
-    if slope.grows_with_square:
+    if slope.is_superlinear:
         growth += ", faster than a line"
     return (
         slope.role,
@@ -68,12 +68,14 @@
     slopes = [*part_slopes(), *membership_slopes(), *asyncio.run(serving_slopes())]
     page = PAGE.read_text()
     columns = ("Role", "What", "Points (size: cost)", "Slope", "Spread of 3 runs", "Growth")
-    page = replaced(page, "slopes", table(columns, [slope_row(slope) for slope in slopes]))
+    page = replace_table(
+        page, "slopes", markdown_table(columns, [slope_row(slope) for slope in slopes])
+    )
     columns = ("Role", "State", "Messages", "Processor time", "Memory", "Bytes", "Mechanism")
-    page = replaced(page, "roles", table(columns, role_rows(slopes)))
+    page = replace_table(page, "roles", markdown_table(columns, role_rows(slopes)))
     columns = ("Reading of the aim", "Calls a second", "VMs at 60% of a core")
-    page = replaced(page, "vms", table(columns, serving_rows(slopes)))
-    page = replaced(page, "machine", _machine())
+    page = replace_table(page, "vms", markdown_table(columns, serving_rows(slopes)))
+    page = replace_table(page, "machine", _machine())
     PAGE.write_text(page)
     took_s = time.monotonic() - started
     print(f"capacity: {len(slopes)} slopes for {SIZE.services} services, {max(MEMBERS)} members")
--- a/bench/capacity_membership.py
+++ b/bench/capacity_membership.py
@@ -4,7 +4,7 @@
 import time
 from dataclasses import replace
 
-from bench.slope import Slope, measured
+from bench.slope import Slope, measure_slope
 from cloverhook.member_events import LinkOpened, MessageReceived, SendMessage, Tick
 from cloverhook.members import Member, Status
 from cloverhook.membership import Membership
@@ -24,14 +24,14 @@
 def membership_slopes() -> list[Slope]:
     """Measure a second of a daemon at rest, and one change of a member."""
     return [
-        measured("membership", "a second of one daemon", "us", "member", MEMBERS, _second_us),
-        measured("membership", "bytes a second", "bytes", "member", MEMBERS, _second_bytes),
-        measured("membership", "a change of a member", "us", "member", MEMBERS, _change_us),
-        measured("membership", "bytes of a change", "bytes", "member", MEMBERS, _change_bytes),
+        measure_slope("membership", "a second of one daemon", "us", "member", MEMBERS, _second_us),
+        measure_slope("membership", "bytes a second", "bytes", "member", MEMBERS, _second_bytes),
+        measure_slope("membership", "a change of a member", "us", "member", MEMBERS, _change_us),
+        measure_slope("membership", "bytes of a change", "bytes", "member", MEMBERS, _change_bytes),
     ]
 
 
-class _Fed:
+class _SimulatedDaemon:
     """A daemon's membership with its neighbours linked; messages go through their CBOR form."""
 
     def __init__(self, members: int) -> None:
@@ -41,30 +41,30 @@
         self.membership = Membership(own, random.Random(members), START_MS)
         updates = tuple(_update(index) for index in range(members))
         self._link(updates[0])
-        self._do(MessageReceived(updates[0].vm, MemberUpdates(updates)))
+        self._handle(MessageReceived(updates[0].vm, MemberUpdates(updates)))
         of_vm = {update.vm: update for update in updates}
         for vm in self.membership.neighbours():
             self._link(of_vm[vm])
         self.changing = updates[members // 2]
         for _ in range(SETTLING_S):
-            self.second()
+            self.run_idle_second()
         self.bytes = 0
 
-    def second(self) -> None:
+    def run_idle_second(self) -> None:
         """Let a second pass in which nothing changes."""
         for tick in range(TICKS_PER_S):
             self.now_ms += TICK_MS
-            self._do(Tick())
+            self._handle(Tick())
             if tick % TICKS_PER_HEARTBEAT == 0:
                 for vm in sorted(self.membership.linked):
-                    beat = Heartbeat(vm, 1, 0, False, 1, self.membership.table.digest)
-                    self._hear(vm, beat)
+                    heartbeat = Heartbeat(vm, 1, 0, False, 1, self.membership.table.digest)
+                    self._receive(vm, heartbeat)
 
-    def change(self) -> None:
+    def apply_change(self) -> None:
         """Hear that a member has said something new of itself."""
         self.changing = replace(self.changing, sequence=self.changing.sequence + 1)
         vm = min(self.membership.linked)
-        self._hear(vm, MemberUpdates((self.changing,)))
+        self._receive(vm, MemberUpdates((self.changing,)))
         self.membership.neighbours()
 
     def _link(self, update: MemberUpdate) -> None:
@@ -76,14 +76,14 @@
             update.incarnation,
             sequence=update.sequence,
         )
-        self._do(LinkOpened(hello))
+        self._handle(LinkOpened(hello))
 
-    def _hear(self, vm: str, message: Heartbeat | MemberUpdates) -> None:
+    def _receive(self, vm: str, message: Heartbeat | MemberUpdates) -> None:
         data = encode(message)
         self.bytes += len(data)
-        self._do(MessageReceived(vm, decode(data)))
+        self._handle(MessageReceived(vm, decode(data)))
 
-    def _do(self, event: LinkOpened | MessageReceived | Tick) -> None:
+    def _handle(self, event: LinkOpened | MessageReceived | Tick) -> None:
         for action in self.membership.handle(event, self.now_ms):
             if isinstance(action, SendMessage):
                 self.bytes += len(encode(action.message))
@@ -104,25 +104,25 @@
 
 
 def _second_us(members: int) -> float:
-    fed = _Fed(members)
-    return _best_us(fed.second)
+    daemon = _SimulatedDaemon(members)
+    return _best_us(daemon.run_idle_second)
 
 
 def _second_bytes(members: int) -> float:
-    fed = _Fed(members)
-    fed.second()
-    return float(fed.bytes)
+    daemon = _SimulatedDaemon(members)
+    daemon.run_idle_second()
+    return float(daemon.bytes)
 
 
 def _change_us(members: int) -> float:
-    fed = _Fed(members)
-    return _best_us(fed.change)
+    daemon = _SimulatedDaemon(members)
+    return _best_us(daemon.apply_change)
 
 
 def _change_bytes(members: int) -> float:
-    fed = _Fed(members)
-    fed.change()
-    return float(fed.bytes)
+    daemon = _SimulatedDaemon(members)
+    daemon.apply_change()
+    return float(daemon.bytes)
 
 
 def _best_us(work) -> float:
--- a/bench/capacity_parts.py
+++ b/bench/capacity_parts.py
@@ -9,7 +9,7 @@
 import tracemalloc
 from collections.abc import Callable
 
-from bench.slope import Slope, measured
+from bench.slope import Slope, measure_slope
 from cloverhook.dispatch import Dispatcher
 from cloverhook.fleet import Endpoint, Policy, Priority
 from cloverhook.fold import State, fold
@@ -31,7 +31,7 @@
 BEST_OF = 5
 
 
-class _Nobody:
+class _NullTransport:
     """Takes what routers ask of the daemon, and does nothing."""
 
     def send_message(self, vm, message) -> None:
@@ -44,12 +44,14 @@
 def part_slopes() -> list[Slope]:
     """Measure every role that needs no process of its own."""
     return [
-        measured(
+        measure_slope(
             "serving calls", "decisions for a call", "us", "endpoint", ENDPOINTS, _decision_us
         ),
-        measured("serving calls", "a tick of all services", "us", "service", SERVICES, _tick_us),
-        measured("following configuration", "a change", "us", "service", SERVICES, _change_us),
-        measured(
+        measure_slope(
+            "serving calls", "a tick of all services", "us", "service", SERVICES, _tick_us
+        ),
+        measure_slope("following configuration", "a change", "us", "service", SERVICES, _change_us),
+        measure_slope(
             "following configuration",
             "a change's record",
             "KB",
@@ -57,13 +59,13 @@
             (10, 20, 39),
             _record_kb,
         ),
-        measured("following configuration", "memory", "KB", "service", SERVICES, _state_kb),
-        measured("snapshots", "size", "KB", "service", SERVICES, _snapshot_kb),
-        measured("snapshots", "writing one", "ms", "service", SERVICES, _snapshot_write_ms),
-        measured("snapshots", "reading one", "ms", "service", SERVICES, _snapshot_read_ms),
-        measured("time line", "events", "us", "event", EVENTS, _events_us),
-        measured("time line", "memory", "KB", "kept event", EVENTS, _events_kb),
-        measured("operators' listener", "a metrics page", "ms", "series", SERIES, _metrics_ms),
+        measure_slope("following configuration", "memory", "KB", "service", SERVICES, _state_kb),
+        measure_slope("snapshots", "size", "KB", "service", SERVICES, _snapshot_kb),
+        measure_slope("snapshots", "writing one", "ms", "service", SERVICES, _snapshot_write_ms),
+        measure_slope("snapshots", "reading one", "ms", "service", SERVICES, _snapshot_read_ms),
+        measure_slope("time line", "events", "us", "event", EVENTS, _events_us),
+        measure_slope("time line", "memory", "KB", "kept event", EVENTS, _events_kb),
+        measure_slope("operators' listener", "a metrics page", "ms", "series", SERIES, _metrics_ms),
     ]
 
 
@@ -113,7 +115,7 @@
 
 
 def _dispatcher(state: State) -> Dispatcher:
-    dispatcher = Dispatcher(random.Random(1), _Nobody())
+    dispatcher = Dispatcher(random.Random(1), _NullTransport())
     dispatcher.configure(state, START_MS)
     return dispatcher
 
--- a/bench/change_cost.py
+++ b/bench/change_cost.py
@@ -10,7 +10,7 @@
 import time
 
 from bench.figures import Table
-from bench.many_services import SERVICES_PER_BRAND, brand_document, publishes
+from bench.many_services import SERVICES_PER_BRAND, brand_document, publish_changes
 from cloverhook.dispatch import Dispatcher, Target
 from cloverhook.fold import fold
 from cloverhook.homes import HomeTable
@@ -29,7 +29,7 @@
 CHANGES = 20
 
 
-class _Nobody:
+class _NullTransport:
     """Takes the messages and probes of the routers, and drops them."""
 
     def send_message(self, vm: str, message: Message) -> None:
@@ -39,11 +39,11 @@
         pass
 
 
-def _configuration(services: int) -> tuple[int, float, float]:
+def _measure_configuration(services: int) -> tuple[int, float, float]:
     state = State()
-    for change in publishes(services, ADDRESSES, DATA_CENTERS):
+    for change in publish_changes(services, ADDRESSES, DATA_CENTERS):
         state = fold(state, state.next_offset, change).state
-    dispatcher = Dispatcher(random.Random(1), _Nobody())
+    dispatcher = Dispatcher(random.Random(1), _NullTransport())
     dispatcher.configure(state, 0.0)
     fold_s = configure_s = 0.0
     for index in range(CHANGES):
@@ -59,7 +59,7 @@
     return services, fold_s * 1_000 / CHANGES, configure_s * 1_000 / CHANGES
 
 
-def _members(count: int) -> tuple[int, float, float]:
+def _measure_members(count: int) -> tuple[int, float, float]:
     members = [Member(f"vm-{index}", f"center-{index % 13}", "", "") for index in range(count)]
     counts = {f"brand/service-{index}": HOMES for index in range(SERVICES[-1])}
     homes = HomeTable()
@@ -76,9 +76,13 @@
 def main() -> None:
     """Print the cost of changes at a few sizes."""
     columns = ("services", "fold ms", "configure ms")
-    print(Table("a change of configuration", columns, [_configuration(n) for n in SERVICES]))
+    print(
+        Table("a change of configuration", columns, [_measure_configuration(n) for n in SERVICES])
+    )
     columns = ("members", "first ms", "each change ms")
-    print(Table(f"homes of {SERVICES[-1]} services", columns, [_members(n) for n in MEMBERS]))
+    print(
+        Table(f"homes of {SERVICES[-1]} services", columns, [_measure_members(n) for n in MEMBERS])
+    )
 
 
 if __name__ == "__main__":
--- a/bench/control_cost.py
+++ b/bench/control_cost.py
@@ -17,7 +17,7 @@
 
 from bench.figures import Table
 from bench.fleets import wait_until_ready
-from bench.many_services import ENDPOINTS_PER_SERVICE, SERVICES_PER_BRAND, publishes
+from bench.many_services import ENDPOINTS_PER_SERVICE, SERVICES_PER_BRAND, publish_changes
 from cloverhook.platform_http import HttpPlatform
 from cloverhook.records import CONFIG_STREAM, encode_record
 from cloverhook_emulator.fleet_runner import Fleet
@@ -32,7 +32,7 @@
 
 DATA_CENTERS = ("halfway-tree", "new-kingston", "papine")
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-STARTED_TOGETHER = 5
+START_BATCH_SIZE = 5
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
 async def _configure(fleet: Fleet, services: int) -> None:
     addresses = await fleet.start_backend(count=ENDPOINTS_PER_SERVICE)
     platform = HttpPlatform(fleet.platform_url)
-    for change in publishes(services, addresses, DATA_CENTERS):
+    for change in publish_changes(services, addresses, DATA_CENTERS):
         await platform.append(CONFIG_STREAM, encode_record(change))
     await platform.close()
     last = (services - 1) // SERVICES_PER_BRAND
@@ -69,9 +69,9 @@
 
 
 async def _start(fleet: Fleet, daemons: int) -> None:
-    for first in range(0, daemons, STARTED_TOGETHER):
+    for first in range(0, daemons, START_BATCH_SIZE):
         async with asyncio.TaskGroup() as group:
-            for index in range(first, min(daemons, first + STARTED_TOGETHER)):
+            for index in range(first, min(daemons, first + START_BATCH_SIZE)):
                 center = DATA_CENTERS[index % len(DATA_CENTERS)]
                 group.create_task(fleet.start_daemon(f"vm-{index}", center))
         await fleet.list_vms()
--- a/bench/fleets.py
+++ b/bench/fleets.py
@@ -39,17 +39,17 @@
 
     @classmethod
     async def start(
-        cls, fleet: Fleet, file: str, service: str, way: str, daemons: int, work_ms: float
+        cls, fleet: Fleet, file: str, service: str, algorithm: str, daemons: int, work_ms: float
     ) -> "ServiceFleet":
         """Start backend servers and daemons that choose by a way."""
         deployment = Deployment.from_file(EXAMPLES / file).only(service)
-        if way != "cloverhook":
+        if algorithm != "cloverhook":
             deployment = deployment.with_home_vms(daemons)
         centers = deployment.data_centers
         attempts_files = [fleet.folder / f"attempts-{index}.txt" for index in range(daemons)]
         async with asyncio.TaskGroup() as group:
             for index, attempts_file in enumerate(attempts_files):
-                arguments = (f"--way={way}", f"--attempts_file={attempts_file}")
+                arguments = (f"--way={algorithm}", f"--attempts_file={attempts_file}")
                 center = centers[index % len(centers)]
                 group.create_task(
                     fleet.start_daemon(f"vm-{index}", center, BENCH_DAEMON, arguments)
--- a/bench/gateway_loads.py
+++ b/bench/gateway_loads.py
@@ -14,15 +14,15 @@
     worth: float
     priority: int
     work_ms: float
-    aim_ms: float
+    objective_ms: float
     timeout_ms: float
     deadline_ms: float
-    repeatable: bool = True
+    idempotent: bool = True
 
 
 KINDS = (
     Kind("check", 0.7, 1.0, 2, 120.0, 300.0, 800.0, 1_500.0),
-    Kind("cancel", 0.3, 2.0, 1, 160.0, 400.0, 1_000.0, 2_000.0, repeatable=False),
+    Kind("cancel", 0.3, 2.0, 1, 160.0, 400.0, 1_000.0, 2_000.0, idempotent=False),
 )
 
 
@@ -44,21 +44,21 @@
     endpoints: int = 8
     slots: int = 2
     queue: int = 4
-    knee: float = 1.7
+    last_slot_factor: float = 1.7
     slow_share: float = 0.25
-    slow_by: float = 4.0
-    slow_every_ms: float = 300.0
-    probe_ms: float = 60.0
-    lying_share: float = 0.0
-    lying_from_ms: float = 3_000.0
+    slow_factor: float = 4.0
+    slow_redraw_ms: float = 300.0
+    probe_interval_ms: float = 60.0
+    silent_failure_share: float = 0.0
+    silent_failure_from_ms: float = 3_000.0
     hanging: bool = False
-    lost_share: float = 0.0
+    lost_answer_share: float = 0.0
     shedding_share: float = 0.0
     down_share: float = 0.0
-    cut_off: int = 0
-    cut_from_ms: float = 3_000.0
-    own_group: int = 24
-    own_probe_ms: float = 167.0
+    isolated_vms: int = 0
+    isolated_from_ms: float = 3_000.0
+    isolated_probe_count: int = 24
+    isolated_probe_ms: float = 167.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,7 +69,7 @@
     burst: float = 1.0
     burst_from_ms: float = 4_000.0
     burst_to_ms: float = 9_000.0
-    length_ms: float = 14_000.0
+    duration_ms: float = 14_000.0
     kinds: tuple[Kind, ...] = KINDS
 
 
--- a/bench/gateway_replay.py
+++ b/bench/gateway_replay.py
@@ -36,20 +36,20 @@
 SERVICE = "alerts"
 DATA_CENTER = "here"
 TICK_MS = 50.0
-NEWS_MS = 3.0
+PEER_UPDATE_MS = 3.0
 """From a change to the moment at which a neighbour has counted it: gathering, and the way."""
-WAY_MS = 1.0
+ONE_WAY_MS = 1.0
 """From the caller to a gateway, and from there to an endpoint."""
-SPREAD = 0.3
+WORK_SIGMA = 0.3
 """Of the logarithm of the work of one request."""
 LATE_CREDIT = 0.1
 WINDOW_MS = 2_000.0
 WORST_WINDOWS = 2
 SHED_SHARE = 0.55
 """An endpoint that sheds turns this part of what it gets away."""
-REPEAT_SHARE = 0.2
-SENDS = 4
-ATTEMPTS = 2
+RETRY_SHARE = 0.2
+MAX_SENDS = 4
+MAX_ATTEMPTS = 2
 """A request that can be repeated is sent to so many endpoints at most."""
 
 
@@ -58,7 +58,7 @@
     kind: Kind
     first_ms: float
     until_ms: float
-    tries: int = 0
+    offers: int = 0
     result: str = ""
     tried: list[str] = field(default_factory=list)
 
@@ -69,39 +69,39 @@
     vm: "_Vm"
     choice: Choice
     until_ms: float
-    begun_ms: float = 0.0
-    over: bool = False
+    started_ms: float = 0.0
+    ended: bool = False
     running: bool = False
 
 
 @dataclass(slots=True)
 class _Endpoint:
     server: BackendServer
-    pace: float = 1.0
+    slowdown: float = 1.0
     running: list[_Work] = field(default_factory=list)
     queued: list[_Work] = field(default_factory=list)
-    lies: bool = False
+    fails_silently: bool = False
     sheds: bool = False
     down: bool = False
 
-    def figure(self) -> LoadReport:
-        return LoadReport(len(self.running), len(self.queued), self.pace, not self.down)
+    def load_report(self) -> LoadReport:
+        return LoadReport(len(self.running), len(self.queued), self.slowdown, not self.down)
 
 
 class _Vm:
     def __init__(self, name: str, registry: Registry, source: random.Random) -> None:
         self.name = name
-        self.board = LoadTable()
+        self.load_table = LoadTable()
         self.estimates = WorkEstimates()
-        balancer = Balancer(registry, self.board, self.estimates, DATA_CENTER, source)
-        self.line = RequestQueue(balancer)
-        self.cut_off = False
+        balancer = Balancer(registry, self.load_table, self.estimates, DATA_CENTER, source)
+        self.queue = RequestQueue(balancer)
+        self.isolated = False
         self.requests: dict[QueuedRequest, _Request] = {}
-        self.arrivals = self.repeats = 0
+        self.arrivals = self.retries = 0
 
-    def may_repeat(self) -> bool:
+    def can_retry(self) -> bool:
         """Return whether another repeat stays within what is allowed of this VM's requests."""
-        return self.repeats + 1 <= REPEAT_SHARE * self.arrivals
+        return self.retries + 1 <= RETRY_SHARE * self.arrivals
 
 
 class _Replay:
@@ -118,11 +118,11 @@
                 f"i-{number}", SERVICE, f"10.0.0.{number}:1", DATA_CENTER, deployment.slots
             )
             registry.apply(ServerRecord(server.name, number, server), 0.0, False)
-            lies = number < deployment.lying_share * deployment.endpoints
+            fails_silently = number < deployment.silent_failure_share * deployment.endpoints
             sheds = number < deployment.shedding_share * deployment.endpoints
             down = number < deployment.down_share * deployment.endpoints
             self.endpoints[server.incarnation] = _Endpoint(
-                server, 1.0, lies=lies, sheds=sheds, down=down
+                server, 1.0, fails_silently=fails_silently, sheds=sheds, down=down
             )
         self.vms = [_Vm(f"vm-{x}", registry, self.source) for x in range(deployment.vms)]
         self.requests: list[_Request] = []
@@ -133,13 +133,13 @@
         heapq.heappush(self._events, (at_ms, next(self._numbers), action))
 
     def run(self) -> Outcome:
-        self._draw_paces()
+        self._draw_slowdowns()
         self._probe()
         self._tick()
-        if self.deployment.cut_off:
-            self.at(self.deployment.cut_from_ms, self._cut_off)
+        if self.deployment.isolated_vms:
+            self.at(self.deployment.isolated_from_ms, self._isolate_vms)
         self._next_arrival()
-        while self._events and self.now_ms < self.load.length_ms + 3_000.0:
+        while self._events and self.now_ms < self.load.duration_ms + 3_000.0:
             self.now_ms, _, action = heapq.heappop(self._events)
             action()
         return self._outcome()
@@ -152,7 +152,7 @@
         if load.burst_from_ms <= self.now_ms < load.burst_to_ms:
             rate_per_s *= load.burst
         at_ms = self.now_ms + self.source.expovariate(rate_per_s) * 1_000
-        if at_ms < load.length_ms:
+        if at_ms < load.duration_ms:
             self.at(at_ms, self._arrival)
 
     def _arrival(self) -> None:
@@ -165,69 +165,69 @@
     def _offer(self, request: _Request) -> None:
         vm = self.source.choice(self.vms)
         vm.arrivals += 1
-        request.tries += 1
+        request.offers += 1
         kind = request.kind
-        waiter = QueuedRequest(
+        queued = QueuedRequest(
             SERVICE,
             kind.priority,
-            vm.estimates.work_ms(kind.name, kind.aim_ms),
-            self.now_ms + WAY_MS,
-            kind.aim_ms,
+            vm.estimates.work_ms(kind.name, kind.objective_ms),
+            self.now_ms + ONE_WAY_MS,
+            kind.objective_ms,
             min(self.now_ms + kind.timeout_ms, request.until_ms),
             is_top_priority=kind.priority <= min(item.priority for item in self.load.kinds),
-            retryable=kind.repeatable,
+            retryable=kind.idempotent,
         )
-        vm.requests[waiter] = request
-        self.at(self.now_ms + WAY_MS, lambda: (vm.line.add(waiter), self._look(vm)))
+        vm.requests[queued] = request
+        self.at(self.now_ms + ONE_WAY_MS, lambda: (vm.queue.add(queued), self._admit_ready(vm)))
 
-    def _look(self, vm: _Vm) -> None:
-        while (decision := vm.line.next(SERVICE, self.now_ms)) is not None:
+    def _admit_ready(self, vm: _Vm) -> None:
+        while (decision := vm.queue.next(SERVICE, self.now_ms)) is not None:
             request = vm.requests.pop(decision.waiter)
             if decision.choice is None:
-                self._refuse(request, vm)
+                self._reject(request, vm)
             else:
                 self._start(request, vm, decision.choice, decision.waiter.deadline_ms)
 
-    def _refuse(self, request: _Request, vm: _Vm) -> None:
-        back_ms = self.source.uniform(*RETRY_AFTER_RANGE_MS)
-        left_ms = request.until_ms - self.now_ms
-        if request.tries > 1 or back_ms > left_ms / 3:
+    def _reject(self, request: _Request, vm: _Vm) -> None:
+        retry_after_ms = self.source.uniform(*RETRY_AFTER_RANGE_MS)
+        remaining_ms = request.until_ms - self.now_ms
+        if request.offers > 1 or retry_after_ms > remaining_ms / 3:
             request.result = "refused"
         else:
-            self.at(self.now_ms + back_ms + 2 * WAY_MS, lambda: self._offer(request))
+            self.at(self.now_ms + retry_after_ms + 2 * ONE_WAY_MS, lambda: self._offer(request))
 
     # The endpoints.
 
     def _start(self, request: _Request, vm: _Vm, choice: Choice, until_ms: float) -> None:
-        self._count(vm, choice, 1)
+        self._change_in_flight(vm, choice, 1)
         work = _Work(request, vm, choice, until_ms, self.now_ms)
-        self.at(self.now_ms + WAY_MS, lambda: self._at_endpoint(work))
+        self.at(self.now_ms + ONE_WAY_MS, lambda: self._at_endpoint(work))
         self.at(until_ms, lambda: self._give_up(work))
 
-    def _count(self, vm: _Vm, choice: Choice, change: int) -> None:
+    def _change_in_flight(self, vm: _Vm, choice: Choice, change: int) -> None:
         name = choice.server.incarnation
-        load = vm.board.get_or_create(name)
+        load = vm.load_table.get_or_create(name)
         load.in_flight += change
         count = load.in_flight
-        self.at(self.now_ms + NEWS_MS, lambda: self._told(vm, name, count))
+        self.at(self.now_ms + PEER_UPDATE_MS, lambda: self._receive_in_flight(vm, name, count))
 
-    def _told(self, vm: _Vm, name: str, count: int) -> None:
+    def _receive_in_flight(self, vm: _Vm, name: str, count: int) -> None:
         for other in self.vms:
-            if other is not vm and not (vm.cut_off or other.cut_off):
-                other.board.get_or_create(name).set_peer_in_flight(vm.name, count, self.now_ms)
-                self._look(other)
+            if other is not vm and not (vm.isolated or other.isolated):
+                other.load_table.get_or_create(name).set_peer_in_flight(vm.name, count, self.now_ms)
+                self._admit_ready(other)
 
     def _at_endpoint(self, work: _Work) -> None:
         endpoint = self.endpoints[work.choice.server.incarnation]
         self.arrivals += 1
-        if endpoint.lies and self.now_ms >= self.deployment.lying_from_ms:
+        if endpoint.fails_silently and self.now_ms >= self.deployment.silent_failure_from_ms:
             if not self.deployment.hanging:
-                self.at(self.now_ms + WAY_MS, lambda: self._failed(work))
+                self.at(self.now_ms + ONE_WAY_MS, lambda: self._handle_failure(work))
             return
         if endpoint.down:
-            self.at(self.now_ms + WAY_MS, lambda: self._not_reached(work))
+            self.at(self.now_ms + ONE_WAY_MS, lambda: self._handle_unreachable(work))
         elif endpoint.sheds and self.source.random() < SHED_SHARE:
-            self.at(self.now_ms + WAY_MS, lambda: self._shed(work))
+            self.at(self.now_ms + ONE_WAY_MS, lambda: self._handle_shed(work))
         elif len(endpoint.running) < self.deployment.slots:
             self._run(endpoint, work)
         elif len(endpoint.queued) < self.deployment.queue:
@@ -239,24 +239,29 @@
         work.running = True
         endpoint.running.append(work)
         kind, deployment = work.request.kind, self.deployment
-        took_ms = kind.work_ms * self.source.lognormvariate(-SPREAD * SPREAD / 2, SPREAD)
-        took_ms *= endpoint.pace
+        took_ms = kind.work_ms * self.source.lognormvariate(
+            -WORK_SIGMA * WORK_SIGMA / 2, WORK_SIGMA
+        )
+        took_ms *= endpoint.slowdown
         if deployment.slots > 1 and len(endpoint.running) == deployment.slots:
-            took_ms *= deployment.knee
+            took_ms *= deployment.last_slot_factor
         self.at(self.now_ms + took_ms, lambda: self._done(endpoint, work))
 
     def _done(self, endpoint: _Endpoint, work: _Work) -> None:
-        if work.over:
+        if work.ended:
             return
-        self._leave(endpoint, work)
-        lost = self.deployment.lost_share and self.source.random() < self.deployment.lost_share
+        self._remove_work(endpoint, work)
+        lost = (
+            self.deployment.lost_answer_share
+            and self.source.random() < self.deployment.lost_answer_share
+        )
         if lost:
-            self.at(self.now_ms + WAY_MS, lambda: self._failed(work))
+            self.at(self.now_ms + ONE_WAY_MS, lambda: self._handle_failure(work))
         else:
-            self.at(self.now_ms + WAY_MS, lambda: self._answered(endpoint, work))
+            self.at(self.now_ms + ONE_WAY_MS, lambda: self._handle_answer(endpoint, work))
 
-    def _leave(self, endpoint: _Endpoint, work: _Work) -> None:
-        work.over = True
+    def _remove_work(self, endpoint: _Endpoint, work: _Work) -> None:
+        work.ended = True
         if work in endpoint.running:
             endpoint.running.remove(work)
             if endpoint.queued:
@@ -264,138 +269,139 @@
         elif work in endpoint.queued:
             endpoint.queued.remove(work)
 
-    def _answered(self, endpoint: _Endpoint, work: _Work) -> None:
+    def _handle_answer(self, endpoint: _Endpoint, work: _Work) -> None:
         vm, choice, kind = work.vm, work.choice, work.request.kind
-        load = vm.board.get_or_create(choice.server.incarnation)
-        load.update(endpoint.figure(), self.now_ms, ended_count=1)
+        load = vm.load_table.get_or_create(choice.server.incarnation)
+        load.update(endpoint.load_report(), self.now_ms, ended_count=1)
         load.record_success(self.now_ms)
         load.circuit_breaker.record_answer(self.now_ms)
-        latency_ms = self.now_ms - work.begun_ms
+        latency_ms = self.now_ms - work.started_ms
         if choice.load < choice.server.slots:
-            vm.estimates.record_latency(kind.name, kind.aim_ms, latency_ms, choice)
-        total_ms = self.now_ms + WAY_MS - work.request.first_ms
-        work.request.result = "in aim" if total_ms <= kind.aim_ms else "late"
-        self._count(vm, choice, -1)
-        self._look(vm)
+            vm.estimates.record_latency(kind.name, kind.objective_ms, latency_ms, choice)
+        total_ms = self.now_ms + ONE_WAY_MS - work.request.first_ms
+        work.request.result = "in aim" if total_ms <= kind.objective_ms else "late"
+        self._change_in_flight(vm, choice, -1)
+        self._admit_ready(vm)
 
-    def _failed(self, work: _Work) -> None:
+    def _handle_failure(self, work: _Work) -> None:
         """Tell all VMs of a failure, and send the request elsewhere if that may be done."""
-        work.over = True
+        work.ended = True
         vm, request, kind = work.vm, work.request, work.request.kind
-        self._count(vm, work.choice, -1)
-        self._distrust(work)
+        self._change_in_flight(vm, work.choice, -1)
+        self._record_failure(work)
         request.result = "failed"
         request.tried.append(work.choice.server.incarnation)
-        if kind.repeatable and len(request.tried) < ATTEMPTS:
-            choice = vm.line._balancer.choose(
+        if kind.idempotent and len(request.tried) < MAX_ATTEMPTS:
+            choice = vm.queue._balancer.choose(
                 SERVICE, kind.work_ms, self.now_ms, request.tried, CapacityRequirement.FREE_SLOT
             )
             if choice is not None:
                 self._start(request, vm, choice, work.until_ms)
-        self._look(vm)
+        self._admit_ready(vm)
 
-    def _shed(self, work: _Work) -> None:
+    def _handle_shed(self, work: _Work) -> None:
         """Tell all VMs that an endpoint turned a request away with room, and send it elsewhere."""
-        work.over = True
+        work.ended = True
         vm, name = work.vm, work.choice.server.incarnation
-        self._count(vm, work.choice, -1)
-        vm.board.get_or_create(name).record_end(self.now_ms)
+        self._change_in_flight(vm, work.choice, -1)
+        vm.load_table.get_or_create(name).record_end(self.now_ms)
         for other in self.vms:
-            delay_ms = 0.0 if other is vm else NEWS_MS
-            load = other.board.get_or_create(name)
+            delay_ms = 0.0 if other is vm else PEER_UPDATE_MS
+            load = other.load_table.get_or_create(name)
             self.at(self.now_ms + delay_ms, lambda load=load: load.record_refusal(self.now_ms))
-        vm.repeats += self._send_on(work, vm.may_repeat())
+        vm.retries += self._resend(work, vm.can_retry())
 
-    def _not_reached(self, work: _Work) -> None:
+    def _handle_unreachable(self, work: _Work) -> None:
         """Find nobody at an endpoint: the request has not run, and may go elsewhere at once."""
-        work.over = True
+        work.ended = True
         name = work.choice.server.incarnation
-        self._count(work.vm, work.choice, -1)
-        work.vm.board.get_or_create(name).record_unreachable(self.now_ms)
-        self._send_on(work, allowed=True)
+        self._change_in_flight(work.vm, work.choice, -1)
+        work.vm.load_table.get_or_create(name).record_unreachable(self.now_ms)
+        self._resend(work, allowed=True)
 
-    def _send_on(self, work: _Work, allowed: bool) -> bool:
+    def _resend(self, work: _Work, allowed: bool) -> bool:
         """Send a request that has not run to another endpoint, or refuse it and return False."""
         vm, request = work.vm, work.request
         request.tried.append(work.choice.server.incarnation)
         choice = None
-        if len(request.tried) < SENDS and allowed:
-            work_ms = vm.estimates.work_ms(request.kind.name, request.kind.aim_ms)
-            choice = vm.line._balancer.choose(
+        if len(request.tried) < MAX_SENDS and allowed:
+            work_ms = vm.estimates.work_ms(request.kind.name, request.kind.objective_ms)
+            choice = vm.queue._balancer.choose(
                 SERVICE, work_ms, self.now_ms, request.tried, CapacityRequirement.FREE_SLOT
             )
         if choice is None:
             request.tried.clear()
-            self._refuse(request, vm)
+            self._reject(request, vm)
         else:
             self._start(request, vm, choice, work.until_ms)
-        self._look(vm)
+        self._admit_ready(vm)
         return choice is not None
 
-    def _distrust(self, work: _Work) -> None:
-        name, began_ms = work.choice.server.incarnation, work.begun_ms
-        load = work.vm.board.get_or_create(name)
+    def _record_failure(self, work: _Work) -> None:
+        name, began_ms = work.choice.server.incarnation, work.started_ms
+        load = work.vm.load_table.get_or_create(name)
         answered = load.circuit_breaker.answered_since(self.now_ms - RECENT_ANSWER_MS)
         load.record_failure(self.now_ms)
         load.circuit_breaker.record_failure(self.now_ms, began_ms)
         for other in self.vms:
-            if other is not work.vm and not (work.vm.cut_off or other.cut_off):
-                trust = other.board.get_or_create(name).circuit_breaker
-                news = functools.partial(self._told_failure, trust, began_ms, answered)
-                self.at(self.now_ms + NEWS_MS, news)
+            if other is not work.vm and not (work.vm.isolated or other.isolated):
+                breaker = other.load_table.get_or_create(name).circuit_breaker
+                peer_update = functools.partial(self._receive_failure, breaker, began_ms, answered)
+                self.at(self.now_ms + PEER_UPDATE_MS, peer_update)
 
-    def _told_failure(self, trust: CircuitBreaker, began_ms: float, answered: bool) -> None:
-        trust.record_peer_failure(self.now_ms, began_ms, answered)
+    def _receive_failure(self, breaker: CircuitBreaker, began_ms: float, answered: bool) -> None:
+        breaker.record_peer_failure(self.now_ms, began_ms, answered)
 
     def _give_up(self, work: _Work) -> None:
-        if work.over:
+        if work.ended:
             return
-        if self.endpoints[work.choice.server.incarnation].lies:
-            self._distrust(work)
-        self._leave(self.endpoints[work.choice.server.incarnation], work)
+        if self.endpoints[work.choice.server.incarnation].fails_silently:
+            self._record_failure(work)
+        self._remove_work(self.endpoints[work.choice.server.incarnation], work)
         work.request.result = "failed"
-        self._count(work.vm, work.choice, -1)
-        self._look(work.vm)
+        self._change_in_flight(work.vm, work.choice, -1)
+        self._admit_ready(work.vm)
 
     # What goes on without requests.
 
-    def _draw_paces(self) -> None:
+    def _draw_slowdowns(self) -> None:
         for endpoint in self.endpoints.values():
             slow = self.source.random() < self.deployment.slow_share
-            endpoint.pace = self.deployment.slow_by if slow else 1.0
-        self.at(self.now_ms + self.deployment.slow_every_ms, self._draw_paces)
+            endpoint.slowdown = self.deployment.slow_factor if slow else 1.0
+        self.at(self.now_ms + self.deployment.slow_redraw_ms, self._draw_slowdowns)
 
     def _probe(self) -> None:
         for name, endpoint in self.endpoints.items():
-            figure, at_ms = endpoint.figure(), self.now_ms
-            self.at(at_ms + NEWS_MS, lambda x=(name, figure, at_ms): self._measured(*x))
-        self.at(self.now_ms + self.deployment.probe_ms, self._probe)
+            report, at_ms = endpoint.load_report(), self.now_ms
+            self.at(at_ms + PEER_UPDATE_MS, lambda x=(name, report, at_ms): self._receive_probe(*x))
+        self.at(self.now_ms + self.deployment.probe_interval_ms, self._probe)
 
-    def _measured(self, name: str, figure: LoadReport, at_ms: float) -> None:
+    def _receive_probe(self, name: str, report: LoadReport, at_ms: float) -> None:
         for vm in self.vms:
-            if not vm.cut_off:
-                vm.board.get_or_create(name).update_from_probe(figure, at_ms)
+            if not vm.isolated:
+                vm.load_table.get_or_create(name).update_from_probe(report, at_ms)
 
-    def _cut_off(self) -> None:
+    def _isolate_vms(self) -> None:
         """Let some VMs hear no other one from now on."""
-        group = min(self.deployment.own_group, len(self.endpoints))
-        for vm in self.vms[: self.deployment.cut_off]:
-            vm.cut_off = True
-            self._probe_for_itself(vm, self.source.sample(list(self.endpoints), group))
+        group = min(self.deployment.isolated_probe_count, len(self.endpoints))
+        for vm in self.vms[: self.deployment.isolated_vms]:
+            vm.isolated = True
+            self._probe_while_isolated(vm, self.source.sample(list(self.endpoints), group))
 
-    def _probe_for_itself(self, vm: _Vm, names: list[str]) -> None:
+    def _probe_while_isolated(self, vm: _Vm, names: list[str]) -> None:
         """Let a VM that hears no other measure some endpoints."""
         for name in names:
-            vm.board.get_or_create(name).update_from_probe(
-                self.endpoints[name].figure(), self.now_ms
+            vm.load_table.get_or_create(name).update_from_probe(
+                self.endpoints[name].load_report(), self.now_ms
             )
         self.at(
-            self.now_ms + self.deployment.own_probe_ms, lambda: self._probe_for_itself(vm, names)
+            self.now_ms + self.deployment.isolated_probe_ms,
+            lambda: self._probe_while_isolated(vm, names),
         )
 
     def _tick(self) -> None:
         for vm in self.vms:
-            self._look(vm)
+            self._admit_ready(vm)
         self.at(self.now_ms + TICK_MS, self._tick)
 
     # The result.
@@ -436,7 +442,7 @@
     found = []
     for vms, probe_ms in ((1, 10.0), (5, 60.0), (16, 60.0)):
         for load in (Load(35.0), Load(35.0, 1.6), Load(50.0, 1.6)):
-            deployment = Deployment(vms=vms, probe_ms=probe_ms)
+            deployment = Deployment(vms=vms, probe_interval_ms=probe_ms)
             outcomes = [play(deployment, load, seed) for seed in seeds]
             figures = [
                 sum(getattr(item, name) for item in outcomes) / len(outcomes)
--- a/bench/many_services.py
+++ b/bench/many_services.py
@@ -6,7 +6,7 @@
 
 from cloverhook.records import Change, Publish
 
-__all__ = ["ENDPOINTS_PER_SERVICE", "SERVICES_PER_BRAND", "brand_document", "publishes"]
+__all__ = ["ENDPOINTS_PER_SERVICE", "SERVICES_PER_BRAND", "brand_document", "publish_changes"]
 
 SERVICES_PER_BRAND = 10
 ENDPOINTS_PER_SERVICE = 8
@@ -33,7 +33,7 @@
     }
 
 
-def publishes(
+def publish_changes(
     services: int, addresses: Sequence[str], data_centers: Sequence[str]
 ) -> Iterator[Change]:
     """Return the changes that put so many services in force, a brand each."""
--- a/bench/membership_cost.py
+++ b/bench/membership_cost.py
@@ -21,7 +21,7 @@
 SIMULATED_S = 60
 WARM_UP_S = 5
 TICK_MS = 50
-BEAT_TICKS = 5
+TICKS_PER_HEARTBEAT = 5
 FRAME_BYTES = 4 + 20 + 20
 
 
@@ -70,13 +70,13 @@
         self.membership.linked = set(self.links)
         self.membership.handle(Tick(), self.now_ms)
 
-    def let_pass(self, duration_s: int, changes: bool) -> None:
+    def advance(self, duration_s: int, changes: bool) -> None:
         for tick in range(duration_s * 1_000 // TICK_MS):
             self.tick()
-            if tick % BEAT_TICKS == 0:
-                self.beat()
+            if tick % TICKS_PER_HEARTBEAT == 0:
+                self.deliver_heartbeats()
             if changes and tick % (1_000 // TICK_MS) == 0:
-                self.change()
+                self.deliver_change()
 
     def receive(self, vm: str, message: Message) -> None:
         data = encode(message)
@@ -92,12 +92,12 @@
         self._send(self.membership.handle(Tick(), self.now_ms))
         self.cost.cpu_s += time.process_time() - started_s
 
-    def beat(self) -> None:
+    def deliver_heartbeats(self) -> None:
         for vm in self.links:
             digest = self.membership.table.digest
             self.receive(vm, Heartbeat(vm, 0, 0, False, self.sequences[vm], digest))
 
-    def change(self) -> None:
+    def deliver_change(self) -> None:
         member = self.random.choice(self.others)
         self.sequences[member.vm] += 1
         update = replace(member, sequence=self.sequences[member.vm]).to_update()
@@ -113,9 +113,9 @@
 def measure(count: int, changes: bool) -> Cost:
     """Return the cost of one simulated minute with `count` members."""
     run = _Run(count)
-    run.let_pass(WARM_UP_S, changes)
+    run.advance(WARM_UP_S, changes)
     run.cost = Cost()
-    run.let_pass(SIMULATED_S, changes)
+    run.advance(SIMULATED_S, changes)
     return run.cost
 
 
--- a/bench/outage.py
+++ b/bench/outage.py
@@ -36,7 +36,7 @@
         )
         rate = running.slots / WORK_MS * 1000 * UTILIZATION
         start_ms = time.time() * 1000 + START_DELAY_MS
-        outage = asyncio.create_task(_outage(fleet, start_ms))
+        outage = asyncio.create_task(_run_outage(fleet, start_ms))
         phases = [(rate, BEFORE_S + DOWN_S + AFTER_S)]
         _, ends, _ = await running.load(phases, start_ms, "--callers=60")
         down_ms, up_ms = await outage
@@ -52,7 +52,7 @@
     ]
 
 
-async def _outage(fleet: Fleet, start_ms: float) -> tuple[float, float]:
+async def _run_outage(fleet: Fleet, start_ms: float) -> tuple[float, float]:
     await asyncio.sleep(max(0.0, start_ms / 1000 + BEFORE_S - time.time()))
     down_ms = time.time() * 1000
     await fleet.set_faults({"down": True})
--- a/bench/profile_path.py
+++ b/bench/profile_path.py
@@ -9,7 +9,7 @@
 import sys
 from collections import Counter
 
-from bench.added import close_loop, start_daemon
+from bench.added import run_closed_loop, start_daemon
 from cloverhook_emulator.fleet_runner import Fleet
 
 __all__ = ["profile_path"]
@@ -24,7 +24,7 @@
     async with Fleet() as fleet:
         path = fleet.folder / "profile.out"
         _, address = await start_daemon(fleet, ("--run_with_profiling", f"--profile_file={path}"))
-        calls = len(await close_loop(address, CONNECTIONS, SECONDS, Counter()))
+        calls = len(await run_closed_loop(address, CONNECTIONS, SECONDS, Counter()))
         daemon = fleet.daemons["vm-0"].process
         await daemon.stop(signal.SIGTERM)
         stats = pstats.Stats(str(path)).stats
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -11,10 +11,10 @@
 
 from bench.figures import Figure, check_bounds
 from bench.replay_traces import DEPLOYMENTS, SCENARIOS, Deployment, Scenario
-from bench.replay_ways import ALONE, WAYS, replay
+from bench.replay_ways import ALGORITHMS, LOCAL_ALGORITHMS, replay
 from bench.replay_world import Result
 
-__all__ = ["Row", "figures_of", "main", "run"]
+__all__ = ["Row", "build_figures", "main", "run"]
 
 SEEDS = (1, 2, 3, 4, 5)
 WORKERS = 8
@@ -27,7 +27,7 @@
 
     service: str
     scenario: str
-    way: str
+    algorithm: str
     p50_ms: float
     p99_ms: float
     p999_ms: float
@@ -47,14 +47,14 @@
     late_goodput: float
 
     @classmethod
-    def from_result(cls, service: str, scenario: str, way: str, result: Result) -> "Row":
+    def from_result(cls, service: str, scenario: str, algorithm: str, result: Result) -> "Row":
         """Work out the measures of a result."""
         thousands = max(1, result.calls) / 1000
         latency = sorted(result.latency)
         return cls(
             service,
             scenario,
-            way,
+            algorithm,
             _quantile(latency, 0.5),
             _quantile(latency, 0.99),
             _quantile(latency, 0.999),
@@ -79,20 +79,20 @@
     seeds: tuple[int, ...] = SEEDS,
     scenarios: tuple[Scenario, ...] = SCENARIOS,
     deployments: tuple[Deployment, ...] = DEPLOYMENTS,
-    ways: tuple[str, ...] = tuple(WAYS),
+    algorithms: tuple[str, ...] = tuple(ALGORITHMS),
     workers: int = WORKERS,
 ) -> list[Row]:
     """Replay every scenario of every service in every way and return the measures."""
-    keys = [(d, s, w) for s in scenarios for d in deployments for w in ways]
+    keys = [(d, s, w) for s in scenarios for d in deployments for w in algorithms]
     tasks = [(*key, seed) for key in keys for seed in seeds]
     with ProcessPoolExecutor(workers) as pool:
         results = list(pool.map(replay, *zip(*tasks, strict=True), chunksize=1))
     rows: list[Row] = []
-    for index, (deployment, scenario, way) in enumerate(keys):
+    for index, (deployment, scenario, algorithm) in enumerate(keys):
         total = Result()
         for result in results[index * len(seeds) : (index + 1) * len(seeds)]:
             total.add(result)
-        rows.append(Row.from_result(deployment.name, scenario.name, way, total))
+        rows.append(Row.from_result(deployment.name, scenario.name, algorithm, total))
     return rows
 
 
@@ -111,22 +111,26 @@
     rows = run(scenarios=chosen)
     for row in rows:
         print(
-            f"{row.scenario:22}{row.service:19}{row.way:16}{row.p50_ms:6.1f}{row.p99_ms:7.1f}"
+            f"{row.scenario:22}{row.service:19}{row.algorithm:16}{row.p50_ms:6.1f}{row.p99_ms:7.1f}"
             f"{row.p999_ms:7.1f}{row.wait_p99_ms:8.1f}{row.goodput * 100:7.2f}{row.failed:6}"
             f"{row.refused:7}{row.lost_with_vm:6}{row.doubled:4}{row.attempts_per_call:6.3f}"
             f"{row.messages_per_1000:7.0f}{row.bytes_per_1000:7.0f}"
             f"{row.busiest_vm_bytes_per_s:8.0f}{row.probes_per_1000:7.2f}"
             f"{row.high_p99_ms:8.1f}{row.high_burst_p99_ms:8.1f}"
         )
-    return 1 if check_bounds(figures_of(rows)) else 0
+    return 1 if check_bounds(build_figures(rows)) else 0
 
 
-def figures_of(rows: list[Row]) -> list[Figure]:
+def build_figures(rows: list[Row]) -> list[Figure]:
     """Return what the bounds hold for: for each scenario the worst ratio among the services."""
     figures: list[Figure] = []
     for scenario in dict.fromkeys(row.scenario for row in rows):
         groups = [
-            {row.way: row for row in rows if (row.scenario, row.service) == (scenario, service)}
+            {
+                row.algorithm: row
+                for row in rows
+                if (row.scenario, row.service) == (scenario, service)
+            }
             for service in dict.fromkeys(row.service for row in rows)
         ]
         name = f"replay.{scenario}"
@@ -150,7 +154,7 @@
 
 
 def _waiting_ratio(group: dict[str, Row]) -> float:
-    best = min(group[way].wait_p99_ms for way in ALONE)
+    best = min(group[name].wait_p99_ms for name in LOCAL_ALGORITHMS)
     return group["cloverhook"].wait_p99_ms / best
 
 
--- a/bench/replay_traces.py
+++ b/bench/replay_traces.py
@@ -5,7 +5,7 @@
 
 from cloverhook.fleet import Priority
 
-__all__ = ["DEPLOYMENTS", "SCENARIOS", "Call", "Deployment", "Scenario", "Trouble", "calls_of"]
+__all__ = ["DEPLOYMENTS", "SCENARIOS", "Call", "Deployment", "Scenario", "Fault", "generate_calls"]
 
 WORK_MEAN_MS = 20.0
 WORK_SIGMA = 0.8
@@ -22,7 +22,7 @@
 
     name: str
     data_centers: tuple[str, ...]
-    way_ms: float
+    one_way_ms: float
     endpoints: int
     slots: int
 
@@ -38,7 +38,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class Fault:
     """What happens to some endpoints from `from_ms` until `to_ms`.
 
     The kind is `slow` (by `factor`), `down`, `failing` or `draining`.
@@ -57,14 +57,14 @@
 
     name: str
     load: float
-    troubles: tuple[Trouble, ...] = ()
+    faults: tuple[Fault, ...] = ()
     burst: tuple[float, float] | None = None
-    lost_home_ms: float | None = None
+    home_lost_ms: float | None = None
     stale_share: float = 0.0
-    unequal: bool = False
+    unequal_callers: bool = False
     run_ms: float = RUN_MS
     slow_share: float = 0.0
-    mixed: bool = False
+    mixed_priorities: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -80,25 +80,25 @@
     extra_ms: float = field(default=0.0)
 
 
-SLOW = tuple(Trouble("slow", (0,), 1_000.0 + i, 1_500.0 + i, 5.0) for i in (0.0, 2_000.0))
+SLOW = tuple(Fault("slow", (0,), 1_000.0 + i, 1_500.0 + i, 5.0) for i in (0.0, 2_000.0))
 ALL = tuple(range(20))
 SCENARIOS = (
     Scenario("steady-70", 0.7),
     Scenario("steady-90", 0.9),
     Scenario("slow-90", 0.9, SLOW),
     Scenario("third-slow-70", 0.7, slow_share=1 / 3),
-    Scenario("failing-70", 0.7, (Trouble("failing", (1,), 1_500.0, 4_000.0),)),
-    Scenario("draining-70", 0.7, (Trouble("draining", (1,), 1_500.0, 9e9),)),
-    Scenario("burst-70", 0.7, burst=(2_000.0, 2_200.0), mixed=True),
-    Scenario("home-lost-90", 0.9, lost_home_ms=2_000.0),
+    Scenario("failing-70", 0.7, (Fault("failing", (1,), 1_500.0, 4_000.0),)),
+    Scenario("draining-70", 0.7, (Fault("draining", (1,), 1_500.0, 9e9),)),
+    Scenario("burst-70", 0.7, burst=(2_000.0, 2_200.0), mixed_priorities=True),
+    Scenario("home-lost-90", 0.9, home_lost_ms=2_000.0),
     Scenario("stale-90", 0.9, stale_share=0.1),
-    Scenario("unequal-90", 0.9, unequal=True),
-    Scenario("slow-stale-unequal-90", 0.9, SLOW, stale_share=0.1, unequal=True),
-    Scenario("all-down", 0.35, (Trouble("down", ALL, 1_500.0, 11_500.0),), run_ms=16_000.0),
+    Scenario("unequal-90", 0.9, unequal_callers=True),
+    Scenario("slow-stale-unequal-90", 0.9, SLOW, stale_share=0.1, unequal_callers=True),
+    Scenario("all-down", 0.35, (Fault("down", ALL, 1_500.0, 11_500.0),), run_ms=16_000.0),
 )
 
 
-def calls_of(deployment: Deployment, scenario: Scenario, seed: int) -> list[Call]:
+def generate_calls(deployment: Deployment, scenario: Scenario, seed: int) -> list[Call]:
     """Return the calls of a trace in the order of their arrival."""
     source = random.Random(f"{deployment.name} {scenario.name} {seed}")
     base = scenario.load * deployment.endpoints * deployment.slots / WORK_MEAN_MS
@@ -115,7 +115,7 @@
                 now_ms,
                 _caller(source, scenario),
                 WORK_MEAN_MS * source.lognormvariate(mu, WORK_SIGMA),
-                source.choice(MIXED) if scenario.mixed else Priority.NORMAL,
+                source.choice(MIXED) if scenario.mixed_priorities else Priority.NORMAL,
                 source.random() < IDEMPOTENT_SHARE,
             )
         )
@@ -128,6 +128,6 @@
 
 
 def _caller(source: random.Random, scenario: Scenario) -> int:
-    if scenario.unequal and source.random() < 0.5:
+    if scenario.unequal_callers and source.random() < 0.5:
         return source.randrange(CALLERS // 10)
     return source.randrange(CALLERS)
--- a/bench/replay_ways.py
+++ b/bench/replay_ways.py
@@ -4,8 +4,8 @@
 import random
 from collections.abc import Callable
 
-from bench.replay_traces import Call, Deployment, Scenario, calls_of
-from bench.replay_world import NEAR_MS, Backend, Result, World
+from bench.replay_traces import Call, Deployment, Scenario, generate_calls
+from bench.replay_world import LOCAL_ONE_WAY_MS, Backend, Result, World
 from cloverhook.fleet import Endpoint, Policy
 from cloverhook.members import Member
 from cloverhook.messages import encode
@@ -27,7 +27,7 @@
 )
 from cloverhook.steering import HomeRotation, answer_lifetime_ms, home_vms
 
-__all__ = ["ALONE", "WAYS", "replay"]
+__all__ = ["LOCAL_ALGORITHMS", "ALGORITHMS", "replay"]
 
 VMS = 15
 HOMES = 3
@@ -43,7 +43,7 @@
 RETRIED = (AttemptResult.REFUSED, AttemptResult.NOT_SENT)
 
 
-class AloneWay:
+class LocalBalancer:
     """Each VM chooses by what it knows itself; callers are spread over all VMs."""
 
     def __init__(self, world: World, name: str, source: random.Random) -> None:
@@ -51,7 +51,7 @@
         self._random = source
         self._choose = getattr(self, f"_{name}")
         self._in_flight = [[0] * len(world.backends) for _ in range(VMS)]
-        self._turn = [source.randrange(len(world.backends)) for _ in range(VMS)]
+        self._last_index = [source.randrange(len(world.backends)) for _ in range(VMS)]
 
     def arrive(self, call: Call) -> None:
         """Take a call."""
@@ -63,14 +63,14 @@
         world = self._world
         backend = world.backends[self._choose(vm)]
         centers = world.deployment.data_centers
-        way_ms = world.way_ms(centers[vm % len(centers)], backend.data_center)
+        one_way_ms = world.one_way_ms(centers[vm % len(centers)], backend.data_center)
         self._in_flight[vm][backend.index] += 1
         world.attempted(call)
 
         def end(result: AttemptResult, load: int) -> None:
-            world.clock.after(way_ms, self._end, call, vm, backend.index, result, attempt)
+            world.clock.after(one_way_ms, self._end, call, vm, backend.index, result, attempt)
 
-        world.clock.after(way_ms, backend.offer, world.clock, call, end)
+        world.clock.after(one_way_ms, backend.offer, world.clock, call, end)
 
     def _end(self, call: Call, vm: int, index: int, result: AttemptResult, attempt: int) -> None:
         self._in_flight[vm][index] -= 1
@@ -85,8 +85,8 @@
         return self._random.randrange(len(self._world.backends))
 
     def _round_robin(self, vm: int) -> int:
-        self._turn[vm] = (self._turn[vm] + 1) % len(self._world.backends)
-        return self._turn[vm]
+        self._last_index[vm] = (self._last_index[vm] + 1) % len(self._world.backends)
+        return self._last_index[vm]
 
     def _least_in_flight(self, vm: int) -> int:
         counts = self._in_flight[vm]
@@ -131,9 +131,9 @@
         best: tuple[float, Backend] | None = None
         fast_slots = 0
         for backend in self._world.backends:
-            if any(backend.trouble(kind, now_ms) for kind in ("down", "failing", "draining")):
+            if any(backend.active_fault(kind, now_ms) for kind in ("down", "failing", "draining")):
                 continue
-            slow = backend.trouble("slow", now_ms)
+            slow = backend.active_fault("slow", now_ms)
             factor = slow.factor if slow else 1.0
             fast_slots += 0 if slow else backend.slots
             if self._used[backend.index] < backend.slots and (best is None or factor < best[0]):
@@ -145,17 +145,17 @@
 
     def _begin(self, call: Call, backend: Backend) -> None:
         world = self._world
-        way_ms = NEAR_MS
+        one_way_ms = LOCAL_ONE_WAY_MS
         self._used[backend.index] += 1
         world.attempted(call)
 
         def end(result: AttemptResult, load: int) -> None:
             self._used[backend.index] -= 1
             outcome = "answered" if result is AttemptResult.ANSWERED else "failed"
-            world.clock.after(way_ms, world.ended, call, outcome)
+            world.clock.after(one_way_ms, world.ended, call, outcome)
             self._serve()
 
-        world.clock.after(way_ms, backend.offer, world.clock, call, end)
+        world.clock.after(one_way_ms, backend.offer, world.clock, call, end)
         if self._queue:
             world.clock.after(1.0, self._serve)
 
@@ -195,8 +195,8 @@
         self._set_homes()
         for vm in self._vms:
             world.clock.after(source.random() * TICK_MS, self._tick, vm)
-        if world.scenario.lost_home_ms is not None:
-            world.clock.at(world.scenario.lost_home_ms, self._lose_home)
+        if world.scenario.home_lost_ms is not None:
+            world.clock.at(world.scenario.home_lost_ms, self._lose_home)
 
     def arrive(self, call: Call) -> None:
         """Take a call."""
@@ -272,7 +272,7 @@
         vm.lost = True
         self._homes_changed_ms = self._world.clock.now_ms
         for backend, number, _ in vm.attempts.values():
-            self._world.clock.after(NEAR_CUT_MS, backend.cancel, self._world.clock, number[0])
+            self._world.clock.after(LOCAL_CUT_MS, backend.cancel, self._world.clock, number[0])
         for call in vm.calls.values():
             self._world.ended(call, "lost_with_vm")
         self._world.clock.after(MEMBERSHIP_LAG_MS, self._set_homes)
@@ -308,31 +308,33 @@
                 vm.sent_bytes += size
                 world.result.messages += 1
                 world.result.message_bytes += size
-                way_ms = world.way_ms(vm.data_center, peer.data_center)
-                world.clock.after(way_ms, self._handle, peer, PeerMessageReceived(vm.name, message))
+                one_way_ms = world.one_way_ms(vm.data_center, peer.data_center)
+                world.clock.after(
+                    one_way_ms, self._handle, peer, PeerMessageReceived(vm.name, message)
+                )
             case Probe(address):
                 world.result.probes += 1
                 backend = world.by_address[address]
-                down = backend.trouble("down", world.clock.now_ms)
+                down = backend.active_fault("down", world.clock.now_ms)
                 ended = ProbeEnded(address, None if down else 0, PROBE_MS)
                 world.clock.after(PROBE_MS, self._handle, vm, ended)
 
     def _start(self, vm: _Vm, request_id: str, backend: Backend) -> None:
         world = self._world
         call = vm.calls[request_id]
-        way_ms = world.way_ms(vm.data_center, backend.data_center)
+        one_way_ms = world.one_way_ms(vm.data_center, backend.data_center)
         number: list[int | None] = [None]
         vm.attempts[request_id] = (backend, number, world.clock.now_ms)
         world.attempted(call)
 
         def end(result: AttemptResult, load: int) -> None:
-            world.clock.after(way_ms, self._end, vm, call, backend, result, load)
+            world.clock.after(one_way_ms, self._end, vm, call, backend, result, load)
 
         def offer() -> None:
             if not vm.lost:
                 number[0] = backend.offer(world.clock, call, end)
 
-        world.clock.after(way_ms, offer)
+        world.clock.after(one_way_ms, offer)
 
     def _end(self, vm: _Vm, call: Call, backend: Backend, result: AttemptResult, load: int) -> None:
         if vm.lost:
@@ -348,20 +350,23 @@
         self._handle(vm, ended)
 
 
-NEAR_CUT_MS = 0.5
-ALONE = ("random_choice", "round_robin", "least_in_flight", "best_of_two")
-WAYS: dict[str, Callable[[World, random.Random], object]] = {
-    **{name: (lambda world, source, n=name: AloneWay(world, n, source)) for name in ALONE},
+LOCAL_CUT_MS = 0.5
+LOCAL_ALGORITHMS = ("random_choice", "round_robin", "least_in_flight", "best_of_two")
+ALGORITHMS: dict[str, Callable[[World, random.Random], object]] = {
+    **{
+        name: (lambda world, source, n=name: LocalBalancer(world, n, source))
+        for name in LOCAL_ALGORITHMS
+    },
     "oracle": Oracle,
     "cloverhook": Cloverhook,
 }
 
 
-def replay(deployment: Deployment, scenario: Scenario, way_name: str, seed: int) -> Result:
+def replay(deployment: Deployment, scenario: Scenario, algorithm: str, seed: int) -> Result:
     """Replay one trace in one way."""
     world = World(deployment, scenario)
-    way = WAYS[way_name](world, random.Random(f"{way_name} {seed}"))
-    for call in calls_of(deployment, scenario, seed):
+    way = ALGORITHMS[algorithm](world, random.Random(f"{algorithm} {seed}"))
+    for call in generate_calls(deployment, scenario, seed):
         world.clock.at(call.arrives_ms, _arrive, world, way, call)
     world.clock.run(scenario.run_ms + 2_000.0)
     if isinstance(way, Cloverhook):
@@ -369,6 +374,6 @@
     return world.close()
 
 
-def _arrive(world: World, way: AloneWay | Oracle | Cloverhook, call: Call) -> None:
+def _arrive(world: World, way: LocalBalancer | Oracle | Cloverhook, call: Call) -> None:
     world.arrived(call)
     way.arrive(call)
--- a/bench/replay_world.py
+++ b/bench/replay_world.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from bench.replay_traces import WARM_UP_MS, Call, Deployment, Scenario, Trouble
+from bench.replay_traces import WARM_UP_MS, Call, Deployment, Fault, Scenario
 from cloverhook.routing_events import AttemptResult
 
 __all__ = ["Backend", "Clock", "Result", "World"]
 
-NEAR_MS = 0.15
+LOCAL_ONE_WAY_MS = 0.15
 FAIL_MS = 1.0
 
 OnEnd = Callable[[AttemptResult, int], None]
@@ -51,12 +51,12 @@
 class Backend:
     """An endpoint: it works on as many requests as it has slots, others wait there."""
 
-    def __init__(self, index: int, deployment: Deployment, troubles: tuple[Trouble, ...]) -> None:
+    def __init__(self, index: int, deployment: Deployment, faults: tuple[Fault, ...]) -> None:
         self.index = index
         self.address = f"10.0.0.{index}:8080"
         self.data_center = deployment.data_centers[index % len(deployment.data_centers)]
         self.slots = deployment.slots
-        self._troubles = [item for item in troubles if index in item.endpoints]
+        self._faults = [item for item in faults if index in item.endpoints]
         self._busy: set[int] = set()
         self._jobs: dict[int, _Job] = {}
         self._queue: deque[int] = deque()
@@ -64,27 +64,27 @@
         self.runs: dict[str, int] = {}
         self.max_busy = 0
 
-    def trouble(self, kind: str, now_ms: float) -> Trouble | None:
+    def active_fault(self, kind: str, now_ms: float) -> Fault | None:
         """Return the trouble of a kind that the endpoint has now, or None."""
-        for item in self._troubles:
+        for item in self._faults:
             if item.kind == kind and item.from_ms <= now_ms < item.to_ms:
                 return item
         return None
 
     def plan(self, clock: Clock) -> None:
         """Plan what happens at set times."""
-        for item in self._troubles:
+        for item in self._faults:
             if item.kind == "down":
                 clock.at(item.from_ms, self._cut_all, clock)
 
     def offer(self, clock: Clock, call: Call, on_end: OnEnd) -> int | None:
         """Take a request; its end is told by `on_end`.  The number returned can cancel it."""
         now_ms = clock.now_ms
-        if self.trouble("down", now_ms):
+        if self.active_fault("down", now_ms):
             on_end(AttemptResult.NOT_SENT, 0)
-        elif self.trouble("draining", now_ms):
+        elif self.active_fault("draining", now_ms):
             on_end(AttemptResult.REFUSED, len(self._jobs))
-        elif self.trouble("failing", now_ms):
+        elif self.active_fault("failing", now_ms):
             clock.after(FAIL_MS, on_end, AttemptResult.FAILED, len(self._jobs))
         else:
             self._next += 1
@@ -118,7 +118,7 @@
 
     def _finish_ms(self, start_ms: float, work_ms: float) -> float:
         now_ms = start_ms
-        for item in self._troubles:
+        for item in self._faults:
             if item.kind != "slow" or item.to_ms <= now_ms:
                 continue
             if now_ms + work_ms <= item.from_ms:
@@ -190,20 +190,20 @@
         self.clock = Clock()
         self.deployment = deployment
         self.scenario = scenario
-        troubles = scenario.troubles
+        faults = scenario.faults
         if scenario.slow_share:
             slow = tuple(range(round(deployment.endpoints * scenario.slow_share)))
-            troubles = (Trouble("slow", slow, 2_000.0, 3_000.0, 5.0),)
-        self.backends = [Backend(i, deployment, troubles) for i in range(deployment.endpoints)]
+            faults = (Fault("slow", slow, 2_000.0, 3_000.0, 5.0),)
+        self.backends = [Backend(i, deployment, faults) for i in range(deployment.endpoints)]
         self.by_address = {backend.address: backend for backend in self.backends}
         for backend in self.backends:
             backend.plan(self.clock)
         self.result = Result()
         self._at_most_once: set[str] = set()
 
-    def way_ms(self, one: str, other: str) -> float:
+    def one_way_ms(self, one: str, other: str) -> float:
         """Return the time one way between two data centres."""
-        return NEAR_MS if one == other else self.deployment.way_ms
+        return LOCAL_ONE_WAY_MS if one == other else self.deployment.one_way_ms
 
     def arrived(self, call: Call) -> None:
         """Count a call."""
--- a/bench/rolling.py
+++ b/bench/rolling.py
@@ -64,7 +64,7 @@
         codes = await replace_all(fleet, start, serves)
         print(f"replaced={len(codes)} in {time.monotonic() - started_s:.0f} s", flush=True)
         load.stop()
-        return _conclude(await running, await fleet.ran(), codes)
+        return _report_result(await running, await fleet.ran(), codes)
 
 
 def _plan(fleet: Fleet, brand: str, host: str, calls_per_s: int) -> LoadPlan:
@@ -73,7 +73,7 @@
     return LoadPlan(host, brand, addresses, phases, CallMix(), callers=CALLERS, spread=True)
 
 
-def _conclude(result: LoadResult, ran: list[RunRecord], codes: list[int]) -> bool:
+def _report_result(result: LoadResult, ran: list[RunRecord], codes: list[int]) -> bool:
     report = invariants.check(ran, result.told)
     unreached = sum(end.status == 0 and not end.sent for end in result.ends)
     lost = len(report.lost) + unreached + result.calls - len(result.ends)
--- a/bench/run.py
+++ b/bench/run.py
@@ -20,7 +20,7 @@
 from bench.decision_cost import measure_decisions
 from bench.figures import Figure, Table, check_bounds
 from bench.outage import measure_outage
-from bench.ways import SERVICES, measure_ways
+from bench.ways import SERVICES, measure_algorithms
 
 __all__ = ["main"]
 
@@ -53,7 +53,7 @@
 
 def _ways() -> Measured:
     services = SERVICES[:1] if FLAGS.quick else SERVICES
-    return asyncio.run(measure_ways(FLAGS.together, services))
+    return asyncio.run(measure_algorithms(FLAGS.together, services))
 
 
 def _outage() -> Measured:
--- a/bench/slope.py
+++ b/bench/slope.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-__all__ = ["Point", "Slope", "measured"]
+__all__ = ["Point", "Slope", "measure_slope"]
 
 SQUARE_EXPONENT = 1.5
 RUNS = 3
@@ -62,12 +62,12 @@
         return math.log(high / low) / math.log(last / first)
 
     @property
-    def grows_with_square(self) -> bool:
+    def is_superlinear(self) -> bool:
         """Whether a line is the wrong picture of the growth."""
         return self.exponent > SQUARE_EXPONENT
 
 
-def measured(
+def measure_slope(
     role: str,
     what: str,
     unit: str,
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -82,7 +82,7 @@
         self.version += 1
         return change_id, started_ms
 
-    async def spread(self) -> Spread:
+    async def measure_propagation(self) -> Spread:
         """Publish many changes and return how long they took to be everywhere."""
         started: dict[str, float] = {}
         for index in range(CHANGES):
@@ -90,7 +90,7 @@
             change_id, started_ms = await self.publish(SwitchPreset(preset))
             started[change_id] = started_ms
             await asyncio.sleep(PAUSE_MS / 1000)
-        await self._wait(self._has_all)
+        await self._wait(self._has_current_version)
         seen: dict[str, list[float]] = defaultdict(list)
         for daemon in self.fleet.daemons.values():
             for event in (await self._get(daemon, "events"))["events"]:
@@ -105,7 +105,7 @@
         after = [_cpu_s(daemon) for daemon in self.fleet.daemons.values()]
         return sorted(100 * (b - a) / IDLE_S for a, b in zip(before, after, strict=True))
 
-    def _has_all(self, status: dict) -> bool:
+    def _has_current_version(self, status: dict) -> bool:
         return status["brands"].get("brathwaite", {}).get("version") == self.version
 
     async def _wait(self, holds) -> None:
@@ -136,9 +136,9 @@
         await bench.start()
         await bench.publish(Publish(DOCUMENT))
         cpu = await bench.idle_cpu()
-        healthy = await bench.spread()
+        healthy = await bench.measure_propagation()
         proxy.set_mode(Mode.CUT)
-        cut = await bench.spread()
+        cut = await bench.measure_propagation()
         await bench.platform.close()
         await proxy.close()
         return healthy, cut, cpu
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -17,14 +17,14 @@
 from cloverhook_emulator.fleet_runner import Fleet
 from cloverhook_emulator.run_record import ToldRecord
 
-__all__ = ["measure_ways"]
+__all__ = ["measure_algorithms"]
 
 WORK_MS = 50.0
 DAEMONS = 6
 PROBE_MS = 6.0
 START_DELAY_MS = 2_500
 BASELINES = ("random", "round-robin", "least-in-flight", "best-of-two")
-ALL_WAYS = (*BASELINES, "cloverhook")
+ALGORITHMS = (*BASELINES, "cloverhook")
 SERVICES = (("brathwaite.toml", "booking"), ("saltbush.toml", "routes"))
 HIGH_PATHS = {"booking": "/book", "routes": "/vans"}
 SCENARIOS = ("steady", "peak", "burst", "slow third", "one failing", "one draining")
@@ -41,7 +41,7 @@
     utilization: float
     duration_s: float
     faults: tuple[tuple[str, object], ...] = ()
-    faulty: float = 0.0
+    faulty_share: float = 0.0
 
 
 STEPS = (
@@ -62,10 +62,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WayResult:
+class AlgorithmResult:
     """What one way did for one service."""
 
-    way: str
+    algorithm: str
     service: str
     ends: dict[str, list[ToldRecord]]
     report: invariants.Report
@@ -99,55 +99,57 @@
         return [item for item in self.ends[scenario] if item.status == 200]
 
 
-async def measure_ways(
+async def measure_algorithms(
     together: int, services: Sequence[tuple[str, str]] = SERVICES
 ) -> tuple[list[Figure], list[Table]]:
     """Run all ways for the services, some at a time; return figures and tables."""
     gate = asyncio.Semaphore(together)
 
-    async def one(file: str, service: str, way: str) -> WayResult:
+    async def one(file: str, service: str, algorithm: str) -> AlgorithmResult:
         async with gate:
-            return await _run_way(file, service, way)
+            return await _run_algorithm(file, service, algorithm)
 
     async with asyncio.TaskGroup() as group:
         runs = [
-            group.create_task(one(file, service, way))
+            group.create_task(one(file, service, algorithm))
             for file, service in services
-            for way in ALL_WAYS
+            for algorithm in ALGORITHMS
         ]
     results = [run.result() for run in runs]
     figures: list[Figure] = []
     tables: list[Table] = []
     for _, service in services:
-        by_way = {item.way: item for item in results if item.service == service}
-        figures += _figures(service, by_way)
-        tables += _tables(service, by_way)
+        by_algorithm = {item.algorithm: item for item in results if item.service == service}
+        figures += _figures(service, by_algorithm)
+        tables += _tables(service, by_algorithm)
     return figures, tables
 
 
-async def _run_way(file: str, service: str, way: str) -> WayResult:
+async def _run_algorithm(file: str, service: str, algorithm: str) -> AlgorithmResult:
     async with Fleet() as fleet:
-        running = await ServiceFleet.start(fleet, file, service, way, DAEMONS, WORK_MS)
+        running = await ServiceFleet.start(fleet, file, service, algorithm, DAEMONS, WORK_MS)
         full_rate = running.slots / WORK_MS * 1000
         phases = [(step.utilization * full_rate, step.duration_s) for step in STEPS]
         start_ms = time.time() * 1000 + START_DELAY_MS
-        faults = asyncio.create_task(_give_faults(fleet, start_ms))
-        spread = "--spread" if way != "cloverhook" else "--nospread"
+        faults = asyncio.create_task(_inject_faults(fleet, start_ms))
+        spread = "--spread" if algorithm != "cloverhook" else "--nospread"
         told, ends, lag_ms = await running.load(phases, start_ms, "--callers=60", spread)
         await faults
         report = invariants.check(await fleet.ran(), told)
         probes = sum(item["probes"] for item in (await fleet.counts()).values())
         by_step = _by_step(ends, start_ms)
-        return WayResult(way, service, by_step, report, probes / len(ends) * 1000, lag_ms)
+        return AlgorithmResult(
+            algorithm, service, by_step, report, probes / len(ends) * 1000, lag_ms
+        )
 
 
-async def _give_faults(fleet: Fleet, start_ms: float) -> None:
+async def _inject_faults(fleet: Fleet, start_ms: float) -> None:
     servers = [address for process in fleet.backends for address in process.addresses[:-1]]
     at_ms = start_ms
     for step in STEPS:
         end_ms = at_ms + step.duration_s * 1000
         if step.faults:
-            faulty = servers[: max(1, round(len(servers) * step.faulty))]
+            faulty = servers[: max(1, round(len(servers) * step.faulty_share))]
             await asyncio.sleep(max(0.0, at_ms / 1000 - time.time()))
             await fleet.set_faults(dict(step.faults), faulty)
             await asyncio.sleep(max(0.0, end_ms / 1000 - time.time()))
@@ -168,8 +170,8 @@
     return found
 
 
-def _figures(service: str, by_way: dict[str, WayResult]) -> list[Figure]:
-    own = by_way["cloverhook"]
+def _figures(service: str, by_algorithm: dict[str, AlgorithmResult]) -> list[Figure]:
+    own = by_algorithm["cloverhook"]
     figures = [
         Figure(f"ways.{service}.wrong", own.wrong, "requests", str(own.report) * bool(own.wrong)),
         Figure(f"ways.{service}.lag", own.lag_ms, "ms", "p99 of the load tool's lateness"),
@@ -178,8 +180,8 @@
     ]
     for scenario in ("steady", "peak", "slow third"):
         name = scenario.replace(" ", "-")
-        best_p99 = min(by_way[way].latency_ms(scenario, 99) for way in BASELINES)
-        best_waiting = min(by_way[way].waiting_ms(scenario, 99) for way in BASELINES)
+        best_p99 = min(by_algorithm[item].latency_ms(scenario, 99) for item in BASELINES)
+        best_waiting = min(by_algorithm[item].waiting_ms(scenario, 99) for item in BASELINES)
         figures += [
             Figure(
                 f"ways.{service}.{name}.p99",
@@ -201,11 +203,11 @@
     return figures
 
 
-def _tables(service: str, by_way: dict[str, WayResult]) -> list[Table]:
+def _tables(service: str, by_algorithm: dict[str, AlgorithmResult]) -> list[Table]:
     columns = ("scenario, way", "p50 ms", "p99 ms", "p99.9 ms", "waiting p99", "good", "wrong")
     rows = [
         (
-            f"{scenario}, {way}",
+            f"{scenario}, {algorithm}",
             result.latency_ms(scenario, 50),
             result.latency_ms(scenario, 99),
             result.latency_ms(scenario, 99.9),
@@ -214,6 +216,6 @@
             result.wrong,
         )
         for scenario in SCENARIOS
-        for way, result in by_way.items()
+        for algorithm, result in by_algorithm.items()
     ]
     return [Table(f"{service}: real processes, {DAEMONS} daemons, {WORK_MS:g} ms", columns, rows)]
--- a/features/steps/control_cost_steps.py
+++ b/features/steps/control_cost_steps.py
@@ -8,7 +8,7 @@
 import uvicorn
 from behave import given, then, when
 
-from bench.many_services import brand_document, publishes
+from bench.many_services import brand_document, publish_changes
 from cloverhook import dispatch
 from cloverhook.clock import monotonic_ms
 from cloverhook.dispatch import Dispatcher
@@ -97,7 +97,7 @@
 def step_routers(context, count):
     context.stack.enter_context(mock.patch.object(dispatch, "ServiceRouter", _CountingRouter))
     context.state = State()
-    for change in publishes(count, ["10.0.0.1:80"], ["papine"]):
+    for change in publish_changes(count, ["10.0.0.1:80"], ["papine"]):
         _without_measuring(change.action.document)
         context.state = fold(context.state, context.state.next_offset, change).state
     context.dispatcher = Dispatcher(random.Random(1), _Outlet())
--- a/features/steps/load_replay_steps.py
+++ b/features/steps/load_replay_steps.py
@@ -46,10 +46,10 @@
 )
 def step_lying(context, vms, endpoints, share, fail):
     context.deployment = Deployment(
-        vms=vms, endpoints=endpoints, lying_share=share, hanging=fail == "hang"
+        vms=vms, endpoints=endpoints, silent_failure_share=share, hanging=fail == "hang"
     )
     # Six tenths of them fail: the rest has to bear the load.
-    context.load = Load(1.4 * endpoints, length_ms=9_000.0)
+    context.load = Load(1.4 * endpoints, duration_ms=9_000.0)
 
 
 @given(
@@ -58,7 +58,7 @@
 )
 def step_shedding(context, vms, endpoints, share):
     context.deployment = Deployment(vms=vms, endpoints=endpoints, shedding_share=share)
-    context.load = Load(4.0 * endpoints * (1.0 - share / 2), length_ms=9_000.0)
+    context.load = Load(4.0 * endpoints * (1.0 - share / 2), duration_ms=9_000.0)
 
 
 @given(
@@ -71,8 +71,8 @@
 
 @given("a replay of {vms:d} VMs and {endpoints:d} endpoints, of which {count:d} VMs are cut off")
 def step_cut_off(context, vms, endpoints, count):
-    context.deployment = Deployment(vms=vms, endpoints=endpoints, cut_off=count)
-    context.load = Load(3.3 * endpoints, 1.6, length_ms=9_000.0)
+    context.deployment = Deployment(vms=vms, endpoints=endpoints, isolated_vms=count)
+    context.load = Load(3.3 * endpoints, 1.6, duration_ms=9_000.0)
 
 
 @when("those measure a group of their own, and when they measure all every {period_ms:d} ms")
@@ -80,7 +80,7 @@
     context.values = [mean(outcomes(context), "value")]
     everything = context.deployment.endpoints
     context.deployment = replace(
-        context.deployment, own_group=everything, own_probe_ms=float(period_ms)
+        context.deployment, isolated_probe_count=everything, isolated_probe_ms=float(period_ms)
     )
     context.values.append(mean(outcomes(context), "value"))
 
