--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: load on real processes, and replay of traces through the decisions."""
+"""Benchmarks: load on real processes, and replay of traces through the decision code."""
--- a/bench/added.py
+++ b/bench/added.py
@@ -1,7 +1,8 @@
-"""What cloverhook adds to a call: against the direct path, and against a bare library forwarder.
+"""Measures what cloverhook adds to a call, compared with the direct path and a bare forwarder.
 
-Each round measures all three ways one after another, so that a drift of the machine touches all;
-a figure is the median of its rounds.
+The three paths are direct to the backend server, through the forwarder of `bench.forwarder`, and
+through a daemon.  Each round measures all three one after another, so that a drift in the speed of
+the computer affects all of them.  A figure is the median of its rounds.
 """
 
 import asyncio
@@ -39,7 +40,7 @@
 
 @dataclass(slots=True)
 class _Measured:
-    """The figures of one way at one level of load, a value for each round."""
+    """The measurements of one path at one level of load, with one value per round."""
 
     p50_ms: list[float] = field(default_factory=list)
     p99_ms: list[float] = field(default_factory=list)
@@ -52,7 +53,7 @@
 
 
 async def start_daemon(fleet: Fleet, arguments: Sequence[str] = ()) -> tuple[str, str]:
-    """Start an instant backend server and one daemon before it; return both addresses."""
+    """Start an instant backend server and a daemon in front of it, and return both addresses."""
     server = await fleet.start_process("instant", "bench.instant_server")
     direct = (await server.listening())[0]
     daemon = await fleet.start_daemon("vm-0", "papine", "bench.bench_daemon", arguments)
@@ -67,7 +68,7 @@
 
 
 async def measure_added(rounds: int, seconds: float) -> tuple[list[Figure], list[Table]]:
-    """Return figures and a table of latency, calls per second and memory."""
+    """Return figures for latency, calls per second and memory, and a table of them."""
     async with Fleet() as fleet:
         direct, through_daemon = await start_daemon(fleet)
         forwarder = await fleet.start_process("forwarder", "bench.forwarder", f"--target={direct}")
@@ -103,9 +104,10 @@
 async def run_closed_loop(
     address: str, connections: int, seconds: float, refused: Counter[str]
 ) -> list[float]:
-    """Call over some connections, each as fast as answers come; return latencies in ms.
+    """Run a closed-loop load and return the latencies in ms.
 
-    Calls that are not answered well are counted in `refused` by address.
+    Each connection sends its next call as soon as the previous one is answered.  Calls whose
+    answer has a status other than 200 are counted in `refused` by address.
     """
     pool = ClientPool()
     request = _request()
@@ -128,7 +130,11 @@
 async def _run_open_loop(
     address: str, calls_per_s: float, seconds: float, refused: Counter[str]
 ) -> list[float]:
-    """Send Poisson arrivals, spinning for exact starts; latency counts from when a call was due."""
+    """Run an open-loop load of Poisson arrivals and return the latencies in ms.
+
+    The loop spins between arrivals so that calls start exactly on time.  A latency counts from the
+    moment at which the call was due.
+    """
     pool = ClientPool()
     request = _request()
     source = random.Random(1)
@@ -171,7 +177,7 @@
 def _added_ms(
     measured: dict[tuple[str, str], _Measured], level: str, path: str, name: str
 ) -> float:
-    """Return the median over rounds of what a way adds to the direct path."""
+    """Return the median over rounds of what a path adds to the direct path."""
     values = getattr(measured[level, path], name)
     direct = getattr(measured[level, "direct"], name)
     return median(value - base for value, base in zip(values, direct, strict=True))
@@ -199,7 +205,7 @@
             "added.a_quarter.p99_ms",
             letter,
             "ms",
-            f"the letter's {TARGET_MS} ms; {rate:.0f} calls/s",
+            f"target {TARGET_MS} ms; {rate:.0f} calls/s",
         ),
         Figure(
             "added.calls_per_s",
--- a/bench/baseline_router.py
+++ b/bench/baseline_router.py
@@ -1,7 +1,7 @@
-"""Routers that choose by the ways which cloverhook is compared with.
+"""Routers that use the load-balancing algorithms with which cloverhook is compared.
 
-They start every request at once, on what this daemon itself knows, and repeat only where that is
-safe.  They have the interface of `cloverhook.routing.ServiceRouter`.
+They start every request immediately, use only the state of their own daemon, and retry a request
+only where that is safe.  They have the interface of `cloverhook.routing.ServiceRouter`.
 """
 
 import random
@@ -41,7 +41,7 @@
 
 
 class BaselineRouter:
-    """The decisions for one service by one way."""
+    """Makes the decisions for one service with one load-balancing algorithm."""
 
     def __init__(self, algorithm: "Way", source: random.Random) -> None:
         self._algorithm = algorithm
@@ -52,7 +52,7 @@
         self._requests: dict[str, _Request] = {}
 
     def handle(self, event: Event, now_ms: float) -> tuple[Action, ...]:
-        """Take an event and return the actions it calls for."""
+        """Handle an event and return the resulting actions."""
         match event:
             case EndpointsChanged():
                 self.addresses = [item.address for item in event.endpoints if not item.leaving]
@@ -66,16 +66,16 @@
         return ()
 
     def next_wake_ms(self, now_ms: float) -> float | None:
-        """Return that no time is waited for."""
+        """Return None: no wake-up is needed."""
         del now_ms
 
     def owns(self, address: str) -> bool:
-        """Return False: no VM owns an endpoint here."""
+        """Return False: these algorithms assign no endpoint to an owner VM."""
         del address
         return False
 
     def probation_reason_of(self, address: str) -> int:
-        """Return that no endpoint is in trouble: these ways judge none."""
+        """Return `NONE`: these algorithms put no endpoint on probation."""
         del address
         return ProbationReason.NONE
 
--- a/bench/bench_daemon.py
+++ b/bench/bench_daemon.py
@@ -1,7 +1,7 @@
-"""A daemon for the bench: chooses by a baseline's way, or counts attempts.
+"""A daemon that uses a baseline load-balancing algorithm, or counts attempts.
 
-It is the product's daemon with another router put in its place before it starts; with
-`--way=cloverhook` the router is the product's own.
+It is the `cloverhookd` daemon, whose router is replaced before it starts.  With
+`--way=cloverhook` the router is the daemon's own.
 """
 
 import time
@@ -21,12 +21,14 @@
 COUNT_INTERVAL_MS = 100
 
 FLAGS = flags.FLAGS
-flags.DEFINE_enum("way", "cloverhook", ["cloverhook", *ALGORITHMS], "How endpoints are chosen.")
-flags.DEFINE_string("attempts_file", None, "The file for lines of wall-clock ms and attempts.")
+flags.DEFINE_enum("way", "cloverhook", ["cloverhook", *ALGORITHMS], "The load-balancing algorithm.")
+flags.DEFINE_string(
+    "attempts_file", None, "The file for lines of wall-clock time in ms and number of attempts."
+)
 
 
 class _AttemptCount:
-    """Appends the number of attempts to a file, a line for each piece of time with any."""
+    """Appends the number of attempts to a file, one line for each interval with attempts."""
 
     def __init__(self, path: str) -> None:
         self._path = Path(path)
@@ -44,7 +46,7 @@
 
 
 class _BenchRouter:
-    """A router, the product's or a baseline's, whose starts are counted."""
+    """Wraps the daemon's own router or a baseline router and counts the attempts it starts."""
 
     attempts: _AttemptCount | None = None
 
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,7 +1,7 @@
-"""Takes the slopes of every role and rewrites the tables of docs/CAPACITY.md.
+"""Measures how the cost of every role grows and rewrites the tables of docs/CAPACITY.md.
 
-`make capacity` runs it.  Sizes come from the page of the two years' aim; what a role costs at that
-size follows from its slopes and from rates that stand in this module as named constants.
+`make capacity` runs it.  The sizes are the targets for two years ahead.  The cost of a role at that
+size follows from its slopes and from rates that are named constants in `bench.capacity_roles`.
 """
 
 import asyncio
@@ -23,23 +23,26 @@
 
 
 def replace_table(page: str, name: str, table: str) -> str:
-    """Return the page with the table between the markers of a name replaced."""
+    """Return the page with the table between the markers `name` replaced.
+
+    Raises ValueError if the page lacks a marker.
+    """
     begin, end = f"<!-- {name}: begin -->", f"<!-- {name}: end -->"
     if begin not in page or end not in page:
-        raise ValueError(f"the page has no markers for {name}")
+        raise ValueError(f"docs/CAPACITY.md has no begin and end markers for the table {name}")
     head, _, rest = page.partition(begin)
     _, _, tail = rest.partition(end)
     return f"{head}{begin}\n{table}\n{end}{tail}"
 
 
 def markdown_table(columns: tuple[str, ...], rows: list[tuple[str, ...]]) -> str:
-    """Return a table in Markdown."""
+    """Return the rows as a Markdown table."""
     lines = [columns, tuple("---" for _ in columns), *rows]
     return "\n".join(f"| {' | '.join(line)} |" for line in lines)
 
 
 def slope_row(slope: Slope) -> tuple[str, ...]:
-    """Return a slope as a row: points, gradient, spread and growth."""
+    """Return a slope as a table row: role, cost, points, gradient, spread and growth."""
     points = ", ".join(f"{size:g}: {cost:.3g}" for size, cost in slope.points)
     growth = f"size^{slope.exponent:.1f}"
     if slope.is_superlinear:
--- a/bench/capacity_membership.py
+++ b/bench/capacity_membership.py
@@ -1,4 +1,4 @@
-"""What membership costs one daemon, by feeding it the messages of any number of members."""
+"""Measures what membership costs one daemon by feeding it the messages of many members."""
 
 import random
 import time
@@ -22,7 +22,7 @@
 
 
 def membership_slopes() -> list[Slope]:
-    """Measure a second of a daemon at rest, and one change of a member."""
+    """Measure one second of a daemon without changes, and one change of a member."""
     return [
         measure_slope("membership", "a second of one daemon", "us", "member", MEMBERS, _second_us),
         measure_slope("membership", "bytes a second", "bytes", "member", MEMBERS, _second_bytes),
@@ -32,7 +32,10 @@
 
 
 class _SimulatedDaemon:
-    """A daemon's membership with its neighbours linked; messages go through their CBOR form."""
+    """The membership of one daemon, with links to its neighbours.
+
+    Messages are encoded to CBOR and decoded again, as on a real link.
+    """
 
     def __init__(self, members: int) -> None:
         self.now_ms = START_MS
@@ -51,7 +54,7 @@
         self.bytes = 0
 
     def run_idle_second(self) -> None:
-        """Let a second pass in which nothing changes."""
+        """Simulate one second in which nothing changes."""
         for tick in range(TICKS_PER_S):
             self.now_ms += TICK_MS
             self._handle(Tick())
@@ -61,7 +64,7 @@
                     self._receive(vm, heartbeat)
 
     def apply_change(self) -> None:
-        """Hear that a member has said something new of itself."""
+        """Receive an update that a member has sent about itself."""
         self.changing = replace(self.changing, sequence=self.changing.sequence + 1)
         vm = min(self.membership.linked)
         self._receive(vm, MemberUpdates((self.changing,)))
--- a/bench/capacity_parts.py
+++ b/bench/capacity_parts.py
@@ -1,6 +1,6 @@
-"""What the parts of a daemon cost, measured on the real objects without input and output.
+"""Measures what the parts of a daemon cost, on the real objects without input and output.
 
-Other daemons, endpoints and services are stood in for by messages and documents of the wanted size.
+Messages and documents of the required size replace other daemons, endpoints and services.
 """
 
 import json
@@ -32,17 +32,17 @@
 
 
 class _NullTransport:
-    """Takes what routers ask of the daemon, and does nothing."""
+    """Discards the messages and probes that routers send."""
 
     def send_message(self, vm, message) -> None:
-        """Drop the message."""
+        """Discard the message."""
 
     def probe(self, target, address, health) -> None:
-        """Drop the probe."""
+        """Discard the probe."""
 
 
 def part_slopes() -> list[Slope]:
-    """Measure every role that needs no process of its own."""
+    """Measure every role that can be measured without a daemon process."""
     return [
         measure_slope(
             "serving calls", "decisions for a call", "us", "endpoint", ENDPOINTS, _decision_us
--- a/bench/capacity_roles.py
+++ b/bench/capacity_roles.py
@@ -1,4 +1,4 @@
-"""What each role costs at the size of the aim, from the slopes and from named rates."""
+"""Computes what each role costs at the planned size, from the slopes and from named rates."""
 
 import math
 from dataclasses import dataclass
@@ -11,7 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """The size of the aim; `home_vms` VMs carry a service, and each VM talks to some peers."""
+    """The planned size.
+
+    Each service has `home_vms` home VMs.  `depth` is the number of calls in a chain of calls.
+    """
 
     services: int = 390
     endpoints: int = 3_000
@@ -25,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """What one daemon may spend on control."""
+    """What one daemon may spend on control work."""
 
     core_percent: float = 1.4
     memory_mb: float = 128
@@ -49,7 +52,10 @@
 
 
 def serving_rows(slopes: list[Slope]) -> list[tuple[str, ...]]:
-    """Return how many VMs the calls need, by the two readings of the depth."""
+    """Return how many VMs the calls need, for the two interpretations of the depth.
+
+    The planned calls a second are either all calls, or only the first calls of chains.
+    """
     rows = []
     for reading, hops in (
         ("130,000 calls are all there are", 1),
@@ -61,7 +67,7 @@
 
 
 def role_rows(slopes: list[Slope]) -> list[tuple[str, ...]]:
-    """Return one row for each role."""
+    """Return one table row for each role."""
     return [
         _serving(slopes),
         _measuring(slopes),
--- a/bench/capacity_serving.py
+++ b/bench/capacity_serving.py
@@ -1,4 +1,4 @@
-"""What it costs one real daemon to serve calls: processor time a call, memory a connection."""
+"""Measures what serving costs one real daemon: processor time per call, memory per connection."""
 
 import asyncio
 import os
@@ -29,7 +29,10 @@
 
 
 async def serving_slopes() -> list[Slope]:
-    """Measure a daemon process under a few rates, then with idle connections, three times over."""
+    """Measure a daemon process with idle connections, then at several rates of calls.
+
+    Each run repeats this with a new daemon; there are `RUNS` runs.
+    """
     runs = [await _run() for _ in range(RUNS)]
     cpu = [cpu for cpu, _ in runs]
     memory = [memory for _, memory in runs]
@@ -65,7 +68,10 @@
 
 
 async def _cpu_at(pid: int, address: str, rate_per_s: int) -> float:
-    """Return milliseconds of processor time a second at a rate of calls."""
+    """Return milliseconds of processor time per second at a rate of calls.
+
+    The time is scaled up to the full rate where some calls were not answered with status 200.
+    """
     before = _cpu_ms(pid)
     answered = await _load(address, rate_per_s, LOAD_S)
     spent_ms = _cpu_ms(pid) - before
@@ -73,7 +79,7 @@
 
 
 async def _load(address: str, rate_per_s: int, duration_s: float) -> int:
-    """Call at a steady rate over kept connections and return the number of answers."""
+    """Call at a steady rate over persistent connections; return the number of 200 answers."""
     loop = asyncio.get_running_loop()
     start = loop.time()
     gap_s = CALLERS / rate_per_s
@@ -100,11 +106,11 @@
         name, _, value = line.partition(b":")
         if name.lower() == b"content-length":
             return int(value)
-    raise RuntimeError(f"an answer of unknown length: {head!r}")
+    raise RuntimeError(f"the answer has no Content-Length header: {head!r}")
 
 
 async def _memory(pid: int, address: str) -> list[Point]:
-    """Return resident memory in KB with a number of idle connections, each used once."""
+    """Return resident memory in KB at several numbers of idle connections, each used once."""
     points = []
     opened = []
     for count in CONNECTIONS:
@@ -135,4 +141,4 @@
     for line in Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS:"):
             return float(line.split()[1])
-    raise RuntimeError("the kernel does not tell the resident memory")
+    raise RuntimeError("the kernel does not report VmRSS, the resident memory of the daemon")
--- a/bench/change_cost.py
+++ b/bench/change_cost.py
@@ -1,9 +1,10 @@
-"""What a change costs one daemon: of a brand's configuration, and of the members that serve.
+"""Measures what a change of a brand's configuration or of the members costs one daemon.
 
     python -m bench.change_cost
 
-Processor time of the decisions alone, the mean of a few changes.  A change of configuration is one
-service's policy in a brand of ten; a change of members is one that goes or comes.
+The figures are processor time of the decisions alone, as the mean of `CHANGES` changes.  A change
+of configuration alters the policy of one service in a brand of ten services.  A change of members
+removes or adds one member.
 """
 
 import random
@@ -30,7 +31,7 @@
 
 
 class _NullTransport:
-    """Takes the messages and probes of the routers, and drops them."""
+    """Discards the messages and probes that routers send."""
 
     def send_message(self, vm: str, message: Message) -> None:
         pass
@@ -74,7 +75,7 @@
 
 
 def main() -> None:
-    """Print the cost of changes at a few sizes."""
+    """Print the cost of changes at several sizes."""
     columns = ("services", "fold ms", "configure ms")
     print(
         Table("a change of configuration", columns, [_measure_configuration(n) for n in SERVICES])
--- a/bench/choice_cost.py
+++ b/bench/choice_cost.py
@@ -1,6 +1,7 @@
-"""What a gateway's choice of an endpoint costs, and a look at a line that waits, by endpoints.
+"""Measures what a gateway's choice of an endpoint and an admission check of a full queue cost.
 
-One service, endpoints of 4 slots in five data centres, a quarter of them 5 times as slow, one VM.
+There are one VM and one service at several numbers of endpoints.  The endpoints have 4 slots each,
+in five data centres, and a quarter of them are 5 times as slow.
 """
 
 import random
@@ -31,7 +32,10 @@
 
 
 def measure_choices() -> list[Figure]:
-    """Return the microseconds of a choice and of a look at a full service, at each size."""
+    """Return the microseconds of a choice, and of an admission check while all endpoints are full.
+
+    There is one pair of figures for each number of endpoints.
+    """
     found = []
     for size in SIZES:
         choice_us = median(_choice_us(size, seed) for seed in range(ROUNDS))
--- a/bench/control_cost.py
+++ b/bench/control_cost.py
@@ -1,10 +1,10 @@
-"""What an idle daemon spends on control: processor time, memory and bytes sent to its peers.
+"""Measures what an idle daemon spends on control work: processor time, wake-ups and memory.
 
     python -m bench.control_cost [--fleets=3,19] [--services=1,60,390] [--seconds=10]
 
-Real daemons on loopback, with no callers.  Every service has eight endpoints.  Processor time is
-what the kernel counted for each daemon, in milliseconds a second, so that 14 is 1.4% of a core; a
-busy machine makes it larger.
+Real daemons run on loopback, without callers.  Every service has eight endpoints.  Processor time
+is what the kernel counted for each daemon, in milliseconds per second, so that 14 is 1.4% of a
+core.  It is larger when the computer is busy.
 """
 
 import asyncio
@@ -27,8 +27,8 @@
 FLAGS = flags.FLAGS
 flags.DEFINE_list("fleets", ["3", "19"], "The numbers of daemons.")
 flags.DEFINE_list("services", ["1", "60", "390"], "The numbers of services.")
-flags.DEFINE_integer("seconds", 10, "How long each fleet is measured.")
-flags.DEFINE_integer("settle_seconds", 5, "How long each fleet is left alone before that.")
+flags.DEFINE_integer("seconds", 10, "How many seconds each fleet is measured.")
+flags.DEFINE_integer("settle_seconds", 5, "How long each fleet settles before it is measured.")
 
 DATA_CENTERS = ("halfway-tree", "new-kingston", "papine")
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What the kernel has counted for a process so far, and its resident memory."""
+    """The processor time and context switches of a process so far, and its resident memory."""
 
     cpu_ms: float
     switches: int
@@ -45,7 +45,7 @@
 
     @classmethod
     def of(cls, pid: int) -> "Usage":
-        """Read the counts of a process."""
+        """Read the values of a process from `/proc`."""
         folder = Path(f"/proc/{pid}")
         fields = (folder / "stat").read_text().rpartition(")")[2].split()
         cpu_ms = (int(fields[11]) + int(fields[12])) * 1_000 / TICKS_PER_S
@@ -103,7 +103,7 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Print one row for each size of the fleet and of the configuration."""
+    """Print one row for each number of daemons and of services."""
     del arguments
     sizes = [(int(daemons), int(count)) for daemons in FLAGS.fleets for count in FLAGS.services]
     columns = (
--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -1,6 +1,6 @@
-"""What one decision costs: a router driven at 70% of its slots, at growing numbers of endpoints.
+"""Measures what one decision of a router costs at several numbers of endpoints.
 
-A decision is an arrival and the end of its attempt.
+The router runs with 70% of its slots in use.  A decision is an arrival and the end of an attempt.
 """
 
 import random
@@ -31,7 +31,7 @@
 
 
 def measure_decisions() -> list[Figure]:
-    """Return the microseconds of a decision at each size and how they grow."""
+    """Return the microseconds of a decision at each size, and their growth from 60 to 3,000."""
     cost_us = {size: median(_round_us(size, seed) for seed in range(ROUNDS)) for size in SIZES}
     figures = [Figure(f"decision.{size}_endpoints", cost, "us") for size, cost in cost_us.items()]
     return [*figures, Figure("decision.growth", cost_us[3_000] / cost_us[60], "60 to 3,000")]
--- a/bench/figures.py
+++ b/bench/figures.py
@@ -1,4 +1,4 @@
-"""Figures of the bench, and the bounds that they are checked against."""
+"""Figures of the benchmarks, and the check against their bounds."""
 
 import statistics
 import tomllib
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """One measured value; `name` is what `bounds.toml` calls it."""
+    """One measured value; `name` is its key in `bounds.toml`."""
 
     name: str
     value: float
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Table:
-    """A table that is printed beside the figures."""
+    """A table that is printed in addition to the figures."""
 
     title: str
     columns: tuple[str, ...]
@@ -43,7 +43,7 @@
 
 
 def percentile(values: Iterable[float], percent: float) -> float:
-    """Return a percentile of values, or NaN when there are none."""
+    """Return a percentile of the values, or NaN if there are none."""
     ordered = sorted(values)
     if not ordered:
         return float("nan")
@@ -52,9 +52,9 @@
 
 
 def check_bounds(figures: Sequence[Figure]) -> list[str]:
-    """Print each figure beside its bound and return the names of those past their bound.
+    """Print each figure with its bounds and return the names of those that exceed a bound.
 
-    A figure that is no number is past its bound.
+    NaN exceeds any bound.
     """
     bounds = tomllib.loads(BOUNDS.read_text())
     missed: list[str] = []
@@ -71,7 +71,7 @@
 
 
 def median(values: Iterable[float]) -> float:
-    """Return the median."""
+    """Return the median of the values."""
     return statistics.median(values)
 
 
--- a/bench/fleets.py
+++ b/bench/fleets.py
@@ -1,4 +1,4 @@
-"""Starts fleets for the bench: one deployment's service, its daemons and its load, as processes."""
+"""Starts a service of an example deployment, its daemons and its load as processes."""
 
 import asyncio
 import json
@@ -18,7 +18,10 @@
 
 
 async def wait_until_ready(fleet: Fleet, brand: str) -> None:
-    """Wait until every daemon has the brand's configuration and knows all the others."""
+    """Wait until every daemon has the brand's configuration and lists all others as members.
+
+    Raises TimeoutError after `READY_TIMEOUT_S`.
+    """
     vms = set(fleet.daemons)
     async with asyncio.timeout(READY_TIMEOUT_S):
         while True:
@@ -30,7 +33,7 @@
 
 @dataclass(slots=True)
 class ServiceFleet:
-    """A fleet that serves one service of an example at its full size."""
+    """A fleet that serves one service of an example deployment at its full size."""
 
     fleet: Fleet
     brand: str
@@ -41,7 +44,7 @@
     async def start(
         cls, fleet: Fleet, file: str, service: str, algorithm: str, daemons: int, work_ms: float
     ) -> "ServiceFleet":
-        """Start backend servers and daemons that choose by a way."""
+        """Start backend servers, and daemons that use a load-balancing algorithm."""
         deployment = Deployment.from_file(EXAMPLES / file).only(service)
         if algorithm != "cloverhook":
             deployment = deployment.with_home_vms(daemons)
@@ -65,16 +68,17 @@
 
     @property
     def slots(self) -> int:
-        """The slots of all endpoints."""
+        """The total slots of all endpoints."""
         return sum(endpoint.slots for endpoint in self.service.endpoints)
 
     async def load(
         self, phases: Sequence[tuple[float, float]], start_at_ms: float, *arguments: str
     ) -> tuple[list[ToldRecord], list[ToldRecord], float]:
-        """Run a load of phases (calls/s, s) from a process of its own.
+        """Run a load of phases, given as (calls/s, duration in s), in a separate process.
 
-        Returns the records of all requests, those of the ends of calls, and the p99 of how late
-        the load tool was in its worst phase, in milliseconds.
+        Returns the records of all requests, the records of the ends of calls, and the p99 of the
+        load tool's delay in starting calls, in milliseconds, for the phase in which it is largest.
+        Raises RuntimeError if the load tool fails.
         """
         report = self.fleet.folder / "load.json"
         addresses = [daemon.caller_address for daemon in self.fleet.daemons.values()]
@@ -100,7 +104,10 @@
         return told, ends, lag_ms
 
     def attempts(self, from_ms: float, to_ms: float) -> int:
-        """Return how many attempts the daemons started in a time, to a tenth of a second."""
+        """Return how many attempts the daemons started in an interval.
+
+        Attempts are counted per tenth of a second.
+        """
         lines = [
             line.split()
             for path in self.attempts_files
--- a/bench/forwarder.py
+++ b/bench/forwarder.py
@@ -1,6 +1,6 @@
-"""The baseline of what forwarding costs: a bare falcon route on uvicorn that calls by aiohttp.
+"""The baseline for the cost of forwarding: a falcon route on uvicorn that forwards with aiohttp.
 
-It decides nothing and reads the whole answer.
+It makes no decisions, and reads the whole answer before it responds.
 """
 
 import asyncio
--- a/bench/gateway_loads.py
+++ b/bench/gateway_loads.py
@@ -1,4 +1,4 @@
-"""What `bench.gateway_replay` plays: deployments, loads and kinds of request, and what it tells."""
+"""The inputs and results of `bench.gateway_replay`: deployments, loads, requests and outcomes."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A kind of request; its share of the load, what an answer in time is worth, its times."""
+    """A kind of request.
+
+    `share` is its share of the load.  `worth` is the credit for an answer within `objective_ms`.
+    `timeout_ms` limits each time the caller sends the request, and `deadline_ms` the whole request.
+    """
 
     name: str
     share: float
@@ -30,14 +34,18 @@
 class Deployment:
     """VMs and endpoints.
 
-    Of the endpoints `slow_share` works `slow_by` times as long, drawn anew every `slow_every_ms`;
-    with more than one slot, work that begins in the last one takes `knee` times as long.  From
-    `lying_from_ms` on `lying_share` of them fail all they get, though their figures say nothing of
-    it: by a reset at once, or with `hanging` by no answer at all.  Of all answers `lost_share` are
-    lost.  `shedding_share` of them turn about half of what they get away, whatever their load,
-    and `down_share` of them can't be reached.
-    From `cut_from_ms` on the first `cut_off` VMs hear no other one; each of these measures
-    `own_group` endpoints for itself every `own_probe_ms`.
+    Each endpoint is slow with probability `slow_share`, and then works `slow_factor` times as long;
+    this is redrawn every `slow_redraw_ms`.  If endpoints have more than one slot, work that starts
+    in the last free slot takes `last_slot_factor` times as long.
+
+    From `silent_failure_from_ms` on, `silent_failure_share` of the endpoints fail all requests,
+    although their load reports show nothing of it: by an immediate reset, or if `hanging` by no
+    answer at all.  `lost_answer_share` of all answers are lost.  `shedding_share` of the endpoints
+    reject about half of their requests, whatever their load, and `down_share` of them are
+    unreachable.
+
+    From `isolated_from_ms` on, the first `isolated_vms` VMs receive nothing from other VMs.  Each
+    of these probes `isolated_probe_count` endpoints itself every `isolated_probe_ms`.
     """
 
     vms: int = 5
@@ -63,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Requests a second, and how many times as many come during a burst."""
+    """The rate of requests; during a burst the rate is `burst` times as high."""
 
     requests_per_s: float
     burst: float = 1.0
@@ -75,7 +83,12 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What became of the requests, as shares; `worst` is the credit of the worst two windows."""
+    """The results of the requests, as shares.
+
+    `credit` is the share of the worth of all requests that was earned; `worst` is the mean of that
+    share over the two worst windows.  `wasted` is the share of arrivals at endpoints that were
+    dropped because the slots and the queue of the endpoint were full.
+    """
 
     credit: float
     worst: float
@@ -88,5 +101,5 @@
 
     @property
     def value(self) -> float:
-        """Return one figure for comparisons: worst windows, whole time and share served."""
+        """Return a weighted sum of worst windows, credit and share served, for comparisons."""
         return 0.4 * self.worst + 0.4 * self.credit + 0.2 * (self.in_aim + self.late)
