--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -31,7 +31,7 @@
 
 
 def measure_decisions() -> list[Figure]:
-    """Return the microseconds of a decision at each size, and their growth from 60 to 3,000."""
+    """Return microseconds per decision at each size, and the growth from 60 to 3,000 endpoints."""
     cost_us = {size: median(_round_us(size, seed) for seed in range(ROUNDS)) for size in SIZES}
     figures = [Figure(f"decision.{size}_endpoints", cost, "us") for size, cost in cost_us.items()]
     return [*figures, Figure("decision.growth", cost_us[3_000] / cost_us[60], "60 to 3,000")]
--- a/bench/gateway_replay.py
+++ b/bench/gateway_replay.py
@@ -1,9 +1,9 @@
-"""Replays load on the gateway's own decisions: no sockets, no clock, the same each time.
+"""Simulates load on the decision code of the gateway, deterministically.
 
-Some VMs, each with its own `RequestQueue`, `Balancer` and `LoadTable`, serve two kinds of request
-on endpoints with few slots, whose pace changes many times a second and whose last slot makes all
-their work slow.  Figures of probes and counts in flight reach the VMs late, as between real
-gateways.
+The simulation uses no sockets and no real clock.  Several VMs, each with its own `RequestQueue`,
+`Balancer` and `LoadTable`, serve two kinds of request on endpoints with few slots.  The slowdown of
+an endpoint changes several times a second, and work that starts in its last free slot takes longer.
+Load reports from probes and in-flight counts reach the VMs with a delay, as between real gateways.
 
 `python -m bench.gateway_replay` prints a table of deployments and loads; see `docs/LOAD.md`.
 
@@ -37,20 +37,20 @@
 DATA_CENTER = "here"
 TICK_MS = 50.0
 PEER_UPDATE_MS = 3.0
-"""From a change to the moment at which a neighbour has counted it: gathering, and the way."""
+"""The delay until a neighbour has counted a change: batching of updates and transmission."""
 ONE_WAY_MS = 1.0
-"""From the caller to a gateway, and from there to an endpoint."""
+"""The one-way delay from the caller to a gateway, and from a gateway to an endpoint."""
 WORK_SIGMA = 0.3
-"""Of the logarithm of the work of one request."""
+"""The standard deviation of the logarithm of the work of one request."""
 LATE_CREDIT = 0.1
 WINDOW_MS = 2_000.0
 WORST_WINDOWS = 2
 SHED_SHARE = 0.55
-"""An endpoint that sheds turns this part of what it gets away."""
+"""The share of its requests that a shedding endpoint rejects."""
 RETRY_SHARE = 0.2
 MAX_SENDS = 4
 MAX_ATTEMPTS = 2
-"""A request that can be repeated is sent to so many endpoints at most."""
+"""An idempotent request that fails is sent to at most this many endpoints."""
 
 
 @dataclass(slots=True, eq=False)
@@ -100,7 +100,7 @@
         self.arrivals = self.retries = 0
 
     def can_retry(self) -> bool:
-        """Return whether another repeat stays within what is allowed of this VM's requests."""
+        """Return whether one more retry stays within `RETRY_SHARE` of this VM's requests."""
         return self.retries + 1 <= RETRY_SHARE * self.arrivals
 
 
@@ -233,7 +233,7 @@
         elif len(endpoint.queued) < self.deployment.queue:
             endpoint.queued.append(work)
         else:
-            self.rejected += 1  # It hangs: the gateway hears nothing until it gives up.
+            self.rejected += 1  # The request hangs: the gateway gets no answer until its timeout.
 
     def _run(self, endpoint: _Endpoint, work: _Work) -> None:
         work.running = True
@@ -284,7 +284,7 @@
         self._admit_ready(vm)
 
     def _handle_failure(self, work: _Work) -> None:
-        """Tell all VMs of a failure, and send the request elsewhere if that may be done."""
+        """Report a failure to the VMs, and send an idempotent request to another endpoint."""
         work.ended = True
         vm, request, kind = work.vm, work.request, work.request.kind
         self._change_in_flight(vm, work.choice, -1)
@@ -300,7 +300,10 @@
         self._admit_ready(vm)
 
     def _handle_shed(self, work: _Work) -> None:
-        """Tell all VMs that an endpoint turned a request away with room, and send it elsewhere."""
+        """Handle a request that an endpoint shed regardless of its load.
+
+        Records this at all VMs and sends the request to another endpoint.
+        """
         work.ended = True
         vm, name = work.vm, work.choice.server.incarnation
         self._change_in_flight(vm, work.choice, -1)
@@ -312,7 +315,7 @@
         vm.retries += self._resend(work, vm.can_retry())
 
     def _handle_unreachable(self, work: _Work) -> None:
-        """Find nobody at an endpoint: the request has not run, and may go elsewhere at once."""
+        """Handle an unreachable endpoint: the request has not run, so resend it immediately."""
         work.ended = True
         name = work.choice.server.incarnation
         self._change_in_flight(work.vm, work.choice, -1)
@@ -320,7 +323,7 @@
         self._resend(work, allowed=True)
 
     def _resend(self, work: _Work, allowed: bool) -> bool:
-        """Send a request that has not run to another endpoint, or refuse it and return False."""
+        """Send a request that has not run to another endpoint, or reject it and return False."""
         vm, request = work.vm, work.request
         request.tried.append(work.choice.server.incarnation)
         choice = None
@@ -362,7 +365,7 @@
         self._change_in_flight(work.vm, work.choice, -1)
         self._admit_ready(work.vm)
 
-    # What goes on without requests.
+    # Periodic events.
 
     def _draw_slowdowns(self) -> None:
         for endpoint in self.endpoints.values():
@@ -382,14 +385,14 @@
                 vm.load_table.get_or_create(name).update_from_probe(report, at_ms)
 
     def _isolate_vms(self) -> None:
-        """Let some VMs hear no other one from now on."""
+        """Isolate some VMs from all other VMs from now on."""
         group = min(self.deployment.isolated_probe_count, len(self.endpoints))
         for vm in self.vms[: self.deployment.isolated_vms]:
             vm.isolated = True
             self._probe_while_isolated(vm, self.source.sample(list(self.endpoints), group))
 
     def _probe_while_isolated(self, vm: _Vm, names: list[str]) -> None:
-        """Let a VM that hears no other measure some endpoints."""
+        """Let an isolated VM probe some endpoints itself, repeatedly."""
         for name in names:
             vm.load_table.get_or_create(name).update_from_probe(
                 self.endpoints[name].load_report(), self.now_ms
@@ -433,12 +436,12 @@
 
 
 def play(deployment: Deployment, load: Load, seed: int) -> Outcome:
-    """Return what becomes of a load on a deployment."""
+    """Simulate a load on a deployment and return its outcome."""
     return _Replay(deployment, load, seed).run()
 
 
 def rows(seeds: range) -> list[str]:
-    """Return the table's rows, as the mean over seeds."""
+    """Return the rows of the table, with means over the seeds."""
     found = []
     for vms, probe_ms in ((1, 10.0), (5, 60.0), (16, 60.0)):
         for load in (Load(35.0), Load(35.0, 1.6), Load(50.0, 1.6)):
@@ -454,7 +457,7 @@
 
 
 def main() -> int:
-    """Print the table."""
+    """Print the table and return the exit code."""
     print("| deployment and load | value | credit | worst | in aim | late | refused | failed |")
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
     for row in rows(range(4)):
--- a/bench/instant_server.py
+++ b/bench/instant_server.py
@@ -1,4 +1,4 @@
-"""A backend server that answers two bytes at once, to measure what lies before it."""
+"""A backend server that answers two bytes immediately, to measure what is in front of it."""
 
 import asyncio
 
--- a/bench/many_services.py
+++ b/bench/many_services.py
@@ -1,4 +1,4 @@
-"""Makes up configurations of many services, for measurements at the sizes to come."""
+"""Generates configurations of many services, for measurements at planned sizes."""
 
 import uuid
 from collections.abc import Iterator, Sequence
@@ -15,7 +15,7 @@
 def brand_document(
     name: str, services: int, addresses: Sequence[str], data_centers: Sequence[str]
 ) -> dict[str, Any]:
-    """Return a brand's document; every service has these addresses, spread over the places."""
+    """Return a brand's document; every service has these addresses, divided among its places."""
     places = len(data_centers)
     return {
         "brand": name,
@@ -36,7 +36,7 @@
 def publish_changes(
     services: int, addresses: Sequence[str], data_centers: Sequence[str]
 ) -> Iterator[Change]:
-    """Return the changes that put so many services in force, a brand each."""
+    """Return changes that publish this many services, one change for each brand."""
     for first in range(0, services, SERVICES_PER_BRAND):
         name = f"brand-{first // SERVICES_PER_BRAND}"
         count = min(SERVICES_PER_BRAND, services - first)
--- a/bench/membership_cost.py
+++ b/bench/membership_cost.py
@@ -1,9 +1,9 @@
-"""What membership costs one daemon as VMs grow: bytes and processor time a second.
+"""Measures what membership costs one daemon at several numbers of VMs, per second.
 
-One real `Membership` is fed what its neighbours would send it, on a clock that the bench moves:
-their heartbeats, and one changed member a second from each of them (the most copies that can
-come).  Bytes are the CBOR form and the framing of websocket, TCP and IP; processor time is that of
-the decisions and the codec, without the sockets.
+One real `Membership` receives what its neighbours would send, on a simulated clock: their
+heartbeats, and each second one changed member from every neighbour, which is the largest possible
+number of copies.  Bytes are the CBOR encoding plus the framing of WebSocket, TCP and IP.  Processor
+time covers the decisions and the codec, without the sockets.
 """
 
 import random
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class Cost:
-    """What one daemon has sent, received and computed."""
+    """The bytes one daemon has sent and received, and its processor time."""
 
     sent_bytes: int = 0
     received_bytes: int = 0
@@ -48,7 +48,7 @@
 
 
 class _Run:
-    """One membership and its made-up neighbours."""
+    """One membership and its simulated neighbours."""
 
     def __init__(self, count: int) -> None:
         members = _members(count)
@@ -120,7 +120,7 @@
 
 
 def main() -> None:
-    """Print the cost for each size, idle and with a change of membership each second."""
+    """Print the cost at each size, without changes and with one changed member each second."""
     print("members  changes/s  sent B/s  received B/s  us of processor/s")
     for changes in (False, True):
         for count in SIZES:
--- a/bench/outage.py
+++ b/bench/outage.py
@@ -1,7 +1,8 @@
-"""All backend servers of a service down for 10 s: attempts per call, and how goodput recovers.
+"""Takes all backend servers of a service down for 10 s and measures attempts and recovery.
 
-Calls that are due during the outage and repeated by their callers count as one call; an answer
-counts as good when it comes within 1 s.
+The measurements are attempts per call during the outage, and how fast goodput recovers after it.
+A call that is due during the outage and is retried by its caller counts as one call.  An answer
+counts as good if it arrives within 1 s.
 """
 
 import asyncio
@@ -62,7 +63,11 @@
 
 
 def _recovery_ms(ends: Sequence[ToldRecord], up_ms: float) -> float:
-    """Return how long after `up_ms` the calls that are due fare well again, and go on to."""
+    """Return how long after `up_ms` goodput has recovered for good.
+
+    From then on, the good answers are at least `RECOVERED` of the due calls in every window.
+    Returns infinity if goodput does not recover.
+    """
     last_ms = max(item.intended_ms for item in ends)
     windows = int((last_ms - up_ms) // WINDOW_MS)
     recovered = float("inf")
--- a/bench/profile_path.py
+++ b/bench/profile_path.py
@@ -1,6 +1,7 @@
-"""Profiles a daemon's request path: `python -m bench.profile_path` prints what costs most per call.
+"""Profiles the request path of a daemon and prints the functions that cost most per call.
 
-The profiler slows the daemon down, so shares count and not absolute times.
+Run it with `python -m bench.profile_path`.  The profiler slows the daemon down, so only relative
+times are meaningful, not absolute ones.
 """
 
 import asyncio
@@ -20,7 +21,7 @@
 
 
 async def profile_path() -> None:
-    """Load a daemon under the profiler and print its own time by function, per call."""
+    """Run a load on a profiled daemon; print the time per call spent in each function itself."""
     async with Fleet() as fleet:
         path = fleet.folder / "profile.out"
         _, address = await start_daemon(fleet, ("--run_with_profiling", f"--profile_file={path}"))
--- a/bench/reference.py
+++ b/bench/reference.py
@@ -1,8 +1,8 @@
 """Writes docs/REFERENCE.md: every command, flag, setting, error kind, metric and event.
 
-The rows come from the programs, so the page names neither more nor less than there is.  The last
-cell of a row, which says what the thing means, is written by hand and kept; a row that is new gets
-an empty one.  `make reference` runs it.
+The rows come from the programs, so the page lists exactly what exists.  The last cell of a row
+gives the meaning; it is written by hand and preserved.  A new row gets an empty cell.
+`make reference` runs this module.
 """
 
 import re
@@ -48,7 +48,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Section:
-    """A table: its title, the names of its columns, and rows without their last cell."""
+    """A table: its title, the names of its columns, and its rows.
+
+    If `by_hand` is true, the rows lack their last cell, which is written by hand.
+    """
 
     title: str
     columns: tuple[str, ...]
@@ -56,7 +59,7 @@
     by_hand: bool = True
 
     def to_text(self, meanings: dict[str, str]) -> str:
-        """Return the section with the cells that were written by hand."""
+        """Return the section as Markdown, with the handwritten cells by key of the row."""
         lines = [f"## {self.title}", "", _row(self.columns), _row("---" for _ in self.columns)]
         for row in self.rows:
             key = f"`{row[0]}`"
@@ -128,7 +131,7 @@
 
 
 def reference_page(before: str) -> str:
-    """Return the page, with the cells that were written by hand in the page before."""
+    """Return the page, with the handwritten cells taken from its previous text."""
     parts = [HEAD]
     for section in sections():
         _, _, rest = before.partition(f"## {section.title}\n")
@@ -190,7 +193,7 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Write the page, or with `--print` only print what it should be."""
+    """Write the page, or with `--print` only print its new text."""
     before = PAGE.read_text() if PAGE.exists() else ""
     page = reference_page(before)
     if "--print" in arguments:
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -1,8 +1,8 @@
-"""Replays seeded traces through the decision objects and compares them with other ways.
+"""Replays seeded traces through the decision code and compares it with other algorithms.
 
-`python -m bench.replay` prints a table and checks its ratios against `bounds.toml`.  Only the load
-on the decisions is modelled: arrivals, work, slots and the ways between machines; processor time
-of daemons is not.
+`python -m bench.replay` prints a table and checks its ratios against `bounds.toml`.  The model
+covers only the load on the decisions: arrivals, work, slots and network delays between VMs.  It
+does not cover the processor time of daemons.
 """
 
 import sys
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """The measures of one way in one scenario at one service, over all seeds."""
+    """The measurements of one algorithm in one scenario at one service, over all seeds."""
 
     service: str
     scenario: str
@@ -48,7 +48,7 @@
 
     @classmethod
     def from_result(cls, service: str, scenario: str, algorithm: str, result: Result) -> "Row":
-        """Work out the measures of a result."""
+        """Compute the measurements from a result."""
         thousands = max(1, result.calls) / 1000
         latency = sorted(result.latency)
         return cls(
@@ -82,7 +82,7 @@
     algorithms: tuple[str, ...] = tuple(ALGORITHMS),
     workers: int = WORKERS,
 ) -> list[Row]:
-    """Replay every scenario of every service in every way and return the measures."""
+    """Replay every scenario of every service with every algorithm; return the measurements."""
     keys = [(d, s, w) for s in scenarios for d in deployments for w in algorithms]
     tasks = [(*key, seed) for key in keys for seed in seeds]
     with ProcessPoolExecutor(workers) as pool:
@@ -101,7 +101,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Print the table; arguments name the scenarios, by default all."""
+    """Print the table and return the exit code; arguments name the scenarios, by default all."""
     chosen = tuple(item for item in SCENARIOS if not arguments or item.name in arguments)
     print(
         f"{'scenario':22}{'service':19}{'way':16}"
@@ -122,7 +122,7 @@
 
 
 def build_figures(rows: list[Row]) -> list[Figure]:
-    """Return what the bounds hold for: for each scenario the worst ratio among the services."""
+    """Return the figures that have bounds: the worst ratio among the services per scenario."""
     figures: list[Figure] = []
     for scenario in dict.fromkeys(row.scenario for row in rows):
         groups = [
--- a/bench/replay_traces.py
+++ b/bench/replay_traces.py
@@ -1,4 +1,4 @@
-"""Seeded traces for the replay: the deployments, the calls of each scenario and its troubles."""
+"""Seeded traces for the replay: the deployments, the scenarios with their faults, and the calls."""
 
 import random
 from dataclasses import dataclass, field
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """A service at its size of today; `way_ms` is one way between data centres."""
+    """A service at its present size; `one_way_ms` is the one-way delay between data centres."""
 
     name: str
     data_centers: tuple[str, ...]
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """What happens to some endpoints from `from_ms` until `to_ms`.
+    """A fault of some endpoints from `from_ms` until `to_ms`.
 
     The kind is `slow` (by `factor`), `down`, `failing` or `draining`.
     """
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A load and what goes wrong during it; `load` is the share of all slots that is in use."""
+    """A load and the faults during it; `load` is the share of all slots in use."""
 
     name: str
     load: float
@@ -99,7 +99,7 @@
 
 
 def generate_calls(deployment: Deployment, scenario: Scenario, seed: int) -> list[Call]:
-    """Return the calls of a trace in the order of their arrival."""
+    """Return the calls of a trace in order of arrival."""
     source = random.Random(f"{deployment.name} {scenario.name} {seed}")
     base = scenario.load * deployment.endpoints * deployment.slots / WORK_MEAN_MS
     mu = -(WORK_SIGMA**2) / 2
--- a/bench/replay_ways.py
+++ b/bench/replay_ways.py
@@ -1,4 +1,7 @@
-"""The ways that the replay compares: four that decide in each VM alone, an oracle, cloverhook."""
+"""The load-balancing algorithms that the replay compares.
+
+Four of them decide in each VM on local state only.  The others are an oracle and cloverhook.
+"""
 
 import heapq
 import random
@@ -44,7 +47,7 @@
 
 
 class LocalBalancer:
-    """Each VM chooses by what it knows itself; callers are spread over all VMs."""
+    """Balances in each VM on the state of that VM only; callers are spread over all VMs."""
 
     def __init__(self, world: World, name: str, source: random.Random) -> None:
         self._world = world
@@ -54,7 +57,7 @@
         self._last_index = [source.randrange(len(world.backends)) for _ in range(VMS)]
 
     def arrive(self, call: Call) -> None:
-        """Take a call."""
+        """Handle the arrival of a call."""
         epoch = int(call.arrives_ms / LIFETIME_MS)
         vm = random.Random(f"{call.caller} {epoch}").randrange(VMS)
         self._attempt(call, vm, 1)
@@ -100,10 +103,10 @@
 
 
 class Oracle:
-    """One queue with an instant view of every slot and of how fast it is.
+    """One queue with immediate knowledge of every slot and its speed.
 
-    Each call enters in the data centre of the endpoint it is given, so it never pays the way
-    between data centres.
+    Each call arrives in the data centre of the endpoint that it is assigned to, so it never incurs
+    the delay between data centres.
     """
 
     def __init__(self, world: World, source: random.Random) -> None:
@@ -113,7 +116,7 @@
         self._queue: list[tuple[int, float, int, Call]] = []
 
     def arrive(self, call: Call) -> None:
-        """Take a call."""
+        """Handle the arrival of a call."""
         heapq.heappush(self._queue, (call.priority, call.arrives_ms, id(call), call))
         self._serve()
 
@@ -161,7 +164,7 @@
 
 
 class _Vm:
-    """One VM of the cloverhook way: a router, and the requests in flight there."""
+    """One VM of `Cloverhook`: a router, and the requests in flight there."""
 
     def __init__(self, name: str, data_center: str, router: ServiceRouter) -> None:
         self.name = name
@@ -175,7 +178,7 @@
 
 
 class Cloverhook:
-    """The decision objects themselves, with callers steered to the home VMs."""
+    """Runs the actual decision code, with callers steered to the home VMs."""
 
     def __init__(self, world: World, source: random.Random) -> None:
         self._world = world
@@ -199,7 +202,7 @@
             world.clock.at(world.scenario.home_lost_ms, self._lose_home)
 
     def arrive(self, call: Call) -> None:
-        """Take a call."""
+        """Handle the arrival of a call."""
         vm = self._vm_of(call)
         if vm.lost:
             vm = self._next_home(vm)
@@ -209,7 +212,7 @@
         self._admit(vm, call)
 
     def close(self) -> None:
-        """Take the measures that are kept for each VM."""
+        """Add the measurements that are kept per VM to the result."""
         run_s = self._world.scenario.run_ms / 1000
         busiest = max(vm.sent_bytes for vm in self._vms)
         self._world.result.busiest_vm_bytes_per_s = busiest / run_s
@@ -235,9 +238,11 @@
                 self._handle(vm, HomesChanged(vm.name, names, centers))
 
     def _vm_of(self, call: Call) -> _Vm:
-        """Return the VM of the caller's answer; after its lifetime it asks that VM again.
+        """Return the VM in the caller's address answer.
 
-        The run begins with callers that have been at it for long, so each first asks a home.
+        When the lifetime of the answer ends, the caller asks that VM for a new one.  The run
+        simulates callers that have been active for a long time, so each first asks a home VM; a
+        caller with a stale answer uses a VM that is not a home.
         """
         answer = self._answers.get(call.caller)
         if answer is None:
@@ -363,7 +368,7 @@
 
 
 def replay(deployment: Deployment, scenario: Scenario, algorithm: str, seed: int) -> Result:
-    """Replay one trace in one way."""
+    """Replay one trace with one algorithm."""
     world = World(deployment, scenario)
     way = ALGORITHMS[algorithm](world, random.Random(f"{algorithm} {seed}"))
     for call in generate_calls(deployment, scenario, seed):
--- a/bench/replay_world.py
+++ b/bench/replay_world.py
@@ -1,4 +1,4 @@
-"""The world of the replay: a clock, endpoints with slots, and what is measured."""
+"""The simulated environment of the replay: a clock, endpoints with slots, and measurements."""
 
 import heapq
 from array import array
@@ -18,7 +18,7 @@
 
 
 class Clock:
-    """Runs events in the order of their time."""
+    """A simulated clock that runs events in order of time."""
 
     def __init__(self) -> None:
         self.now_ms = 0.0
@@ -49,7 +49,7 @@
 
 
 class Backend:
-    """An endpoint: it works on as many requests as it has slots, others wait there."""
+    """An endpoint that runs as many requests as it has slots and queues the others."""
 
     def __init__(self, index: int, deployment: Deployment, faults: tuple[Fault, ...]) -> None:
         self.index = index
@@ -65,20 +65,23 @@
         self.max_busy = 0
 
     def active_fault(self, kind: str, now_ms: float) -> Fault | None:
-        """Return the trouble of a kind that the endpoint has now, or None."""
+        """Return the fault of this kind that is active at the endpoint, or None."""
         for item in self._faults:
             if item.kind == kind and item.from_ms <= now_ms < item.to_ms:
                 return item
         return None
 
     def plan(self, clock: Clock) -> None:
-        """Plan what happens at set times."""
+        """Schedule the faults that take effect at fixed times."""
         for item in self._faults:
             if item.kind == "down":
                 clock.at(item.from_ms, self._cut_all, clock)
 
     def offer(self, clock: Clock, call: Call, on_end: OnEnd) -> int | None:
-        """Take a request; its end is told by `on_end`.  The number returned can cancel it."""
+        """Accept a request and report its end to `on_end`.
+
+        Returns a number with which the request can be cancelled, or None if it does not run.
+        """
         now_ms = clock.now_ms
         if self.active_fault("down", now_ms):
             on_end(AttemptResult.NOT_SENT, 0)
@@ -96,7 +99,7 @@
         return None
 
     def cancel(self, clock: Clock, number: int | None) -> None:
-        """Drop a request whose sender has gone."""
+        """Drop a request whose sender has disconnected."""
         if number in self._jobs:
             self._drop(number)
             self._begin(clock)
@@ -150,7 +153,7 @@
 
 @dataclass(slots=True)
 class Result:
-    """What a run has measured; the lists hold milliseconds."""
+    """The measurements of a run; the arrays hold milliseconds."""
 
     latency: array = field(default_factory=lambda: array("d"))
     wait: array = field(default_factory=lambda: array("d"))
@@ -172,7 +175,7 @@
     late_calls: int = 0
 
     def add(self, other: "Result") -> None:
-        """Add another run's measures."""
+        """Add the measurements of another run."""
         for name in self.__slots__:
             mine, theirs = getattr(self, name), getattr(other, name)
             if isinstance(mine, array):
@@ -184,7 +187,7 @@
 
 
 class World:
-    """The endpoints of one run, and its measures."""
+    """The endpoints of one run, and its measurements."""
 
     def __init__(self, deployment: Deployment, scenario: Scenario) -> None:
         self.clock = Clock()
@@ -202,7 +205,7 @@
         self._at_most_once: set[str] = set()
 
     def one_way_ms(self, one: str, other: str) -> float:
-        """Return the time one way between two data centres."""
+        """Return the one-way delay between two data centres, or within one."""
         return LOCAL_ONE_WAY_MS if one == other else self.deployment.one_way_ms
 
     def arrived(self, call: Call) -> None:
@@ -218,7 +221,7 @@
         self.result.attempts += call.arrives_ms >= WARM_UP_MS
 
     def ended(self, call: Call, outcome: str) -> None:
-        """Measure the end of a call: `answered`, `refused`, `failed` or `lost_with_vm`."""
+        """Record the end of a call: `answered`, `refused`, `failed` or `lost_with_vm`."""
         if call.arrives_ms < WARM_UP_MS:
             return
         result = self.result
@@ -233,7 +236,7 @@
             self._measure_high(call, latency_ms)
 
     def close(self) -> Result:
-        """Return the measures of the run."""
+        """Return the measurements of the run."""
         for backend in self.backends:
             self.result.overfilled += backend.max_busy > backend.slots
         runs: dict[str, int] = {}
--- a/bench/rolling.py
+++ b/bench/rolling.py
@@ -1,9 +1,9 @@
-"""Replaces all daemons of a full fleet one by one under load, and prints what became of the calls.
+"""Replaces all daemons of a full fleet one by one under load, and prints the results of the calls.
 
     python -m bench.rolling
 
-The last line is `lost=0 doubled=0 crossed=0 cut=0` when the promise holds; the exit code is 1 when
-it does not.  A call that no daemon could be reached for counts as lost.
+The last line starts with `lost=0 doubled=0 crossed=0 cut=0` if all invariants hold; otherwise the
+exit code is 1.  A call for which no daemon was reachable counts as lost.
 """
 
 import asyncio
@@ -22,8 +22,8 @@
 __all__ = ["measure_rolling"]
 
 FLAGS = flags.FLAGS
-flags.DEFINE_integer("rolling_vms", 19, "How many daemons there are, all of which are replaced.")
-flags.DEFINE_integer("rolling_calls_per_s", 200, "The load while they are replaced.")
+flags.DEFINE_integer("rolling_vms", 19, "The number of daemons, all of which are replaced.")
+flags.DEFINE_integer("rolling_calls_per_s", 200, "The load during the replacement.")
 
 FILE = "brathwaite.toml"
 SERVICE = "booking"
@@ -35,7 +35,7 @@
 
 
 async def measure_rolling(vms: int, calls_per_s: int) -> bool:
-    """Run the replacement and print its figures; return whether the promise holds."""
+    """Replace all daemons and print the figures; return whether all invariants hold."""
     deployment = Deployment.from_file(EXAMPLES / FILE).only(SERVICE)
     brand = deployment.brand.name
     host = deployment.service(SERVICE).hosts[0]
--- a/bench/run.py
+++ b/bench/run.py
@@ -1,9 +1,9 @@
-"""Runs the bench: prints figures beside their bounds, and exits with 1 when one is past its bound.
+"""Runs the benchmarks, prints figures with their bounds, and exits with 1 if one exceeds its bound.
 
     python -m bench.run [--parts=added,ways,outage,decisions,choices,replay] [--quick]
 
-Figures are ratios against baselines of the same run wherever that can be; a shared machine makes
-absolute ones drift.
+Where possible, figures are ratios to baselines of the same run, because absolute figures drift on a
+shared computer.
 """
 
 import asyncio
@@ -27,8 +27,8 @@
 FLAGS = flags.FLAGS
 PARTS = ("decisions", "choices", "added", "ways", "outage", "replay")
 flags.DEFINE_list("parts", list(PARTS), "The parts to run.")
-flags.DEFINE_bool("quick", False, "Fewer and shorter rounds, and one service only.")
-flags.DEFINE_integer("together", 2, "How many fleets of the part `ways` run at a time.")
+flags.DEFINE_bool("quick", False, "Run fewer and shorter rounds, and only one service.")
+flags.DEFINE_integer("together", 2, "The number of fleets of the part `ways` that run at a time.")
 
 ROUNDS = 5
 ROUND_S = 0.8
@@ -85,18 +85,18 @@
 
 def _replay() -> list[str]:
     if importlib.util.find_spec("bench.replay") is None:
-        print("   there is no replay")
+        print("   the module bench.replay is missing")
         return ["replay"]
     return ["replay"] if importlib.import_module("bench.replay").main([]) else []
 
 
 def _interrupt(number: int, frame: object) -> None:
-    """Let a SIGTERM end the bench's processes as Ctrl-C does."""
+    """Raise SIGINT, so that SIGTERM ends the child processes as Ctrl-C does."""
     signal.raise_signal(signal.SIGINT)
 
 
 def main(arguments: list[str]) -> int:
-    """Run the parts that the flags name and return the exit code."""
+    """Run the parts named by the flags and return the exit code."""
     del arguments
     signal.signal(signal.SIGINT, signal.default_int_handler)
     signal.signal(signal.SIGTERM, _interrupt)
--- a/bench/slope.py
+++ b/bench/slope.py
@@ -1,4 +1,4 @@
-"""A measured slope: a cost at three or more sizes, the line through it, and how far runs differ.
+"""A measured slope: a cost at three or more sizes, the fitted line, and the spread of the runs.
 
 >>> run = [(1, 5), (2, 7), (4, 11)]
 >>> slope = Slope.from_runs("time line", "processor time", "us", "event", [run])
@@ -21,9 +21,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """What a role costs in `unit` for each `per`, by least squares over the points' medians.
+    """The cost of a role in `unit` per `per`, fitted by least squares to the medians of the points.
 
-    `spread` is the difference between the steepest and the flattest run over the gradient.
+    `spread` is the difference between the steepest and the flattest run, divided by the gradient.
     """
 
     role: str
@@ -50,12 +50,12 @@
         return cls(role, what, unit, per, points, gradient, intercept, spread)
 
     def at(self, size: float) -> float:
-        """Return the cost that the line gives at a size."""
+        """Return the cost at a size, according to the fitted line."""
         return self.intercept + self.gradient * size
 
     @property
     def exponent(self) -> float:
-        """The power of the size that the cost grows by, from the first point to the last."""
+        """The power of the size with which the cost grows, from the first to the last point."""
         (first, low), (last, high) = self.points[0], self.points[-1]
         if low <= 0 or high <= 0:
             return 1.0
@@ -63,7 +63,7 @@
 
     @property
     def is_superlinear(self) -> bool:
-        """Whether a line is the wrong picture of the growth."""
+        """Whether the cost grows too fast for a line to describe it."""
         return self.exponent > SQUARE_EXPONENT
 
 
@@ -76,7 +76,7 @@
     measure: Callable[[int], float],
     runs: int = RUNS,
 ) -> Slope:
-    """Measure a cost at each size, `runs` times over, and fit its slope."""
+    """Measure a cost at each size, repeat this `runs` times, and fit its slope."""
     found = [[(size, measure(size)) for size in sizes] for _ in range(runs)]
     return Slope.from_runs(role, what, unit, per, found)
 
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -1,7 +1,9 @@
-"""How long an accepted change takes to be in force everywhere, with 19 daemons on loopback.
+"""Measures how long an accepted change takes to be in force at all of 19 daemons.
 
-Time runs from the moment before the append to the last daemon's event on its time line; all share
-one wall clock.  Once every daemon reaches the log, once half of them are cut off from it.
+The daemons run on loopback.  The time is measured from just before the append to the latest event
+of the change on the time line of any daemon; all daemons share one wall clock.  The first
+measurement is with a log that every daemon can reach, the second with half of the daemons cut off
+from it.
 """
 
 import asyncio
@@ -41,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """Milliseconds from a publish to its being in force at every daemon."""
+    """Milliseconds from the publication of a change until it is in force at every daemon."""
 
     changes: int
     p50_ms: float
@@ -50,7 +52,7 @@
 
     @classmethod
     def from_times(cls, times_ms: list[float]) -> "Spread":
-        """Return the figures for the times of some changes."""
+        """Return the percentiles of the times of some changes."""
         ordered = sorted(times_ms)
         at = [ordered[min(len(ordered) - 1, int(len(ordered) * q))] for q in (0.5, 0.99)]
         return cls(len(ordered), *at, ordered[-1])
@@ -65,7 +67,7 @@
         self.version = 0
 
     async def start(self) -> None:
-        """Start the daemons, every other one with the proxy between it and the platform."""
+        """Start the daemons; every second one reaches the platform through the proxy."""
         for index in range(DAEMONS):
             url = f"http://{self.proxy.address}" if index % 2 else self.fleet.platform_url
             center = DATA_CENTERS[index % 3]
@@ -74,7 +76,7 @@
         await self._wait(lambda status: len(status["members"]) == DAEMONS)
 
     async def publish(self, action: Publish | SwitchPreset) -> tuple[str, float]:
-        """Append a change and return its identifier and the time before that."""
+        """Append a change and return its identifier and the time before the append."""
         change_id = uuid.uuid4().hex
         change = Change(change_id, "brathwaite", self.version, "bench", action)
         started_ms = time.time() * 1000
@@ -83,7 +85,7 @@
         return change_id, started_ms
 
     async def measure_propagation(self) -> Spread:
-        """Publish many changes and return how long they took to be everywhere."""
+        """Publish many changes and return how long they took to be in force at every daemon."""
         started: dict[str, float] = {}
         for index in range(CHANGES):
             preset = Preset.PEAK if index % 2 else Preset.ORDINARY
@@ -99,7 +101,7 @@
         return Spread.from_times([max(seen[item]) - at_ms for item, at_ms in started.items()])
 
     async def idle_cpu(self) -> list[float]:
-        """Return the share of a core that each daemon takes when idle, in percent."""
+        """Return the share of a core that each idle daemon uses, in percent, sorted."""
         before = [_cpu_s(daemon) for daemon in self.fleet.daemons.values()]
         await asyncio.sleep(IDLE_S)
         after = [_cpu_s(daemon) for daemon in self.fleet.daemons.values()]
@@ -127,7 +129,7 @@
 
 
 async def measure() -> tuple[Spread, Spread, list[float]]:
-    """Return the spread with a healthy log and with half cut off, and the idle load."""
+    """Return the times with a healthy log and with half the daemons cut off, and the idle load."""
     headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
     async with Fleet() as fleet, aiohttp.ClientSession(headers=headers) as session:
         proxy = CutProxy(fleet.platform_url.removeprefix("http://"))
--- a/bench/ways.py
+++ b/bench/ways.py
@@ -1,8 +1,8 @@
-"""Compares ways of choosing among real processes, at both deployments' sizes of today.
+"""Compares load-balancing algorithms on real processes, at the present sizes of two deployments.
 
-The work is 50 ms in the mean, so that one machine carries the rates: at 90% of 60 slots, 1,080
-calls a second.  All ways get the same arrivals.  Random, round robin, least in flight and best of
-two use any VM for any caller; cloverhook steers callers to home VMs.
+The mean work is 50 ms, so that one computer can carry the rates: 1,080 calls a second at 90% of 60
+slots.  All algorithms get the same arrivals.  Random, round robin, least in flight and best of two
+use any VM for any caller; cloverhook steers callers to home VMs.
 """
 
 import asyncio
@@ -32,9 +32,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """A piece of the load: its part of the slots' capacity, how long, and the faults in it.
+    """A step of the load: its share of the capacity of all slots, its duration and its faults.
 
-    `faulty` is the part of the servers that have the faults; 0 is a single one.
+    `faulty_share` is the share of the backend servers that have the faults; 0 means a single one.
     """
 
     name: str
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AlgorithmResult:
-    """What one way did for one service."""
+    """The results of one algorithm for one service."""
 
     algorithm: str
     service: str
@@ -73,24 +73,24 @@
     lag_ms: float
 
     def latency_ms(self, scenario: str, percent: float, path: str = "") -> float:
-        """Return a percentile of the latency of good answers."""
+        """Return a percentile of the latency of answers with status 200."""
         return percentile(
             (item.latency_ms for item in self._good(scenario) if path in ("", item.path)), percent
         )
 
     def waiting_ms(self, scenario: str, percent: float) -> float:
-        """Return a percentile of latency less work."""
+        """Return a percentile of the latency minus the work time."""
         return percentile(
             (item.latency_ms - item.work_ms for item in self._good(scenario)), percent
         )
 
     def good_ratio(self, scenario: str) -> float:
-        """Return the part of the calls that were answered well."""
+        """Return the share of the calls that were answered with status 200."""
         return len(self._good(scenario)) / max(1, len(self.ends[scenario]))
 
     @property
     def wrong(self) -> int:
-        """Requests lost, doubled, crossed, cut or falsely told as not run."""
+        """The number of requests lost, doubled, crossed, cut or falsely reported as not run."""
         report = self.report
         found = (report.lost, report.doubled, report.crossed, report.cut, report.false_not_run)
         return sum(len(items) for items in found)
@@ -102,7 +102,7 @@
 async def measure_algorithms(
     together: int, services: Sequence[tuple[str, str]] = SERVICES
 ) -> tuple[list[Figure], list[Table]]:
-    """Run all ways for the services, some at a time; return figures and tables."""
+    """Run all algorithms for the services, `together` at a time; return figures and tables."""
     gate = asyncio.Semaphore(together)
 
     async def one(file: str, service: str, algorithm: str) -> AlgorithmResult:
@@ -158,7 +158,7 @@
 
 
 def _by_step(ends: Sequence[ToldRecord], start_ms: float) -> dict[str, list[ToldRecord]]:
-    """Return the calls by the name of the step in which they were due."""
+    """Return the calls grouped by the name of the step in which they were due."""
     limits = list(itertools.accumulate(step.duration_s * 1000 for step in STEPS))
     found: dict[str, list[ToldRecord]] = {step.name: [] for step in STEPS}
     for item in ends:
