--- a/bench/added.py
+++ b/bench/added.py
@@ -1,7 +1,8 @@
-"""What cloverhook adds to a call: against the direct path, and against a bare library forwarder.
+"""Measures what cloverhook adds to a call, compared with the direct path and a bare forwarder.
 
-Each round measures all three ways one after another, so that a drift of the machine touches all;
-a figure is the median of its rounds.
+The three paths are direct to the backend server, through the forwarder of `bench.forwarder`, and
+through a daemon.  Each round measures all three one after another, so that a drift in the speed of
+the computer affects all of them.  A figure is the median of its rounds.
 """
 
 import asyncio
@@ -17,7 +18,7 @@
 from cloverhook_emulator.fleet_runner import Fleet
 from cloverhook_emulator.http_client import ClientPool
 
-__all__ = ["HOST", "close_loop", "measure_added", "start_daemon"]
+__all__ = ["HOST", "run_closed_loop", "measure_added", "start_daemon"]
 
 HOST = "booking.brathwaite.example"
 CONFIG = """brand = "brathwaite"
@@ -30,16 +31,16 @@
 connections = 200
 endpoints = ["{address}"]
 """
-LETTER_MS = 0.56
+TARGET_MS = 0.56
 CONNECTIONS = (1, 4, 16)
 SATURATING = 32
 CALL_TIMEOUT_S = 10
-WAYS = ("direct", "forwarder", "cloverhook")
+PATHS = ("direct", "forwarder", "cloverhook")
 
 
 @dataclass(slots=True)
 class _Measured:
-    """The figures of one way at one level of load, a value for each round."""
+    """The measurements of one path at one level of load, with one value per round."""
 
     p50_ms: list[float] = field(default_factory=list)
     p99_ms: list[float] = field(default_factory=list)
@@ -52,7 +53,7 @@
 
 
 async def start_daemon(fleet: Fleet, arguments: Sequence[str] = ()) -> tuple[str, str]:
-    """Start an instant backend server and one daemon before it; return both addresses."""
+    """Start an instant backend server and a daemon in front of it, and return both addresses."""
     server = await fleet.start_process("instant", "bench.instant_server")
     direct = (await server.wait_until_listening())[0]
     daemon = await fleet.start_daemon("vm-0", "papine", "bench.bench_daemon", arguments)
@@ -67,7 +68,7 @@
 
 
 async def measure_added(rounds: int, seconds: float) -> tuple[list[Figure], list[Table]]:
-    """Return figures and a table of latency, calls per second and memory."""
+    """Return figures for latency, calls per second and memory, and a table of them."""
     async with Fleet() as fleet:
         direct, through_daemon = await start_daemon(fleet)
         forwarder = await fleet.start_process("forwarder", "bench.forwarder", f"--target={direct}")
@@ -80,15 +81,17 @@
         measured: dict[tuple[str, str], _Measured] = defaultdict(_Measured)
         for _ in range(rounds):
             for connections in (*CONNECTIONS, SATURATING):
-                for way in WAYS:
-                    latencies_ms = await close_loop(addresses[way], connections, seconds, refused)
-                    measured[f"{connections} connections", way].add(latencies_ms, seconds)
-        saturation = {way: _saturation(measured, way) for way in WAYS}
+                for path in PATHS:
+                    latencies_ms = await run_closed_loop(
+                        addresses[path], connections, seconds, refused
+                    )
+                    measured[f"{connections} connections", path].add(latencies_ms, seconds)
+        saturation = {path: _saturation(measured, path) for path in PATHS}
         rate = min(saturation["forwarder"], saturation["cloverhook"]) / 4
         for _ in range(rounds):
-            for way in WAYS:
-                latencies_ms = await _open_loop(addresses[way], rate, seconds * 2, refused)
-                measured["a quarter", way].add(latencies_ms, seconds * 2)
+            for path in PATHS:
+                latencies_ms = await _run_open_loop(addresses[path], rate, seconds * 2, refused)
+                measured["a quarter", path].add(latencies_ms, seconds * 2)
         memory_mb = {
             "forwarder": _memory_mb(forwarder.process.pid),
             "cloverhook": _memory_mb(fleet.daemons["vm-0"].process.process.pid),
@@ -98,12 +101,13 @@
     return figures, [_table(measured)]
 
 
-async def close_loop(
+async def run_closed_loop(
     address: str, connections: int, seconds: float, refused: Counter[str]
 ) -> list[float]:
-    """Call over some connections, each as fast as answers come; return latencies in ms.
+    """Run a closed-loop load and return the latencies in ms.
 
-    Calls that are not answered well are counted in `refused` by address.
+    Each connection sends its next call as soon as the previous one is answered.  Calls whose
+    answer has a status other than 200 are counted in `refused` by address.
     """
     pool = ClientPool()
     request = _request()
@@ -123,10 +127,14 @@
     return latencies_ms
 
 
-async def _open_loop(
+async def _run_open_loop(
     address: str, calls_per_s: float, seconds: float, refused: Counter[str]
 ) -> list[float]:
-    """Send Poisson arrivals, spinning for exact starts; latency counts from when a call was due."""
+    """Run an open-loop load of Poisson arrivals and return the latencies in ms.
+
+    The loop spins between arrivals so that calls start exactly on time.  A latency counts from the
+    moment at which the call was due.
+    """
     pool = ClientPool()
     request = _request()
     source = random.Random(1)
@@ -161,14 +169,16 @@
     return f"GET /open HTTP/1.1\r\nhost: {HOST}\r\n\r\n".encode()
 
 
-def _saturation(measured: dict[tuple[str, str], _Measured], way: str) -> float:
+def _saturation(measured: dict[tuple[str, str], _Measured], path: str) -> float:
     levels = (f"{connections} connections" for connections in (*CONNECTIONS, SATURATING))
-    return max(median(measured[level, way].calls_per_s) for level in levels)
+    return max(median(measured[level, path].calls_per_s) for level in levels)
 
 
-def _added_ms(measured: dict[tuple[str, str], _Measured], level: str, way: str, name: str) -> float:
-    """Return the median over rounds of what a way adds to the direct path."""
-    values = getattr(measured[level, way], name)
+def _added_ms(
+    measured: dict[tuple[str, str], _Measured], level: str, path: str, name: str
+) -> float:
+    """Return the median over rounds of what a path adds to the direct path."""
+    values = getattr(measured[level, path], name)
     direct = getattr(measured[level, "direct"], name)
     return median(value - base for value, base in zip(values, direct, strict=True))
 
@@ -195,7 +205,7 @@
             "added.a_quarter.p99_ms",
             letter,
             "ms",
-            f"the letter's {LETTER_MS} ms; {rate:.0f} calls/s",
+            f"target {TARGET_MS} ms; {rate:.0f} calls/s",
         ),
         Figure(
             "added.calls_per_s",
@@ -210,8 +220,8 @@
 
 def _table(measured: dict[tuple[str, str], _Measured]) -> Table:
     rows = [
-        (f"{level}, {way}", median(item.p50_ms), median(item.p99_ms), median(item.calls_per_s))
-        for (level, way), item in measured.items()
+        (f"{level}, {path}", median(item.p50_ms), median(item.p99_ms), median(item.calls_per_s))
+        for (level, path), item in measured.items()
     ]
     return Table(
         "one daemon before an instant server", ("way", "p50 ms", "p99 ms", "calls/s"), rows
--- a/bench/bench_daemon.py
+++ b/bench/bench_daemon.py
@@ -1,7 +1,7 @@
-"""A daemon for the bench: chooses by a baseline's way, or counts attempts.
+"""A daemon that uses a baseline load-balancing algorithm, or counts attempts.
 
-It is the product's daemon with another router put in its place before it starts; with
-`--way=cloverhook` the router is the product's own.
+It is the `cloverhookd` daemon, whose router is replaced before it starts.  With
+`--way=cloverhook` the router is the daemon's own.
 """
 
 import time
@@ -11,40 +11,42 @@
 
 from absl import flags
 
-from bench.baseline_router import WAYS, BaselineRouter
+from bench.baseline_router import ALGORITHMS, BaselineRouter
 from cloverhook import daemon, dispatch
 from cloverhook.routing import ServiceRouter
 from cloverhook.routing_events import Action, Event, Start
 
-__all__ = ["COUNT_EVERY_MS"]
+__all__ = ["COUNT_INTERVAL_MS"]
 
-COUNT_EVERY_MS = 100
+COUNT_INTERVAL_MS = 100
 
 FLAGS = flags.FLAGS
-flags.DEFINE_enum("way", "cloverhook", ["cloverhook", *WAYS], "How endpoints are chosen.")
-flags.DEFINE_string("attempts_file", None, "The file for lines of wall-clock ms and attempts.")
+flags.DEFINE_enum("way", "cloverhook", ["cloverhook", *ALGORITHMS], "The load-balancing algorithm.")
+flags.DEFINE_string(
+    "attempts_file", None, "The file for lines of wall-clock time in ms and number of attempts."
+)
 
 
 class _AttemptCount:
-    """Appends the number of attempts to a file, a line for each piece of time with any."""
+    """Appends the number of attempts to a file, one line for each interval with attempts."""
 
     def __init__(self, path: str) -> None:
         self._path = Path(path)
-        self._slot = 0
+        self._interval = 0
         self._count = 0
 
     def add(self, count: int) -> None:
-        slot = int(time.time() * 1000) // COUNT_EVERY_MS
-        if slot != self._slot and self._count:
+        interval = int(time.time() * 1000) // COUNT_INTERVAL_MS
+        if interval != self._interval and self._count:
             with self._path.open("a") as file:
-                file.write(f"{self._slot * COUNT_EVERY_MS} {self._count}\n")
+                file.write(f"{self._interval * COUNT_INTERVAL_MS} {self._count}\n")
             self._count = 0
-        self._slot = slot
+        self._interval = interval
         self._count += count
 
 
 class _BenchRouter:
-    """A router, the product's or a baseline's, whose starts are counted."""
+    """Wraps the daemon's own router or a baseline router and counts the attempts it starts."""
 
     attempts: _AttemptCount | None = None
 
@@ -52,7 +54,7 @@
         if FLAGS.way == "cloverhook":
             self._router = ServiceRouter(*arguments, **named)
         else:
-            self._router = BaselineRouter(WAYS[FLAGS.way], arguments[0])
+            self._router = BaselineRouter(ALGORITHMS[FLAGS.way], arguments[0])
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._router, name)
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,7 +1,7 @@
-"""Takes the slopes of every role and rewrites the tables of docs/CAPACITY.md.
+"""Measures how the cost of every role grows and rewrites the tables of docs/CAPACITY.md.
 
-`make capacity` runs it.  Sizes come from the page of the two years' aim; what a role costs at that
-size follows from its slopes and from rates that stand in this module as named constants.
+`make capacity` runs it.  The sizes are the targets for two years ahead.  The cost of a role at that
+size follows from its slopes and from rates that are named constants in `bench.capacity_roles`.
 """
 
 import asyncio
@@ -22,27 +22,30 @@
 LIMIT_S = 600
 
 
-def replaced(page: str, name: str, table: str) -> str:
-    """Return the page with the table between the markers of a name replaced."""
+def replace_table(page: str, name: str, table: str) -> str:
+    """Return the page with the table between the markers `name` replaced.
+
+    Raises ValueError if the page lacks a marker.
+    """
     begin, end = f"<!-- {name}: begin -->", f"<!-- {name}: end -->"
     if begin not in page or end not in page:
-        raise ValueError(f"the page has no markers for {name}")
+        raise ValueError(f"docs/CAPACITY.md has no begin and end markers for the table {name}")
     head, _, rest = page.partition(begin)
     _, _, tail = rest.partition(end)
     return f"{head}{begin}\n{table}\n{end}{tail}"
 
 
-def table(columns: tuple[str, ...], rows: list[tuple[str, ...]]) -> str:
-    """Return a table in Markdown."""
+def markdown_table(columns: tuple[str, ...], rows: list[tuple[str, ...]]) -> str:
+    """Return the rows as a Markdown table."""
     lines = [columns, tuple("---" for _ in columns), *rows]
     return "\n".join(f"| {' | '.join(line)} |" for line in lines)
 
 
 def slope_row(slope: Slope) -> tuple[str, ...]:
-    """Return a slope as a row: points, gradient, spread and growth."""
+    """Return a slope as a table row: role, cost, points, gradient, spread and growth."""
     points = ", ".join(f"{size:g}: {cost:.3g}" for size, cost in slope.points)
     growth = f"size^{slope.exponent:.1f}"
-    if slope.grows_with_square:
+    if slope.is_superlinear:
         growth += ", faster than a line"
     return (
         slope.role,
@@ -68,12 +71,14 @@
     slopes = [*part_slopes(), *membership_slopes(), *asyncio.run(serving_slopes())]
     page = PAGE.read_text()
     columns = ("Role", "What", "Points (size: cost)", "Slope", "Spread of 3 runs", "Growth")
-    page = replaced(page, "slopes", table(columns, [slope_row(slope) for slope in slopes]))
+    page = replace_table(
+        page, "slopes", markdown_table(columns, [slope_row(slope) for slope in slopes])
+    )
     columns = ("Role", "State", "Messages", "Processor time", "Memory", "Bytes", "Mechanism")
-    page = replaced(page, "roles", table(columns, role_rows(slopes)))
+    page = replace_table(page, "roles", markdown_table(columns, role_rows(slopes)))
     columns = ("Reading of the aim", "Calls a second", "VMs at 60% of a core")
-    page = replaced(page, "vms", table(columns, serving_rows(slopes)))
-    page = replaced(page, "machine", _machine())
+    page = replace_table(page, "vms", markdown_table(columns, serving_rows(slopes)))
+    page = replace_table(page, "machine", _machine())
     PAGE.write_text(page)
     took_s = time.monotonic() - started
     print(f"capacity: {len(slopes)} slopes for {SIZE.services} services, {max(MEMBERS)} members")
--- a/bench/change_cost.py
+++ b/bench/change_cost.py
@@ -1,16 +1,17 @@
-"""What a change costs one daemon: of a brand's configuration, and of the members that serve.
+"""Measures what a change of a brand's configuration or of the members costs one daemon.
 
     python -m bench.change_cost
 
-Processor time of the decisions alone, the mean of a few changes.  A change of configuration is one
-service's policy in a brand of ten; a change of members is one that goes or comes.
+The figures are processor time of the decisions alone, as the mean of `CHANGES` changes.  A change
+of configuration alters the policy of one service in a brand of ten services.  A change of members
+removes or adds one member.
 """
 
 import random
 import time
 
 from bench.figures import Table
-from bench.many_services import SERVICES_PER_BRAND, brand_document, publishes
+from bench.many_services import SERVICES_PER_BRAND, brand_document, publish_changes
 from cloverhook.dispatch import Dispatcher, Target
 from cloverhook.fold import fold
 from cloverhook.homes import HomeTable
@@ -29,8 +30,8 @@
 CHANGES = 20
 
 
-class _Nobody:
-    """Takes the messages and probes of the routers, and drops them."""
+class _NullTransport:
+    """Discards the messages and probes that routers send."""
 
     def send_message(self, vm: str, message: Message) -> None:
         pass
@@ -39,11 +40,11 @@
         pass
 
 
-def _configuration(services: int) -> tuple[int, float, float]:
+def _measure_configuration(services: int) -> tuple[int, float, float]:
     state = State()
-    for change in publishes(services, ADDRESSES, DATA_CENTERS):
+    for change in publish_changes(services, ADDRESSES, DATA_CENTERS):
         state = fold(state, state.next_offset, change).state
-    dispatcher = Dispatcher(random.Random(1), _Nobody())
+    dispatcher = Dispatcher(random.Random(1), _NullTransport())
     dispatcher.configure(state, 0.0)
     fold_s = configure_s = 0.0
     for index in range(CHANGES):
@@ -59,7 +60,7 @@
     return services, fold_s * 1_000 / CHANGES, configure_s * 1_000 / CHANGES
 
 
-def _members(count: int) -> tuple[int, float, float]:
+def _measure_members(count: int) -> tuple[int, float, float]:
     members = [Member(f"vm-{index}", f"center-{index % 13}", "", "") for index in range(count)]
     counts = {f"brand/service-{index}": HOMES for index in range(SERVICES[-1])}
     homes = HomeTable()
@@ -74,11 +75,15 @@
 
 
 def main() -> None:
-    """Print the cost of changes at a few sizes."""
+    """Print the cost of changes at several sizes."""
     columns = ("services", "fold ms", "configure ms")
-    print(Table("a change of configuration", columns, [_configuration(n) for n in SERVICES]))
+    print(
+        Table("a change of configuration", columns, [_measure_configuration(n) for n in SERVICES])
+    )
     columns = ("members", "first ms", "each change ms")
-    print(Table(f"homes of {SERVICES[-1]} services", columns, [_members(n) for n in MEMBERS]))
+    print(
+        Table(f"homes of {SERVICES[-1]} services", columns, [_measure_members(n) for n in MEMBERS])
+    )
 
 
 if __name__ == "__main__":
--- a/bench/control_cost.py
+++ b/bench/control_cost.py
@@ -1,10 +1,10 @@
-"""What an idle daemon spends on control: processor time, memory and bytes sent to its peers.
+"""Measures what an idle daemon spends on control work: processor time, wake-ups and memory.
 
     python -m bench.control_cost [--fleets=3,19] [--services=1,60,390] [--seconds=10]
 
-Real daemons on loopback, with no callers.  Every service has eight endpoints.  Processor time is
-what the kernel counted for each daemon, in milliseconds a second, so that 14 is 1.4% of a core; a
-busy machine makes it larger.
+Real daemons run on loopback, without callers.  Every service has eight endpoints.  Processor time
+is what the kernel counted for each daemon, in milliseconds per second, so that 14 is 1.4% of a
+core.  It is larger when the computer is busy.
 """
 
 import asyncio
@@ -17,7 +17,7 @@
 
 from bench.figures import Table
 from bench.fleets import wait_until_ready
-from bench.many_services import ENDPOINTS_PER_SERVICE, SERVICES_PER_BRAND, publishes
+from bench.many_services import ENDPOINTS_PER_SERVICE, SERVICES_PER_BRAND, publish_changes
 from cloverhook.platform_http import HttpPlatform
 from cloverhook.records import CONFIG_STREAM, encode_record
 from cloverhook_emulator.fleet_runner import Fleet
@@ -27,17 +27,17 @@
 FLAGS = flags.FLAGS
 flags.DEFINE_list("fleets", ["3", "19"], "The numbers of daemons.")
 flags.DEFINE_list("services", ["1", "60", "390"], "The numbers of services.")
-flags.DEFINE_integer("seconds", 10, "How long each fleet is measured.")
-flags.DEFINE_integer("settle_seconds", 5, "How long each fleet is left alone before that.")
+flags.DEFINE_integer("seconds", 10, "How many seconds each fleet is measured.")
+flags.DEFINE_integer("settle_seconds", 5, "How long each fleet settles before it is measured.")
 
 DATA_CENTERS = ("halfway-tree", "new-kingston", "papine")
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-STARTED_TOGETHER = 5
+START_BATCH_SIZE = 5
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What the kernel has counted for a process so far, and its resident memory."""
+    """The processor time and context switches of a process so far, and its resident memory."""
 
     cpu_ms: float
     switches: int
@@ -45,7 +45,7 @@
 
     @classmethod
     def of(cls, pid: int) -> "Usage":
-        """Read the counts of a process."""
+        """Read the values of a process from `/proc`."""
         folder = Path(f"/proc/{pid}")
         fields = (folder / "stat").read_text().rpartition(")")[2].split()
         cpu_ms = (int(fields[11]) + int(fields[12])) * 1_000 / TICKS_PER_S
@@ -61,7 +61,7 @@
 async def _configure(fleet: Fleet, services: int) -> None:
     addresses = await fleet.start_backend(count=ENDPOINTS_PER_SERVICE)
     platform = HttpPlatform(fleet.platform_url)
-    for change in publishes(services, addresses, DATA_CENTERS):
+    for change in publish_changes(services, addresses, DATA_CENTERS):
         await platform.append(CONFIG_STREAM, encode_record(change))
     await platform.close()
     last = (services - 1) // SERVICES_PER_BRAND
@@ -69,9 +69,9 @@
 
 
 async def _start(fleet: Fleet, daemons: int) -> None:
-    for first in range(0, daemons, STARTED_TOGETHER):
+    for first in range(0, daemons, START_BATCH_SIZE):
         async with asyncio.TaskGroup() as group:
-            for index in range(first, min(daemons, first + STARTED_TOGETHER)):
+            for index in range(first, min(daemons, first + START_BATCH_SIZE)):
                 center = DATA_CENTERS[index % len(DATA_CENTERS)]
                 group.create_task(fleet.start_daemon(f"vm-{index}", center))
         await fleet.publish_vm_list()
@@ -103,7 +103,7 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Print one row for each size of the fleet and of the configuration."""
+    """Print one row for each number of daemons and of services."""
     del arguments
     sizes = [(int(daemons), int(count)) for daemons in FLAGS.fleets for count in FLAGS.services]
     columns = (
--- a/bench/membership_cost.py
+++ b/bench/membership_cost.py
@@ -1,9 +1,9 @@
-"""What membership costs one daemon as VMs grow: bytes and processor time a second.
+"""Measures what membership costs one daemon at several numbers of VMs, per second.
 
-One real `Membership` is fed what its neighbours would send it, on a clock that the bench moves:
-their heartbeats, and one changed member a second from each of them (the most copies that can
-come).  Bytes are the CBOR form and the framing of websocket, TCP and IP; processor time is that of
-the decisions and the codec, without the sockets.
+One real `Membership` receives what its neighbours would send, on a simulated clock: their
+heartbeats, and each second one changed member from every neighbour, which is the largest possible
+number of copies.  Bytes are the CBOR encoding plus the framing of WebSocket, TCP and IP.  Processor
+time covers the decisions and the codec, without the sockets.
 """
 
 import random
@@ -21,13 +21,13 @@
 SIMULATED_S = 60
 WARM_UP_S = 5
 TICK_MS = 50
-BEAT_TICKS = 5
+TICKS_PER_HEARTBEAT = 5
 FRAME_BYTES = 4 + 20 + 20
 
 
 @dataclass(slots=True)
 class Cost:
-    """What one daemon has sent, received and computed."""
+    """The bytes one daemon has sent and received, and its processor time."""
 
     sent_bytes: int = 0
     received_bytes: int = 0
@@ -48,7 +48,7 @@
 
 
 class _Run:
-    """One membership and its made-up neighbours."""
+    """One membership and its simulated neighbours."""
 
     def __init__(self, count: int) -> None:
         members = _members(count)
@@ -70,13 +70,13 @@
         self.membership.linked = set(self.links)
         self.membership.handle(Tick(), self.now_ms)
 
-    def let_pass(self, duration_s: int, changes: bool) -> None:
+    def advance(self, duration_s: int, changes: bool) -> None:
         for tick in range(duration_s * 1_000 // TICK_MS):
             self.tick()
-            if tick % BEAT_TICKS == 0:
-                self.beat()
+            if tick % TICKS_PER_HEARTBEAT == 0:
+                self.deliver_heartbeats()
             if changes and tick % (1_000 // TICK_MS) == 0:
-                self.change()
+                self.deliver_change()
 
     def receive(self, vm: str, message: Message) -> None:
         data = encode(message)
@@ -92,12 +92,12 @@
         self._send(self.membership.handle(Tick(), self.now_ms))
         self.cost.cpu_s += time.process_time() - started_s
 
-    def beat(self) -> None:
+    def deliver_heartbeats(self) -> None:
         for vm in self.links:
             digest = self.membership.table.digest
             self.receive(vm, Heartbeat(vm, 0, 0, False, self.sequences[vm], digest))
 
-    def change(self) -> None:
+    def deliver_change(self) -> None:
         member = self.random.choice(self.others)
         self.sequences[member.vm] += 1
         update = replace(member, sequence=self.sequences[member.vm]).to_update()
@@ -113,14 +113,14 @@
 def measure(count: int, changes: bool) -> Cost:
     """Return the cost of one simulated minute with `count` members."""
     run = _Run(count)
-    run.let_pass(WARM_UP_S, changes)
+    run.advance(WARM_UP_S, changes)
     run.cost = Cost()
-    run.let_pass(SIMULATED_S, changes)
+    run.advance(SIMULATED_S, changes)
     return run.cost
 
 
 def main() -> None:
-    """Print the cost for each size, idle and with a change of membership each second."""
+    """Print the cost at each size, without changes and with one changed member each second."""
     print("members  changes/s  sent B/s  received B/s  us of processor/s")
     for changes in (False, True):
         for count in SIZES:
--- a/bench/replay_ways.py
+++ b/bench/replay_ways.py
@@ -1,11 +1,14 @@
-"""The ways that the replay compares: four that decide in each VM alone, an oracle, cloverhook."""
+"""The load-balancing algorithms that the replay compares.
+
+Four of them decide in each VM on local state only.  The others are an oracle and cloverhook.
+"""
 
 import heapq
 import random
 from collections.abc import Callable
 
-from bench.replay_traces import Call, Deployment, Scenario, calls_of
-from bench.replay_world import NEAR_MS, Backend, Result, World
+from bench.replay_traces import Call, Deployment, Scenario, generate_calls
+from bench.replay_world import LOCAL_ONE_WAY_MS, Backend, Result, World
 from cloverhook.fleet import Endpoint, Policy
 from cloverhook.members import Member
 from cloverhook.messages import encode
@@ -27,7 +30,7 @@
 )
 from cloverhook.steering import HomeRotation, answer_lifetime_ms, home_vms
 
-__all__ = ["ALONE", "WAYS", "replay"]
+__all__ = ["LOCAL_ALGORITHMS", "ALGORITHMS", "replay"]
 
 VMS = 15
 HOMES = 3
@@ -43,18 +46,18 @@
 RETRIED = (AttemptResult.REFUSED, AttemptResult.NOT_SENT)
 
 
-class AloneWay:
-    """Each VM chooses by what it knows itself; callers are spread over all VMs."""
+class LocalBalancer:
+    """Balances in each VM on the state of that VM only; callers are spread over all VMs."""
 
     def __init__(self, world: World, name: str, source: random.Random) -> None:
         self._world = world
         self._random = source
         self._choose = getattr(self, f"_{name}")
         self._in_flight = [[0] * len(world.backends) for _ in range(VMS)]
-        self._turn = [source.randrange(len(world.backends)) for _ in range(VMS)]
+        self._last_index = [source.randrange(len(world.backends)) for _ in range(VMS)]
 
     def arrive(self, call: Call) -> None:
-        """Take a call."""
+        """Handle the arrival of a call."""
         epoch = int(call.arrives_ms / LIFETIME_MS)
         vm = random.Random(f"{call.caller} {epoch}").randrange(VMS)
         self._attempt(call, vm, 1)
@@ -63,14 +66,14 @@
         world = self._world
         backend = world.backends[self._choose(vm)]
         centers = world.deployment.data_centers
-        way_ms = world.way_ms(centers[vm % len(centers)], backend.data_center)
+        one_way_ms = world.one_way_ms(centers[vm % len(centers)], backend.data_center)
         self._in_flight[vm][backend.index] += 1
         world.attempted(call)
 
         def end(result: AttemptResult, load: int) -> None:
-            world.clock.after(way_ms, self._end, call, vm, backend.index, result, attempt)
+            world.clock.after(one_way_ms, self._end, call, vm, backend.index, result, attempt)
 
-        world.clock.after(way_ms, backend.offer, world.clock, call, end)
+        world.clock.after(one_way_ms, backend.offer, world.clock, call, end)
 
     def _end(self, call: Call, vm: int, index: int, result: AttemptResult, attempt: int) -> None:
         self._in_flight[vm][index] -= 1
@@ -85,8 +88,8 @@
         return self._random.randrange(len(self._world.backends))
 
     def _round_robin(self, vm: int) -> int:
-        self._turn[vm] = (self._turn[vm] + 1) % len(self._world.backends)
-        return self._turn[vm]
+        self._last_index[vm] = (self._last_index[vm] + 1) % len(self._world.backends)
+        return self._last_index[vm]
 
     def _least_in_flight(self, vm: int) -> int:
         counts = self._in_flight[vm]
@@ -100,10 +103,10 @@
 
 
 class Oracle:
-    """One queue with an instant view of every slot and of how fast it is.
+    """One queue with immediate knowledge of every slot and its speed.
 
-    Each call enters in the data centre of the endpoint it is given, so it never pays the way
-    between data centres.
+    Each call arrives in the data centre of the endpoint that it is assigned to, so it never incurs
+    the delay between data centres.
     """
 
     def __init__(self, world: World, source: random.Random) -> None:
@@ -113,7 +116,7 @@
         self._queue: list[tuple[int, float, int, Call]] = []
 
     def arrive(self, call: Call) -> None:
-        """Take a call."""
+        """Handle the arrival of a call."""
         heapq.heappush(self._queue, (call.priority, call.arrives_ms, id(call), call))
         self._serve()
 
@@ -131,9 +134,9 @@
         best: tuple[float, Backend] | None = None
         fast_slots = 0
         for backend in self._world.backends:
-            if any(backend.trouble(kind, now_ms) for kind in ("down", "failing", "draining")):
+            if any(backend.active_fault(kind, now_ms) for kind in ("down", "failing", "draining")):
                 continue
-            slow = backend.trouble("slow", now_ms)
+            slow = backend.active_fault("slow", now_ms)
             factor = slow.factor if slow else 1.0
             fast_slots += 0 if slow else backend.slots
             if self._used[backend.index] < backend.slots and (best is None or factor < best[0]):
@@ -145,23 +148,23 @@
 
     def _begin(self, call: Call, backend: Backend) -> None:
         world = self._world
-        way_ms = NEAR_MS
+        one_way_ms = LOCAL_ONE_WAY_MS
         self._used[backend.index] += 1
         world.attempted(call)
 
         def end(result: AttemptResult, load: int) -> None:
             self._used[backend.index] -= 1
             outcome = "answered" if result is AttemptResult.ANSWERED else "failed"
-            world.clock.after(way_ms, world.ended, call, outcome)
+            world.clock.after(one_way_ms, world.ended, call, outcome)
             self._serve()
 
-        world.clock.after(way_ms, backend.offer, world.clock, call, end)
+        world.clock.after(one_way_ms, backend.offer, world.clock, call, end)
         if self._queue:
             world.clock.after(1.0, self._serve)
 
 
 class _Vm:
-    """One VM of the cloverhook way: a router, and the requests in flight there."""
+    """One VM of `Cloverhook`: a router, and the requests in flight there."""
 
     def __init__(self, name: str, data_center: str, router: ServiceRouter) -> None:
         self.name = name
@@ -175,7 +178,7 @@
 
 
 class Cloverhook:
-    """The decision objects themselves, with callers steered to the home VMs."""
+    """Runs the actual decision code, with callers steered to the home VMs."""
 
     def __init__(self, world: World, source: random.Random) -> None:
         self._world = world
@@ -195,11 +198,11 @@
         self._set_homes()
         for vm in self._vms:
             world.clock.after(source.random() * TICK_MS, self._tick, vm)
-        if world.scenario.lost_home_ms is not None:
-            world.clock.at(world.scenario.lost_home_ms, self._lose_home)
+        if world.scenario.home_lost_ms is not None:
+            world.clock.at(world.scenario.home_lost_ms, self._lose_home)
 
     def arrive(self, call: Call) -> None:
-        """Take a call."""
+        """Handle the arrival of a call."""
         vm = self._vm_of(call)
         if vm.lost:
             vm = self._next_home(vm)
@@ -209,7 +212,7 @@
         self._admit(vm, call)
 
     def close(self) -> None:
-        """Take the measures that are kept for each VM."""
+        """Add the measurements that are kept per VM to the result."""
         run_s = self._world.scenario.run_ms / 1000
         busiest = max(vm.sent_bytes for vm in self._vms)
         self._world.result.busiest_vm_bytes_per_s = busiest / run_s
@@ -235,9 +238,11 @@
                 self._handle(vm, HomesChanged(vm.name, names, centers))
 
     def _vm_of(self, call: Call) -> _Vm:
-        """Return the VM of the caller's answer; after its lifetime it asks that VM again.
+        """Return the VM in the caller's address answer.
 
-        The run begins with callers that have been at it for long, so each first asks a home.
+        When the lifetime of the answer ends, the caller asks that VM for a new one.  The run
+        simulates callers that have been active for a long time, so each first asks a home VM; a
+        caller with a stale answer uses a VM that is not a home.
         """
         answer = self._answers.get(call.caller)
         if answer is None:
@@ -272,7 +277,7 @@
         vm.lost = True
         self._homes_changed_ms = self._world.clock.now_ms
         for backend, number, _ in vm.attempts.values():
-            self._world.clock.after(NEAR_CUT_MS, backend.cancel, self._world.clock, number[0])
+            self._world.clock.after(LOCAL_CUT_MS, backend.cancel, self._world.clock, number[0])
         for call in vm.calls.values():
             self._world.ended(call, "lost_with_vm")
         self._world.clock.after(MEMBERSHIP_LAG_MS, self._set_homes)
@@ -308,31 +313,33 @@
                 vm.sent_bytes += size
                 world.result.messages += 1
                 world.result.message_bytes += size
-                way_ms = world.way_ms(vm.data_center, peer.data_center)
-                world.clock.after(way_ms, self._handle, peer, PeerMessageReceived(vm.name, message))
+                one_way_ms = world.one_way_ms(vm.data_center, peer.data_center)
+                world.clock.after(
+                    one_way_ms, self._handle, peer, PeerMessageReceived(vm.name, message)
+                )
             case Probe(address):
                 world.result.probes += 1
                 backend = world.by_address[address]
-                down = backend.trouble("down", world.clock.now_ms)
+                down = backend.active_fault("down", world.clock.now_ms)
                 ended = ProbeEnded(address, None if down else 0, PROBE_MS)
                 world.clock.after(PROBE_MS, self._handle, vm, ended)
 
     def _start(self, vm: _Vm, request_id: str, backend: Backend) -> None:
         world = self._world
         call = vm.calls[request_id]
-        way_ms = world.way_ms(vm.data_center, backend.data_center)
+        one_way_ms = world.one_way_ms(vm.data_center, backend.data_center)
         number: list[int | None] = [None]
         vm.attempts[request_id] = (backend, number, world.clock.now_ms)
         world.attempted(call)
 
         def end(result: AttemptResult, load: int) -> None:
-            world.clock.after(way_ms, self._end, vm, call, backend, result, load)
+            world.clock.after(one_way_ms, self._end, vm, call, backend, result, load)
 
         def offer() -> None:
             if not vm.lost:
                 number[0] = backend.offer(world.clock, call, end)
 
-        world.clock.after(way_ms, offer)
+        world.clock.after(one_way_ms, offer)
 
     def _end(self, vm: _Vm, call: Call, backend: Backend, result: AttemptResult, load: int) -> None:
         if vm.lost:
@@ -348,20 +355,23 @@
         self._handle(vm, ended)
 
 
-NEAR_CUT_MS = 0.5
-ALONE = ("random_choice", "round_robin", "least_in_flight", "best_of_two")
-WAYS: dict[str, Callable[[World, random.Random], object]] = {
-    **{name: (lambda world, source, n=name: AloneWay(world, n, source)) for name in ALONE},
+LOCAL_CUT_MS = 0.5
+LOCAL_ALGORITHMS = ("random_choice", "round_robin", "least_in_flight", "best_of_two")
+ALGORITHMS: dict[str, Callable[[World, random.Random], object]] = {
+    **{
+        name: (lambda world, source, n=name: LocalBalancer(world, n, source))
+        for name in LOCAL_ALGORITHMS
+    },
     "oracle": Oracle,
     "cloverhook": Cloverhook,
 }
 
 
-def replay(deployment: Deployment, scenario: Scenario, way_name: str, seed: int) -> Result:
-    """Replay one trace in one way."""
+def replay(deployment: Deployment, scenario: Scenario, algorithm: str, seed: int) -> Result:
+    """Replay one trace with one algorithm."""
     world = World(deployment, scenario)
-    way = WAYS[way_name](world, random.Random(f"{way_name} {seed}"))
-    for call in calls_of(deployment, scenario, seed):
+    way = ALGORITHMS[algorithm](world, random.Random(f"{algorithm} {seed}"))
+    for call in generate_calls(deployment, scenario, seed):
         world.clock.at(call.arrives_ms, _arrive, world, way, call)
     world.clock.run(scenario.run_ms + 2_000.0)
     if isinstance(way, Cloverhook):
@@ -369,6 +379,6 @@
     return world.close()
 
 
-def _arrive(world: World, way: AloneWay | Oracle | Cloverhook, call: Call) -> None:
+def _arrive(world: World, way: LocalBalancer | Oracle | Cloverhook, call: Call) -> None:
     world.arrived(call)
     way.arrive(call)
