--- a/features/decision_driver.py
+++ b/features/decision_driver.py
@@ -27,7 +27,7 @@
     return tuple(Endpoint(f"10.0.0.{index}:80", data_center, slots) for index in range(count))
 
 
-class Driver:
+class RouterDriver:
     """A router, its clock and what it has started, refused and sent."""
 
     def __init__(self, fleet=(), policy=None, seed=1, peer_bytes=None):
@@ -35,12 +35,12 @@
         bucket = TokenBucket(peer_bytes, peer_bytes) if peer_bytes else None
         self.router = ServiceRouter(random.Random(seed), "brathwaite/booking", bucket)
         self.now_ms = 0.0
-        self.open = {}
+        self.active_attempts = {}
         self.starts = Counter()
-        self.refused = {}
+        self.rejected = {}
         self.arrived_ms = {}
-        self.refused_after_ms = {}
-        self.told = []
+        self.rejected_after_ms = {}
+        self.sent_messages = []
         self.probes = []
         self.attempts = Counter()
         self.arrived = 0
@@ -53,17 +53,17 @@
         for action in actions:
             match action:
                 case Start(request_id, address):
-                    assert request_id not in self.open, "started while in flight"
-                    self.open[request_id] = (address, self.now_ms)
+                    assert request_id not in self.active_attempts, "started while in flight"
+                    self.active_attempts[request_id] = (address, self.now_ms)
                     self.starts[address] += 1
                     self.attempts[request_id] += 1
                 case Reject():
-                    assert action.request_id not in self.refused, "refused twice"
-                    self.refused[action.request_id] = action
+                    assert action.request_id not in self.rejected, "refused twice"
+                    self.rejected[action.request_id] = action
                     waited_ms = self.now_ms - self.arrived_ms[action.request_id]
-                    self.refused_after_ms[action.request_id] = waited_ms
+                    self.rejected_after_ms[action.request_id] = waited_ms
                 case SendMessage():
-                    self.told.append(action)
+                    self.sent_messages.append(action)
                 case Probe(address):
                     self.probes.append((self.now_ms, address))
         return actions
@@ -79,16 +79,16 @@
 
     def end(self, request_id, result=AttemptResult.ANSWERED, latency_ms=None, load=None):
         """End the attempt of a request; one without an answer wants another attempt."""
-        address, started_ms = self.open.pop(request_id)
+        address, started_ms = self.active_attempts.pop(request_id)
         again = result in (AttemptResult.REFUSED, AttemptResult.NOT_SENT, AttemptResult.CUT)
         latency_ms = self.now_ms - started_ms if latency_ms is None else latency_ms
         return self.do(AttemptEnded(request_id, address, result, latency_ms, load, again))
 
     def waiting(self, request_id):
         """Return whether a request is neither started nor refused."""
-        return request_id not in self.attempts and request_id not in self.refused
+        return request_id not in self.attempts and request_id not in self.rejected
 
-    def hear(self, vm, message):
+    def receive(self, vm, message):
         """Hand the router another VM's message."""
         return self.do(PeerMessageReceived(vm, message))
 
@@ -109,7 +109,7 @@
         next_tick_ms = self.now_ms
         while self.now_ms < end_ms:
             self.now_ms += 1.0
-            self._end_those_due(work_ms, result_of)
+            self._end_due_attempts(work_ms, result_of)
             while next_ms <= self.now_ms:
                 self.arrive()
                 next_ms += every_ms
@@ -117,19 +117,19 @@
                 self.do(Tick())
                 next_tick_ms += 10.0
 
-    def _end_those_due(self, work_ms, result_of):
+    def _end_due_attempts(self, work_ms, result_of):
         due = [
             request_id
-            for request_id, (address, started_ms) in self.open.items()
+            for request_id, (address, started_ms) in self.active_attempts.items()
             if self.now_ms - started_ms >= work_ms(address)
         ]
         for request_id in due:
-            address = self.open[request_id][0]
+            address = self.active_attempts[request_id][0]
             result = result_of(address) if result_of else AttemptResult.ANSWERED
             self.end(request_id, result)
 
 
-def usual_work(seed=7):
+def typical_work(seed=7):
     """Return a function that gives the time of a request's work at an address."""
     source = random.Random(seed)
     return lambda address: 20.0 * source.uniform(0.6, 1.4)
--- a/features/era_replay.py
+++ b/features/era_replay.py
@@ -12,11 +12,11 @@
 from cloverhook.gateway.store_follower import offsets_to_versions
 from features import gateway_fleet as fleet
 
-HOLD_MS = 2_400.0
-LAPSE_MS = 1_000.0
+GRACE_PERIOD_MS = 2_400.0
+EXPIRY_WINDOW_MS = 1_000.0
 """Entries that vanish within this time of each other are held together."""
 REPLAY_MS = 30_000
-QUIET_MS = 6_000
+UNCHANGED_MS = 6_000
 REPORT_MS = 1_500
 
 
@@ -26,7 +26,7 @@
     return any(item.name == name and not item.draining for item in found)
 
 
-class EraReplay:
+class StoreRestoreReplay:
     """A store with endpoints that come, report and leave, and gateways that learn of them."""
 
     def __init__(self, vms, seed):
@@ -37,20 +37,20 @@
         self.eras = [0] * vms
         self.sequence = {}
         self.left = set()
-        self.learned = {}
+        self.removal_seen_ms = {}
         self.now_ms = 0.0
-        self.wrong = []
+        self.violations = []
 
     def play(self):
         """Play until the store has been quiet for a while."""
         while self.now_ms < REPLAY_MS:
             self.now_ms += 100.0
-            quiet = self.now_ms > REPLAY_MS - QUIET_MS
+            quiet = self.now_ms > REPLAY_MS - UNCHANGED_MS
             if not quiet:
                 self._change()
             self._report()
             self._expire()
-            self._learn(everyone=quiet)
+            self._update_gateways(all_gateways=quiet)
             self._check()
 
     def _change(self):
@@ -87,11 +87,11 @@
             if newest.get(name) is not None and not self.random.randrange(45):
                 self.store.remove_server(name)
 
-    def _learn(self, everyone):
+    def _update_gateways(self, all_gateways):
         for index, knowledge in enumerate(self.vms):
-            if everyone or self.random.random() < 0.5:
+            if all_gateways or self.random.random() < 0.5:
                 if index < 2:
-                    self._read(index)
+                    self._read_store(index)
                 else:
                     other = self.vms[self.random.randrange(len(self.vms))]
                     asked = {"registry": knowledge.registry.version}
@@ -100,7 +100,7 @@
                         knowledge.registry.adopt(state["registry"], self.now_ms)
             knowledge.expire(self.now_ms)
 
-    def _read(self, index):
+    def _read_store(self, index):
         knowledge, store = self.vms[index], self.store
         if self.eras[index] != store.era:
             self.eras[index], self.positions[index] = store.era, None
@@ -122,16 +122,21 @@
     def _check(self):
         for index, knowledge in enumerate(self.vms):
             for name in self.left:
-                used = usable(knowledge.registry, name) and not self._held(knowledge, name)
+                used = usable(knowledge.registry, name) and not self._in_grace_period(
+                    knowledge, name
+                )
                 if not used and name in {item.name for item in knowledge.registry.servers()}:
-                    self.learned.setdefault((index, name), self.now_ms)
+                    self.removal_seen_ms.setdefault((index, name), self.now_ms)
                 if usable(knowledge.registry, name):
-                    since_ms = self.learned.get((index, name))
-                    if since_ms is not None and self.now_ms - since_ms > HOLD_MS + LAPSE_MS + 100.0:
-                        self.wrong.append((index, name, since_ms, self.now_ms))
+                    since_ms = self.removal_seen_ms.get((index, name))
+                    if (
+                        since_ms is not None
+                        and self.now_ms - since_ms > GRACE_PERIOD_MS + EXPIRY_WINDOW_MS + 100.0
+                    ):
+                        self.violations.append((index, name, since_ms, self.now_ms))
 
     @staticmethod
-    def _held(knowledge: GatewayState, name):
+    def _in_grace_period(knowledge: GatewayState, name):
         registry: Registry = knowledge.registry
         return any(
             item.name == name and registry.in_grace_period(item) for item in registry.servers()
--- a/features/gateway_fleet.py
+++ b/features/gateway_fleet.py
@@ -32,33 +32,33 @@
 SLOTS = 4
 WAIT_S = 20
 NAMES = CallHeaders()
-FIRST_MARK = 9_900
+FIRST_LOCK_PORT = 9_900
 FIRST_PORT = 10_000
-BLOCK_PORTS = 1_000
-BLOCKS = 22
+PORTS_PER_BLOCK = 1_000
+BLOCK_COUNT = 22
 """All below the range that the kernel takes the ports of outgoing connections from."""
-MARKS = []
-PORTS = []
-FLEET = f"127.0.0.1:{random.SystemRandom().randrange(1, 65_536)}"
+LOCK_SOCKETS = []
+PORT_CYCLES = []
+FLEET_ID = f"127.0.0.1:{random.SystemRandom().randrange(1, 65_536)}"
 """Runs side by side may get each other's ports; this tells their fleets apart."""
 
 
-def own_ports():
+def reserve_ports():
     """Return the ports that this process alone gives away, until it ends.
 
     Runs side by side each hold a block of them: a port that is free now may else be taken by
     another run before its listener starts.
     """
-    for block in random.SystemRandom().sample(range(BLOCKS), BLOCKS):
+    for block in random.SystemRandom().sample(range(BLOCK_COUNT), BLOCK_COUNT):
         mark = socket.socket()
         try:
-            mark.bind(("127.0.0.1", FIRST_MARK + block))
+            mark.bind(("127.0.0.1", FIRST_LOCK_PORT + block))
         except OSError:
             mark.close()
             continue
-        MARKS.append(mark)
-        first = FIRST_PORT + block * BLOCK_PORTS
-        return itertools.cycle(range(first, first + BLOCK_PORTS))
+        LOCK_SOCKETS.append(mark)
+        first = FIRST_PORT + block * PORTS_PER_BLOCK
+        return itertools.cycle(range(first, first + PORTS_PER_BLOCK))
     raise OSError("every block of ports is held by another run")
 
 
@@ -68,9 +68,9 @@
     Its port is not one that the kernel gives to outgoing connections: one of those could take it
     before its listener starts, or while a gateway is down between two starts.
     """
-    if not PORTS:
-        PORTS.append(own_ports())
-    for port in itertools.islice(PORTS[0], BLOCK_PORTS):
+    if not PORT_CYCLES:
+        PORT_CYCLES.append(reserve_ports())
+    for port in itertools.islice(PORT_CYCLES[0], PORTS_PER_BLOCK):
         with socket.socket() as stream, socket.socket(type=socket.SOCK_DGRAM) as datagrams:
             try:
                 stream.bind(("127.0.0.1", port))
@@ -111,8 +111,8 @@
     address: str = ""
     pace: int = 100
     running: int = 0
-    deaf: bool = False
-    ill: bool = False
+    ignores_probes: bool = False
+    unhealthy: bool = False
     connections: int = 0
     probes: int = 0
     tasks: set = field(default_factory=set)
@@ -173,9 +173,9 @@
         body = await reader.readexactly(int(headers.get(b"content-length", 0)))
         if lines[0].startswith(b"GET /health"):
             self.probes += 1
-            if self.deaf:
+            if self.ignores_probes:
                 return not await reader.read(1)
-            self._write(writer, 503 if self.ill else 200, b"", incarnation=True)
+            self._write(writer, 503 if self.unhealthy else 200, b"", incarnation=True)
             return True
         self.seen.append((lines[0], headers, body))
         if self.on_request is not None:
@@ -267,7 +267,7 @@
             "ready_address": free_address(),
             "directory_address": free_address(),
             "peer_address": free_address(),
-            "store_address": FLEET,
+            "store_address": FLEET_ID,
             "stop_s": 2,
             **fields,
         }
--- a/features/gateway_soak.py
+++ b/features/gateway_soak.py
@@ -34,14 +34,14 @@
 BACKENDS = 4
 CALLERS = 12
 STEPS = 10
-PROMISES_NOT_RUN = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 ATTEMPTS = 2
-CALM_S = 60
+RECOVERY_TIMEOUT_S = 60
 FIRST_SEED_WITH_ENTRIES = 1_000
 FIRST_SEED_WITH_ERAS = 2_000
 """Earlier seeds keep the faults that they had when they failed."""
 BORN_MS = 1_760_000_000_000
-FOREIGN = (b"{}", b"\xff\x00", b"[" * 5_000, b'{"service": 7}', b"null")
+INVALID_ENTRIES = (b"{}", b"\xff\x00", b"[" * 5_000, b'{"service": 7}', b"null")
 FAILING = ("reject", "reset", "error", "silent", "half", "foreign", "unframed-reset")
 
 
@@ -54,7 +54,7 @@
     process: asyncio.subprocess.Process | None = None
     disturbed: bool = False
     stopping: bool = False
-    lives: int = 0
+    start_count: int = 0
 
     @property
     def alive(self):
@@ -93,10 +93,10 @@
     store_address: str = ""
     gateways: list = field(default_factory=list)
     backends: list = field(default_factory=list)
-    gone: list = field(default_factory=list)
+    stopped_backends: list = field(default_factory=list)
     calls: list = field(default_factory=list)
     faults: list = field(default_factory=list)
-    clean_ends: list = field(default_factory=list)
+    planned_stops: list = field(default_factory=list)
     version: int = 0
     number: int = 0
 
@@ -110,25 +110,25 @@
             await self.add_backend()
         self.put_config()
         for index in range(self.size):
-            self.gateways.append(self._place(f"vm-{index}"))
+            self.gateways.append(self._configure_gateway(f"vm-{index}"))
             await self.start(self.gateways[-1])
         self.stack.push_async_callback(self.end_all)
-        await self.until_served()
+        await self.wait_until_served()
         callers = [asyncio.ensure_future(self.caller(index)) for index in range(CALLERS)]
         for _ in range(STEPS):
             await self.fault()
             await asyncio.sleep(self.source.uniform(0.1, 0.6))
-        await self.calm()
-        await self.until_served()
+        await self.end_faults()
+        await self.wait_until_served()
         for task in callers:
             task.cancel()
         await asyncio.wait(callers)
         await asyncio.sleep(0.3)
-        return self.wrong()
+        return self.find_violations()
 
     # The deployment.
 
-    def _place(self, name):
+    def _configure_gateway(self, name):
         addresses = {
             key: fleet.free_address()
             for key in ("caller_address", "ready_address", "directory_address", "peer_address")
@@ -156,7 +156,7 @@
         )
         log.close()
         gateway.disturbed = gateway.stopping = False
-        gateway.lives += 1
+        gateway.start_count += 1
 
     async def end_all(self):
         """End what the soak started, by its own process objects."""
@@ -255,7 +255,7 @@
 
     async def call(self, gateway, request_id, idempotent):
         """Send a request and keep what comes back."""
-        made = Call(request_id, idempotent, gateway, gateway.lives)
+        made = Call(request_id, idempotent, gateway, gateway.start_count)
         self.calls.append(made)
         path = fleet.SAFE if idempotent else fleet.UNSAFE
         lines = (
@@ -315,9 +315,9 @@
             gateway.disturbed = True
             gateway.process.send_signal(signal.SIGSTOP)
             loop = asyncio.get_running_loop()
-            loop.call_later(self.source.uniform(0.2, 2.0), self._wake, gateway.process)
+            loop.call_later(self.source.uniform(0.2, 2.0), self._resume, gateway.process)
 
-    def _wake(self, process):
+    def _resume(self, process):
         if process.returncode is None:
             process.send_signal(signal.SIGCONT)
 
@@ -329,7 +329,7 @@
             handled = handles_stop(gateway.process.pid)
             gateway.process.send_signal(signal.SIGTERM)
             work = self._replace(gateway, gateway.process, handled)
-            self.clean_ends.append(asyncio.ensure_future(work))
+            self.planned_stops.append(asyncio.ensure_future(work))
 
     async def _replace(self, gateway, process, handled):
         code = await process.wait()
@@ -353,9 +353,9 @@
         self.store.silent = self.source.random() < 0.3
         self.store.delay_ms = self.source.choice((0, 300))
         loop = asyncio.get_running_loop()
-        loop.call_later(self.source.uniform(0.3, 2.0), self._store_well)
+        loop.call_later(self.source.uniform(0.3, 2.0), self._repair_store)
 
-    def _store_well(self):
+    def _repair_store(self):
         self.store.refuse_status, self.store.silent, self.store.delay_ms = 0, False, 0
 
     async def store_forgets(self):
@@ -370,12 +370,12 @@
         self.store.refuse_status = 503
         loop = asyncio.get_running_loop()
         loop.call_later(away_s, self.store.restore, lost)
-        loop.call_later(away_s, self._store_well)
+        loop.call_later(away_s, self._repair_store)
         loop.call_later(away_s + self.source.uniform(0.0, 2.0), self.put_config)
         for backend in self.backends:
-            loop.call_later(away_s + self.source.uniform(0.0, 2.0), self._put_if_there, backend)
+            loop.call_later(away_s + self.source.uniform(0.0, 2.0), self._put_if_present, backend)
 
-    def _put_if_there(self, backend):
+    def _put_if_present(self, backend):
         if backend in self.backends:
             self.put(backend)
 
@@ -390,7 +390,7 @@
         backend = self.backends.pop(0)
         await self.add_backend()
         self.put(backend, "draining")
-        self.gone.append(backend)
+        self.stopped_backends.append(backend)
 
     async def backend_vanishes(self):
         """Let an entry vanish and come back, as after a lapse."""
@@ -413,7 +413,7 @@
         """Crash a backend server with what it runs and start it again under its name."""
         backend = self.source.choice(self.backends)
         await backend.crash()
-        self.gone.append(backend)
+        self.stopped_backends.append(backend)
         reborn = fleet.Backend(backend.incarnation, names=HEADERS)
         reborn.born_ms = backend.born_ms + 1_000 or BORN_MS
         self.backends[self.backends.index(backend)] = await reborn.start(self)
@@ -424,7 +424,7 @@
         topic = TOPICS[next(feed for feed in TOPICS if feed.value == "servers")]
         backend = self.source.choice(self.backends)
         key = self.source.choice((backend.incarnation, "i-foreign"))
-        self.store.put(topic, key, self.source.choice(FOREIGN))
+        self.store.put(topic, key, self.source.choice(INVALID_ENTRIES))
         if key != "i-foreign":
             loop = asyncio.get_running_loop()
             loop.call_later(self.source.uniform(0.1, 1.5), self.put, backend)
@@ -441,48 +441,48 @@
 
     # The end.
 
-    async def calm(self):
+    async def end_faults(self):
         """End all faults."""
-        self._store_well()
+        self._repair_store()
         for backend in self.backends:
             backend.script, backend.default = [], "ok"
         for gateway in self.gateways:
-            self._wake(gateway.process)
-        if self.clean_ends:
-            await asyncio.wait(self.clean_ends)
+            self._resume(gateway.process)
+        if self.planned_stops:
+            await asyncio.wait(self.planned_stops)
         for gateway in self.gateways:
             if not gateway.alive:
                 await self.start(gateway)
 
-    async def until_served(self):
+    async def wait_until_served(self):
         """Wait until every gateway serves."""
-        async with asyncio.timeout(CALM_S):
+        async with asyncio.timeout(RECOVERY_TIMEOUT_S):
             for gateway in self.gateways:
                 count = 0
                 while True:
                     count += 1
-                    name = f"calm-{gateway.name}-{gateway.lives}-{len(self.calls)}-{count}"
+                    name = f"calm-{gateway.name}-{gateway.start_count}-{len(self.calls)}-{count}"
                     answer = await self.call(gateway, name, True)
                     if answer is not None and answer.status == 200:
                         break
                     await asyncio.sleep(0.05)
 
-    def wrong(self):
+    def find_violations(self):
         """Return every promise that was broken."""
         runs = {}
-        for backend in (*self.backends, *self.gone):
+        for backend in (*self.backends, *self.stopped_backends):
             for request_id in backend.ran:
                 runs[request_id.decode()] = runs.get(request_id.decode(), 0) + 1
         found = [
             f"a planned stop ended with {task.result()}"
-            for task in self.clean_ends
+            for task in self.planned_stops
             if task.result()
         ]
         for call in self.calls:
-            found += self._wrong_call(call, runs.get(call.request_id, 0))
+            found += self._call_violations(call, runs.get(call.request_id, 0))
         return found
 
-    def _wrong_call(self, call, runs):
+    def _call_violations(self, call, runs):
         answer = call.answer
         if not call.idempotent and runs > 1:
             yield f"{call.request_id} may run once and ran {runs} times"
@@ -490,7 +490,7 @@
             yield f"{call.request_id} ran {runs} times"
         if answer is None or not answer.status:
             return
-        if not call.idempotent and runs and answer.status in PROMISES_NOT_RUN:
+        if not call.idempotent and runs and answer.status in NOT_RUN_STATUSES:
             yield f"{call.request_id} ran and was told {answer.status}"
         if answer.status == 200 and answer.whole:
             if answer.headers.get(HEADERS.request_id.decode()) != call.request_id:
@@ -510,7 +510,7 @@
         try:
             wrong = await soak.play()
         except TimeoutError:
-            wrong = [f"not every gateway served within {CALM_S} s of calm"]
+            wrong = [f"not every gateway served within {RECOVERY_TIMEOUT_S} s of calm"]
             wrong += [f"{item.name}: {item.process.returncode}" for item in soak.gateways]
         return [*wrong, *log_faults(folder)], soak
 
--- a/features/http_peers.py
+++ b/features/http_peers.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 HOST = "booking.brathwaite.example"
-PIECE = b"x" * 65_536
+CHUNK = b"x" * 65_536
 READ_TIMEOUT_S = 30
 SLOW_PATH = "/slow-"
 SLOW_S = 1
@@ -45,7 +45,7 @@
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
-async def open_to(address):
+async def connect(address):
     """Open a connection to `ip:port`."""
     host, _, port = address.rpartition(":")
     return await asyncio.open_connection(host, int(port))
@@ -53,7 +53,7 @@
 
 async def call(address, data, half_close=False):
     """Send bytes and read until the connection ends."""
-    reader, writer = await open_to(address)
+    reader, writer = await connect(address)
     writer.write(data)
     if half_close:
         writer.write_eof()
@@ -85,7 +85,7 @@
     head: bytes
     body_bytes: int = 0
     body: bytes = b""
-    gone: asyncio.Event = field(default_factory=asyncio.Event)
+    disconnected: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 class ScriptedBackend:
@@ -135,7 +135,7 @@
                 await self._answer(item, reader, writer)
         except (asyncio.IncompleteReadError, ConnectionError):
             if item is not None:
-                item.gone.set()
+                item.disconnected.set()
         finally:
             writer.close()
 
@@ -184,7 +184,7 @@
         """Answer with 64 MB in chunks."""
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for _ in range(1_024):
-            writer.write(b"10000\r\n" + PIECE + b"\r\n")
+            writer.write(b"10000\r\n" + CHUNK + b"\r\n")
             await writer.drain()
         writer.write(b"0\r\n\r\n")
         await writer.drain()
--- a/features/loaded_fleet.py
+++ b/features/loaded_fleet.py
@@ -64,7 +64,7 @@
         self.servers: list[str] = []
         self.measuring_ms_per_s = MEASURING_MS_PER_S
         self.load: Load | None = None
-        self.told: list[ToldRecord] = []
+        self.write_records: list[ToldRecord] = []
         self.published_ms = 0.0
         self._running: asyncio.Task | None = None
 
@@ -130,9 +130,9 @@
         try:
             await self.until(enough)
         except TimeoutError as error:
-            raise AssertionError(self._what_was_told(start)) from error
+            raise AssertionError(self._describe_calls(start)) from error
 
-    def _what_was_told(self, start):
+    def _describe_calls(self, start):
         """Return how the calls since a number ended, and the last lines that each daemon wrote."""
         ends = Counter(
             (end.method, bool(end.idempotency_key), end.address, end.status, end.error)
@@ -151,7 +151,7 @@
                 return False
         return True
 
-    async def lose(self, vm):
+    async def kill_daemon(self, vm):
         """Kill a daemon for good."""
         await self.fleet.daemons.pop(vm).process.stop(signal.SIGKILL)
 
@@ -186,7 +186,7 @@
                 answer.headers.get("Emulator-Brand", ""),
                 error=answer.headers.get("Cloverhook-Error", ""),
             )
-        self.told.append(record)
+        self.write_records.append(record)
         return record
 
     async def end(self) -> tuple[invariants.Report, list[RunRecord]]:
@@ -198,7 +198,7 @@
         for daemon in self.fleet.daemons.values():
             log = daemon.process.log.read_text()
             assert not any(text in log for text in FAULT_TEXTS), log
-        return invariants.check(ran, [*result.told, *self.told]), ran
+        return invariants.check(ran, [*result.told, *self.write_records]), ran
 
     async def close(self):
         """End what runs in this process."""
--- a/features/machine.py
+++ b/features/machine.py
@@ -117,7 +117,7 @@
             self.change_of[record.brand, version] = record.change_id
             self.version_of[record.change_id] = version
 
-    def guarded(self, replica, work):
+    def run_checked(self, replica, work):
         """Do something to a replica and check that it lowers no version."""
         before = {brand: replica.state.version_of(brand) for brand in BRANDS}
         position = replica.state.next_offset
@@ -180,7 +180,7 @@
             self.unaware.discard(index)
             replica.record_read_failure()
         read = self.log.read(replica.next_read().offset)
-        self.guarded(replica, lambda: replica.apply_read(read))
+        self.run_checked(replica, lambda: replica.apply_read(read))
 
     @rule(source=REPLICA, receiver=REPLICA, with_state=st.booleans(), skipped=st.integers(0, 2))
     def send(self, source, receiver, with_state, skipped):
@@ -207,9 +207,9 @@
         replica = self.replicas[receiver]
         if records is None:
             state = State.from_document(content)
-            self.guarded(replica, lambda: replica.adopt(state))
+            self.run_checked(replica, lambda: replica.adopt(state))
         else:
-            self.guarded(replica, lambda: replica.fold_records(content, records))
+            self.run_checked(replica, lambda: replica.fold_records(content, records))
 
     @rule(index=REPLICA)
     def snapshot(self, index):
--- a/features/member_network.py
+++ b/features/member_network.py
@@ -23,7 +23,7 @@
 
 DATA_CENTERS = ("halfway-tree", "new-kingston", "papine")
 STEP_MS = 50
-SILENT_LINK_MS = 1_500
+LINK_SILENCE_TIMEOUT_MS = 1_500
 
 
 class MemberNetwork:
@@ -44,7 +44,7 @@
         self.replaced = []
         self.sent = {}
         self.ticks = 0
-        self._heard_ms = {}
+        self._received_ms = {}
         self._wake_ms = {}
         self._queue = []
         self._count = 0
@@ -78,7 +78,7 @@
             if vm in self.nodes[peer].linked:
                 self.handle(peer, LinkLost(vm))
 
-    def wake(self, vm):
+    def resume(self, vm):
         """Let a paused daemon go on; it notices its pause before anything else."""
         self.paused.discard(vm)
         self.handle(vm, ProcessResumed())
@@ -107,7 +107,7 @@
                 self._deliver(source, to, message)
             for vm in tuple(self.nodes):
                 if vm not in self.paused:
-                    self._close_silent(vm)
+                    self._close_silent_links(vm)
                     self._tick(vm)
 
     def _tick(self, vm):
@@ -128,7 +128,7 @@
         if (vm, to) in self.cut or (to, vm) in self.cut:
             return
         for one, other in ((vm, to), (to, vm)):
-            self._heard_ms[one, other] = self.now_ms
+            self._received_ms[one, other] = self.now_ms
             own = self.nodes[other].table.own
             hello = Hello(
                 other,
@@ -153,10 +153,10 @@
 
     def _deliver(self, vm, to, message):
         if to in self.nodes and to not in self.paused and vm in self.nodes[to].linked:
-            self._heard_ms[to, vm] = self.now_ms
+            self._received_ms[to, vm] = self.now_ms
             self.handle(to, MessageReceived(vm, message))
 
-    def _close_silent(self, vm):
+    def _close_silent_links(self, vm):
         for peer in tuple(self.nodes[vm].linked):
-            if self.now_ms - self._heard_ms[vm, peer] > SILENT_LINK_MS:
+            if self.now_ms - self._received_ms[vm, peer] > LINK_SILENCE_TIMEOUT_MS:
                 self.handle(vm, LinkLost(peer))
--- a/features/quarantine_fleet.py
+++ b/features/quarantine_fleet.py
@@ -10,7 +10,7 @@
 from cloverhook.gateway.request_key import RequestKeys
 
 POLL_MS = 5.0
-PATIENCE_MS = 150.0
+WAIT_TIMEOUT_MS = 150.0
 ATTEMPTS = 2
 DELAY_MS = (0.5, 5.0)
 WORK_MS = (10.0, 90.0)
@@ -32,9 +32,9 @@
     def __init__(self, vms, seed, fatal, lost_share=0.0):
         self.random = random.Random(seed)
         self.vms = {f"vm-{n}": Quarantine(f"vm-{n}") for n in range(vms)}
-        self.reached = set(self.vms)
+        self.reachable = set(self.vms)
         self.fatal = fatal
-        self.lost_share = lost_share
+        self.loss_share = lost_share
         self.outcomes = Outcomes()
         self.now_ms = 0.0
         self._order = itertools.count()
@@ -52,26 +52,26 @@
 
     def request(self, vm, keys):
         """Take a request of a caller at a VM."""
-        self._ask(vm, keys, self.now_ms + PATIENCE_MS, 1)
+        self._try_send(vm, keys, self.now_ms + WAIT_TIMEOUT_MS, 1)
 
     def join(self, vm):
         """Add a VM, or one that starts again, which a neighbour tells what it knows."""
         self.vms[vm] = Quarantine(vm)
-        self.reached.add(vm)
-        self.welcome(vm)
+        self.reachable.add(vm)
+        self.send_suspicions(vm)
 
-    def welcome(self, vm):
+    def send_suspicions(self, vm):
         """Tell a VM that is back what another one knows."""
-        other = next(name for name in self.vms if name != vm and name in self.reached)
+        other = next(name for name in self.vms if name != vm and name in self.reachable)
         for news in self.vms[other].suspicions(self.now_ms):
             self._send(other, vm, news)
 
-    def _ask(self, vm, keys, give_up_ms, attempt):
+    def _try_send(self, vm, keys, give_up_ms, attempt):
         quarantine = self.vms[vm]
         standing = quarantine.send_permission(keys, self.now_ms)
         wait_ms = POLL_MS
         if standing is SendPermission.LEASE_FREE:
-            self._tell(vm, quarantine.claim(keys, self.now_ms))
+            self._broadcast(vm, quarantine.claim(keys, self.now_ms))
             wait_ms = quarantine.claim_settled_ms(keys) - self.now_ms
         elif standing is SendPermission.OWN_LEASE:
             wait_ms = quarantine.claim_settled_ms(keys) - self.now_ms
@@ -85,7 +85,7 @@
                 self._run(vm, keys, give_up_ms, attempt)
                 return
             wait_ms = POLL_MS
-        self.at(self.now_ms + max(wait_ms, 0.1), self._ask, vm, keys, give_up_ms, attempt)
+        self.at(self.now_ms + max(wait_ms, 0.1), self._try_send, vm, keys, give_up_ms, attempt)
 
     def _run(self, vm, keys, give_up_ms, attempt):
         known = self.vms[vm].crash_counts(keys)
@@ -96,36 +96,36 @@
         quarantine = self.vms[vm]
         if not self.fatal(keys, self.now_ms):
             self.outcomes.served += 1
-            self._tell(vm, quarantine.record_success(keys, self.now_ms))
+            self._broadcast(vm, quarantine.record_success(keys, self.now_ms))
             return
         self.outcomes.crashed_ms.append(self.now_ms)
-        self._tell(vm, quarantine.record_crash(keys, known, self.now_ms))
+        self._broadcast(vm, quarantine.record_crash(keys, known, self.now_ms))
         if attempt < ATTEMPTS:
-            self._ask(vm, keys, max(give_up_ms, self.now_ms + PATIENCE_MS), attempt + 1)
+            self._try_send(vm, keys, max(give_up_ms, self.now_ms + WAIT_TIMEOUT_MS), attempt + 1)
         else:
             self.outcomes.failed += 1
 
-    def _tell(self, vm, news):
+    def _broadcast(self, vm, news):
         for item in news:
             for other in self.vms:
                 if other != vm:
                     self._send(vm, other, item)
 
     def _send(self, vm, other, news):
-        cut = vm not in self.reached or other not in self.reached
-        if cut or self.random.random() < self.lost_share:
+        cut = vm not in self.reachable or other not in self.reachable
+        if cut or self.random.random() < self.loss_share:
             return
         delay_ms = self.random.uniform(*DELAY_MS)
         self.at(self.now_ms + delay_ms, self._receive, vm, other, news)
 
     def _receive(self, vm, other, news: CrashRecord):
-        if other not in self.reached:
+        if other not in self.reachable:
             return
         answer, pass_on = self.vms[other].apply_update(vm, news, self.now_ms)
         if answer is not None:
             self._send(other, vm, answer)
         if pass_on is not None:
-            self._tell(other, [pass_on])
+            self._broadcast(other, [pass_on])
 
 
 def keys_of(number, caller=0):
--- a/features/rate_limit_replay.py
+++ b/features/rate_limit_replay.py
@@ -10,7 +10,7 @@
 PLAY_MS = 10_000.0
 WINDOW_MS = 4_000.0
 CONTACT_MS = 3_000.0
-NOTICE_MS = 2_500.0
+MAX_DETECTION_MS = 2_500.0
 """For so long a VM that has gone still counts for the others."""
 ENDPOINTS = 3
 DATA_CENTER = "papine"
@@ -35,24 +35,24 @@
         ]
         self.arrivals = {server.name: [] for server in self.servers}
         for limits in self.limits.values():
-            self._learn(limits)
+            self._record_limits(limits)
 
     def _limits(self, name):
-        return RateLimits(name, lambda data_center, now_ms: self._listed(name))
+        return RateLimits(name, lambda data_center, now_ms: self._cached_list(name))
 
-    def _learn(self, limits):
+    def _record_limits(self, limits):
         for server in self.servers:
             limits.record_limit(server.incarnation, self.per_s, self.now_ms)
 
-    def _listed(self, name):
+    def _cached_list(self, name):
         """Return the VMs that one takes for alive: those that went are noticed at their time."""
         look = self.now_ms // LIST_MS
         known = self.lists.get(name)
         if known is None or known[0] != look:
-            known = self.lists[name] = look, self._list(name)
+            known = self.lists[name] = look, self._build_list(name)
         return known[1]
 
-    def _list(self, name):
+    def _build_list(self, name):
         recent = {
             other
             for other, (gone_ms, notice_ms) in self.gone_ms.items()
@@ -75,11 +75,13 @@
             if name not in self.alive:
                 self.alive.add(name)
                 self.limits[name] = self._limits(name)
-                self._learn(self.limits[name])
+                self._record_limits(self.limits[name])
                 del self.gone_ms[name]
         for name in self.names:
             if self.random.random() < self.changing_share:
-                notice_ms = {other: self.random.uniform(0.0, NOTICE_MS) for other in self.names}
+                notice_ms = {
+                    other: self.random.uniform(0.0, MAX_DETECTION_MS) for other in self.names
+                }
                 self.alive.discard(name)
                 self.gone_ms[name] = (self.now_ms, notice_ms)
 
--- a/features/registry_replay.py
+++ b/features/registry_replay.py
@@ -19,7 +19,7 @@
 LOST_SHARE = 0.05
 FETCH_MS = (100.0, 400.0)
 SERVERS = 160
-KEPT = 80
+MIN_SERVERS = 80
 SERVICE = "orders"
 
 
@@ -46,11 +46,11 @@
         self.log = []
         self.left_at_ms = {}
         self.vms = [ReplayedVm(GatewayState(DRAIN_MS), -CONTACT_MS) for _ in range(vms)]
-        self.reader_gone_ms = None
-        self.late = []
-        self.differing = []
+        self.reader_missing_since_ms = None
+        self.late_uses = []
+        self.differing_ms = []
         self.last_use_ms = 0.0
-        self.fetched = Counter()
+        self.fetch_counts = Counter()
         for number in range(SERVERS):
             self._write(f"i-{number}", self._entry(f"i-{number}"))
         for vm in self.vms:
@@ -64,7 +64,7 @@
             self.now_ms += STEP_MS
             quiet = self.now_ms > duration_ms - 2 * CONTACT_MS
             if not quiet and self._every(500.0):
-                self._leave(self.random.choice((1, 1, 6)))
+                self._remove_servers(self.random.choice((1, 1, 6)))
             if not quiet and self._every(400.0):
                 self._restart(self.random.sample(self.vms, self.restarted))
             if self.now_ms == 5_000.0:
@@ -72,7 +72,7 @@
             self._choose_readers()
             for vm in self.vms:
                 if self._is_up(vm):
-                    self._live(vm)
+                    self._step_vm(vm)
             if self._every(BEAT_EVERY_MS):
                 self._heartbeat()
             self._check()
@@ -86,9 +86,9 @@
     def _write(self, name, server):
         self.log.append(ServerRecord(name, len(self.log), server))
 
-    def _leave(self, count):
+    def _remove_servers(self, count):
         live = [f"i-{number}" for number in range(SERVERS) if f"i-{number}" not in self.left_at_ms]
-        for name in live[: min(count, len(live) - KEPT)]:
+        for name in live[: min(count, len(live) - MIN_SERVERS)]:
             self._write(name, None)
             self.left_at_ms[name] = self.now_ms
         self._write(live[-1], self._entry(live[-1]))
@@ -105,16 +105,16 @@
 
     def _choose_readers(self):
         if sum(vm.reader for vm in self.vms) >= READERS:
-            self.reader_gone_ms = None
+            self.reader_missing_since_ms = None
             return
-        if self.reader_gone_ms is None:
-            self.reader_gone_ms = self.now_ms
+        if self.reader_missing_since_ms is None:
+            self.reader_missing_since_ms = self.now_ms
         idle = [vm for vm in self.vms if self._is_up(vm) and not vm.reader]
-        if idle and self.now_ms - self.reader_gone_ms >= TAKEOVER_MS:
+        if idle and self.now_ms - self.reader_missing_since_ms >= TAKEOVER_MS:
             idle[0].reader = True
-            self.reader_gone_ms = None
+            self.reader_missing_since_ms = None
 
-    def _live(self, vm):
+    def _step_vm(self, vm):
         vm.knowledge.expire(self.now_ms)
         inbox, vm.inbox = vm.inbox, []
         for base_version, document in inbox:
@@ -159,9 +159,9 @@
             heard = [other for other in up if other.reader] + self.random.sample(up, 2)
             for other in heard:
                 if other is not vm and self.random.random() > LOST_SHARE:
-                    self._hear(vm, other)
+                    self._receive_heartbeat(vm, other)
 
-    def _hear(self, vm, other):
+    def _receive_heartbeat(self, vm, other):
         registry, told = vm.knowledge.registry, other.knowledge.registry
         if registry.as_of < told.position.advertised_version and vm.fetch_at_ms is None:
             vm.fetch_at_ms = self.now_ms + self.random.uniform(*FETCH_MS)
@@ -185,7 +185,7 @@
             )
             if "registry" in state:
                 registry.adopt(state["registry"], self.now_ms)
-                self.fetched[state["registry"]["whole"]] += 1
+                self.fetch_counts[state["registry"]["whole"]] += 1
 
     def _check(self):
         in_touch = [vm for vm in self.vms if self.now_ms - vm.up_from_ms > CONTACT_MS]
@@ -195,10 +195,10 @@
                 if left_at_ms is not None:
                     self.last_use_ms = max(self.last_use_ms, self.now_ms - left_at_ms)
                     if self.now_ms - left_at_ms > DRAIN_MS:
-                        self.late.append((self.now_ms, server.name))
+                        self.late_uses.append((self.now_ms, server.name))
         digests = {}
         for vm in self.vms:
             registry = vm.knowledge.registry
             if self._is_up(vm) and registry.position.advertised_version >= 0:
                 digests.setdefault(registry.version, set()).add(registry.digest())
-        self.differing += [self.now_ms for found in digests.values() if len(found) > 1]
+        self.differing_ms += [self.now_ms for found in digests.values() if len(found) > 1]
--- a/features/run.py
+++ b/features/run.py
@@ -65,7 +65,7 @@
         return await asyncio.gather(*(_run(path, gate, Path(folder)) for path in paths))
 
 
-def _in_order(paths: list[Path]) -> list[Path]:
+def _slowest_first(paths: list[Path]) -> list[Path]:
     """Return the paths with the slowest features first, so that none of them runs alone last."""
     rank = {name: index for index, name in enumerate(SLOWEST_FIRST)}
     return sorted(paths, key=lambda path: (rank.get(path.stem, len(rank)), path.name))
@@ -84,7 +84,7 @@
     """Run the feature files that the arguments name, or all, and return the exit code."""
     paths = [Path(item) for item in arguments] or list((ROOT / "features").glob("*.feature"))
     known = _known_red()
-    runs = asyncio.run(_run_all(_in_order(paths)))
+    runs = asyncio.run(_run_all(_slowest_first(paths)))
     scenarios = {name: passed for run in runs for name, passed in run.passed.items()}
     passed = sum(scenarios.values())
     failed = [name for name, good in scenarios.items() if not good and name not in known]
--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -6,7 +6,7 @@
 
 from cloverhook.admission import Admission
 from cloverhook_emulator.fleet_runner import Fleet
-from features.http_peers import HOST, ScriptedBackend, call, open_to, request
+from features.http_peers import HOST, ScriptedBackend, call, connect, request
 from features.shared import CONFIG, eventually, run
 
 LIMIT = 6
@@ -76,7 +76,7 @@
 def step_flood(context):
     async def flood():
         context.replies = []
-        context.flood = [await open_to(context.address) for _ in range(LIMIT)]
+        context.flood = [await connect(context.address) for _ in range(LIMIT)]
         for _, writer in context.flood:
             writer.write(request("GET", "/hang"))
         async with asyncio.timeout(20):
--- a/features/steps/control_cost_steps.py
+++ b/features/steps/control_cost_steps.py
@@ -37,7 +37,7 @@
 from cloverhook.server import Listener
 from cloverhook.state import State
 from cloverhook.wake_times import WakeTimes
-from features.http_peers import open_to, request
+from features.http_peers import connect, request
 from features.member_network import MemberNetwork
 from features.steps.fleet_steps import run
 
@@ -346,7 +346,7 @@
     async def start():
         context.listener = Listener(_answer, "127.0.0.1:0")
         await context.listener.start()
-        reader, writer = await open_to(context.listener.address)
+        reader, writer = await connect(context.listener.address)
         writer.write(request("GET", "/"))
         assert (await reader.readline()).startswith(b"HTTP/1.1 200")
         writer.close()
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -4,21 +4,21 @@
 
 from cloverhook.fleet import Endpoint, Policy, Priority
 from cloverhook.routing_events import AttemptResult, CallerDisconnected, EndpointsChanged
-from features.decision_driver import Driver, endpoints, usual_work
+from features.decision_driver import RouterDriver, endpoints, typical_work
 
 SLOW = "10.0.0.0:80"
 
 
 @given("a router that owns {count:d} endpoints")
 def step_router(context, count):
-    context.driver = Driver(endpoints(count))
+    context.driver = RouterDriver(endpoints(count))
 
 
 @given("a router that owns {count:d} endpoints and has served for {ms:d} ms")
 def step_served(context, count, ms):
-    context.driver = Driver(endpoints(count))
+    context.driver = RouterDriver(endpoints(count))
     context.every_ms = 20.0 / (count * 4 * 0.7)
-    context.driver.run(ms, context.every_ms, usual_work())
+    context.driver.run(ms, context.every_ms, typical_work())
 
 
 @given("all slots are taken")
@@ -75,7 +75,7 @@
 
 @then("no request of priority HIGH was refused and those of priority LOW were, without delay")
 def step_low_first(context):
-    refused = context.driver.refused
+    refused = context.driver.rejected
     assert not any(request_id in refused for request_id in context.high)
     assert sum(request_id in refused for request_id in context.low) >= 200
     assert context.driver.now_ms == 0.0
@@ -83,7 +83,7 @@
 
 @then("the times to come back are spread and grow with the overload")
 def step_spread(context):
-    times = [refuse.retry_after_ms for refuse in context.driver.refused.values()]
+    times = [refuse.retry_after_ms for refuse in context.driver.rejected.values()]
     assert len(set(times)) == len(times)
     early, late = times[:20], times[-20:]
     assert sum(late) > 2 * sum(early)
@@ -99,14 +99,14 @@
 
 @then("it is refused at once as overloaded")
 def step_refused_tight(context):
-    refuse = context.driver.refused[context.tight]
+    refuse = context.driver.rejected[context.tight]
     assert refuse.kind.value == "overloaded"
     assert refuse.retry_after_ms > 0
 
 
 @when("one endpoint becomes {factor:d} times slower for {ms:d} ms")
 def step_slow(context, factor, ms):
-    work = usual_work()
+    work = typical_work()
     context.before = context.driver.starts[SLOW]
     slow = {SLOW: float(factor)}
     context.driver.run(ms, context.every_ms, lambda a: work(a) * slow.get(a, 1.0))
@@ -121,16 +121,16 @@
 @then("{ms:d} ms after its recovery it gets its share again")
 def step_share(context, ms):
     driver = context.driver
-    driver.run(ms, context.every_ms, usual_work())
+    driver.run(ms, context.every_ms, typical_work())
     before = driver.starts.copy()
-    driver.run(500, context.every_ms, usual_work())
+    driver.run(500, context.every_ms, typical_work())
     got = driver.starts - before
     assert got[SLOW] > 0.5 * sum(got.values()) / 5, got
 
 
 @when("one endpoint answers errors after 1 ms for {ms:d} ms")
 def step_failing(context, ms):
-    work = usual_work()
+    work = typical_work()
     context.before = context.driver.starts[SLOW]
     context.driver.run(
         ms,
@@ -159,7 +159,7 @@
 @when("no endpoint can be reached for {ms:d} ms")
 def step_down(context, ms):
     driver = context.driver
-    driver.run(60, 1e9, usual_work())
+    driver.run(60, 1e9, typical_work())
     context.arrived_before = driver.arrived
     context.attempts_before = sum(driver.starts.values())
     driver.run(ms, context.every_ms, lambda a: 1.0, lambda a: AttemptResult.NOT_SENT)
@@ -171,22 +171,22 @@
     calls = driver.arrived - context.arrived_before
     attempts = sum(driver.starts.values()) - context.attempts_before
     assert attempts / calls < 1.1, attempts / calls
-    assert all(refuse.retry_after_ms > 0 for refuse in driver.refused.values())
+    assert all(refuse.retry_after_ms > 0 for refuse in driver.rejected.values())
 
 
 @then("99 of 100 refusals came within {ms:d} ms")
 def step_refused_soon(context, ms):
-    waits = sorted(context.driver.refused_after_ms.values())
+    waits = sorted(context.driver.rejected_after_ms.values())
     assert waits[int(len(waits) * 0.99)] <= ms, waits[-5:]
 
 
 @then("{ms:d} ms after the recovery 95 of 100 calls are answered")
 def step_recovered(context, ms):
     driver = context.driver
-    driver.run(ms, context.every_ms, usual_work())
-    arrived, refused = driver.arrived, len(driver.refused)
-    driver.run(1_000, context.every_ms, usual_work())
-    share = 1 - (len(driver.refused) - refused) / (driver.arrived - arrived)
+    driver.run(ms, context.every_ms, typical_work())
+    arrived, refused = driver.arrived, len(driver.rejected)
+    driver.run(1_000, context.every_ms, typical_work())
+    share = 1 - (len(driver.rejected) - refused) / (driver.arrived - arrived)
     assert share >= 0.95, share
 
 
@@ -201,7 +201,7 @@
 @then("it is not run again")
 def step_not_again(context):
     assert context.driver.attempts[context.ended] == 1
-    assert context.ended not in context.driver.open
+    assert context.ended not in context.driver.active_attempts
 
 
 @then("it is started again")
@@ -215,7 +215,7 @@
     for _ in range(count):
         request_id = driver.arrive()
         driver.now_ms += 100
-        while request_id in driver.open:
+        while request_id in driver.active_attempts:
             driver.end(request_id, AttemptResult.REFUSED)
         driver.pass_time(10)
 
@@ -237,19 +237,19 @@
 @then("it is refused without another attempt")
 def step_no_second(context):
     assert context.driver.attempts[context.ended] == 1
-    assert context.ended in context.driver.refused
+    assert context.ended in context.driver.rejected
 
 
 @given("13 services that call each other in a chain whose last one always refuses")
 def step_chain(context):
-    context.chain = [Driver(endpoints(9), seed=number) for number in range(13)]
+    context.chain = [RouterDriver(endpoints(9), seed=number) for number in range(13)]
 
 
 def call_chain(chain, layer, attempt):
     """Call a layer; a layer whose lower one has given up passes that on as its own failure."""
     driver = chain[layer]
     request_id = driver.arrive(attempt=attempt)
-    while request_id in driver.open:
+    while request_id in driver.active_attempts:
         driver.now_ms += 100
         if layer + 1 < len(chain):
             call_chain(chain, layer + 1, max(attempt, driver.attempts[request_id]))
@@ -275,7 +275,7 @@
 @when("a third endpoint is added and {count:d} requests arrive")
 def step_added(context, count):
     driver = context.driver
-    driver.run(60, 1e9, usual_work())
+    driver.run(60, 1e9, typical_work())
     context.new = "10.0.0.2:80"
     driver.do(EndpointsChanged(endpoints(3), Policy()))
     for _ in range(count):
@@ -287,12 +287,12 @@
     driver = context.driver
 
     def in_flight():
-        return sum(address == context.new for address, _ in driver.open.values())
+        return sum(address == context.new for address, _ in driver.active_attempts.values())
 
     assert in_flight() == first
     most = 0
     for _ in range(400):
-        driver.run(1, 1.0, usual_work())
+        driver.run(1, 1.0, typical_work())
         most = max(most, in_flight())
     assert most == later
 
@@ -306,7 +306,7 @@
     context.before = driver.starts[first.address]
     for _ in range(20):
         driver.arrive()
-    driver.run(500, 10.0, usual_work())
+    driver.run(500, 10.0, typical_work())
 
 
 @then("no request starts there any more")
@@ -324,5 +324,5 @@
 @then("all of them start in time")
 def step_all_start(context):
     driver = context.driver
-    driver.run(400, 1e9, usual_work())
+    driver.run(400, 1e9, typical_work())
     assert all(driver.attempts[request_id] == 1 for request_id in context.ids)
--- a/features/steps/failure_change_steps.py
+++ b/features/steps/failure_change_steps.py
@@ -52,7 +52,7 @@
         url = context.fleet.platform_url
         switches = [asyncio.create_task(_switch(url, barrier, preset)) for preset in PRESETS]
         await barrier.wait()
-        await context.loaded.lose(vm)
+        await context.loaded.kill_daemon(vm)
         return await asyncio.gather(*switches)
 
     context.switches = run(context, race())
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -53,7 +53,7 @@
 
 @when('"{vm}" is lost')
 def step_lost(context, vm):
-    run(context, context.loaded.lose(vm))
+    run(context, context.loaded.kill_daemon(vm))
 
 
 @when("{vm} is lost with keyed writes that run, and they are repeated at {other}")
@@ -70,7 +70,7 @@
     await fleet.set_faults({"hang": True})
     writes = [asyncio.create_task(loaded.write(vm, key)) for key in keys]
     await loaded.until(some_run)
-    await loaded.lose(vm)
+    await loaded.kill_daemon(vm)
     ends = await asyncio.gather(*writes, return_exceptions=True)
     assert all(isinstance(end, aiohttp.ClientError) for end in ends), ends
     await fleet.set_faults({"hang": False})
--- a/features/steps/gateway_broadcast_steps.py
+++ b/features/steps/gateway_broadcast_steps.py
@@ -25,7 +25,7 @@
 from cloverhook.gateway.registry import Registry
 from cloverhook.gateway.state_fetch import build_state_reply
 from features import gateway_fleet as fleet
-from features.gateway_crowd import FAR, NEAR, Wire, heartbeat, members_of, peering_of
+from features.gateway_crowd import LOCAL, REMOTE, RecordingLink, heartbeat, members_of, peering_of
 from features.shared import run
 
 PROBE_MS = 50
@@ -35,12 +35,14 @@
 def step_two_data_centers(context):
     async def start():
         await fleet.start_fleet(context, 0, 0)
-        for index, name in enumerate((NEAR, FAR)):
+        for index, name in enumerate((LOCAL, REMOTE)):
             backend = await fleet.Backend(f"i-{index}").start(context)
             context.backends.append(backend)
             context.store.put_server(backend.entry(data_center=name))
         context.gateways = [
-            await fleet.start_gateway(context, f"vm-{index}", data_center=(NEAR, FAR)[index % 2])
+            await fleet.start_gateway(
+                context, f"vm-{index}", data_center=(LOCAL, REMOTE)[index % 2]
+            )
             for index in range(6)
         ]
         addresses = [settings.peer_address for _, settings in context.gateways]
@@ -121,7 +123,7 @@
         context.backends.append(late)
         peer = Registry()
         peer.adopt(registry.to_document(0.0), 0.0)
-        entry = BackendServer("i-peer", fleet.SERVICE, "127.0.0.1:1", NEAR)
+        entry = BackendServer("i-peer", fleet.SERVICE, "127.0.0.1:1", LOCAL)
         context.peer_version = registry.version + 1
         peer.apply(ServerRecord("i-peer", context.peer_version, entry), 0.0, False)
         registry.adopt(peer.to_document(0.0), 0.0)
@@ -143,15 +145,15 @@
 @given("a VM with 3 neighbours that are alive")
 def step_neighbours(context):
     context.now_ms = 0.0
-    context.wire = Wire()
+    context.wire = RecordingLink()
     members = members_of("vm-0", ("vm-1", "vm-2", "vm-3"))
     context.broadcast = Broadcast("vm-0", context.wire, members)
 
 
 @given("a VM with 3 VMs in another data centre")
 def step_far_vms(context):
-    context.wire = Wire()
-    members = members_of("vm-0", ("vm-1", "vm-2", "vm-3"), data_center=FAR)
+    context.wire = RecordingLink()
+    members = members_of("vm-0", ("vm-1", "vm-2", "vm-3"), data_center=REMOTE)
     context.broadcast = Broadcast("vm-0", context.wire, members)
 
 
@@ -271,10 +273,10 @@
 
 @given("a VM that measures {count:d} backend servers, with 2 neighbours and a VM elsewhere")
 def step_measurer(context, count):
-    context.wire = Wire()
+    context.wire = RecordingLink()
     heard_ms = monotonic_ms() + 600_000.0  # They stay alive, however long this process stalls.
     members = members_of("vm-0", ("vm-1", "vm-2"), heard_ms)
-    members.record_heartbeat(heartbeat("vm-far", FAR), heard_ms)
+    members.record_heartbeat(heartbeat("vm-far", REMOTE), heard_ms)
     context.updates = LoadUpdates("vm-0", Broadcast("vm-0", context.wire, members))
     context.figures = {f"i-{number}": LoadReport(0, 0, 1.0) for number in range(count)}
 
@@ -361,8 +363,8 @@
 @when("it tells a change of the registry while the next relay is dead")
 def step_change_told(context):
     names = ["vm-0", "vm-1", "vm-2", "vm-3"]
-    peering = peering_of("vm-0", names, data_center=FAR)
-    entry = BackendServer("i-1", fleet.SERVICE, "127.0.0.1:1", NEAR, draining=True)
+    peering = peering_of("vm-0", names, data_center=REMOTE)
+    entry = BackendServer("i-1", fleet.SERVICE, "127.0.0.1:1", LOCAL, draining=True)
     peering._knowledge.registry.apply(ServerRecord("i-1", 4, entry), 0.0, False)
     peering.broadcast_registry_changes(3, ("i-1",))
     context.sent = peering.link.sent
@@ -378,7 +380,7 @@
 @given("{count:d} VMs of one data centre, to each of which callers send {rate:d} requests a second")
 def step_requests(context, count, rate):
     names = [f"vm-{number}" for number in range(count)]
-    context.members = Members(names[0], NEAR, 0.0)
+    context.members = Members(names[0], LOCAL, 0.0)
     for name in names[1:]:
         context.members.record_heartbeat(replace(heartbeat(name), requests_per_s=rate), 0.0)
 
@@ -417,7 +419,7 @@
 def put(context, number, **fields):
     """Let an endpoint report to the first registry."""
     name = f"i-{number}"
-    server = BackendServer(name, "s", f"10.0.0.{number}:1", NEAR, **fields)
+    server = BackendServer(name, "s", f"10.0.0.{number}:1", LOCAL, **fields)
     context.first.apply(ServerRecord(name, context.offset, server), 0.0, False)
     context.offset += 1
 
@@ -433,7 +435,7 @@
     knowledge = GatewayState()
     knowledge.registry = context.first
     asked = {"registry": context.second.version}
-    state = build_state_reply(asked, knowledge, Members("vm-0", NEAR, 0.0), 0.0)
+    state = build_state_reply(asked, knowledge, Members("vm-0", LOCAL, 0.0), 0.0)
     if "registry" not in state:
         return 0
     context.second.adopt(state["registry"], 0.0)
--- a/features/steps/gateway_changes_steps.py
+++ b/features/steps/gateway_changes_steps.py
@@ -11,7 +11,7 @@
 from cloverhook.gateway.state_fetch import build_state_reply
 from cloverhook.gateway.transfer_queue import Refer, Requester, Send, TransferQueue
 from features import gateway_fleet as fleet
-from features.gateway_crowd import FAR, NEAR, peering_of
+from features.gateway_crowd import LOCAL, REMOTE, peering_of
 from features.registry_replay import RegistryReplay
 from features.shared import run
 from features.transfer_replay import TransferReplay
@@ -75,7 +75,7 @@
 
 @then("no two gateways of one version ever differ in the servers that they use")
 def step_equal(context):
-    differing = [replay.differing[:1] for replay in context.replays]
+    differing = [replay.differing_ms[:1] for replay in context.replays]
     assert not any(differing), differing
 
 
@@ -97,31 +97,31 @@
 @then("all that live have it within {bound_ms:d} ms, by {asks:d} questions of each at most")
 def step_transferred(context, bound_ms, asks):
     for replay in context.replays:
-        assert set(replay.data_centers) - replay.killed == set(replay.known_ms)
-        assert replay.asks <= asks * len(replay.data_centers), replay.asks
+        assert set(replay.data_centers) - replay.killed == set(replay.received_ms)
+        assert replay.request_count <= asks * len(replay.data_centers), replay.request_count
     assert max(context.last_ms) <= bound_ms, context.last_ms
 
 
 @then("none sends more than {count:d} copies at a time")
 def step_sends(context, count):
-    assert max(replay.most_sending for replay in context.replays) <= count
+    assert max(replay.max_concurrent_sends for replay in context.replays) <= count
 
 
 @then("at most {count:d} copies cross to each other data centre")
 def step_few_crossings(context, count):
-    crossings = [replay.crossings for replay in context.replays]
+    crossings = [replay.remote_transfers for replay in context.replays]
     others = len({*context.replays[0].data_centers.values()}) - 1
     assert max(crossings) <= others * count, crossings
 
 
 @given("a VM that has sent a configuration to {count:d} VMs of another data centre")
 def step_sent_far(context, count):
-    context.queue = TransferQueue(NEAR)
-    context.receivers = [Requester(f"vm-{number}:2", FAR) for number in range(count)]
+    context.queue = TransferQueue(LOCAL)
+    context.receivers = [Requester(f"vm-{number}:2", REMOTE) for number in range(count)]
     for receiver in context.receivers:
         assert context.queue.request_transfer(receiver) == [Send(receiver)]
         context.queue.transfer_ended(receiver, received=True)
-    context.asker = Requester("vm-late:2", FAR)
+    context.asker = Requester("vm-late:2", REMOTE)
 
 
 @then("another one of there is referred to one of the {count:d}")
--- a/features/steps/gateway_crossing_steps.py
+++ b/features/steps/gateway_crossing_steps.py
@@ -17,7 +17,7 @@
 from cloverhook.gateway.load_updates import LoadUpdates
 from cloverhook.gateway.members import Members
 from cloverhook.gateway.peer_messages import InFlightCountChanges, InFlightCounts, Relay, decode
-from features.gateway_crowd import NEAR, Wire, heartbeat
+from features.gateway_crowd import LOCAL, RecordingLink, heartbeat
 from features.shared import run
 
 OTHERS = ("halfway-tree", "new-kingston")
@@ -28,16 +28,16 @@
     """Know a VM in each other data centre, and 4 endpoints in each data centre."""
     now_ms = monotonic_ms()
     context.knowledge = knowledge = GatewayState()
-    context.members = Members("vm-0", NEAR, now_ms)
+    context.members = Members("vm-0", LOCAL, now_ms)
     for place in OTHERS:
         context.members.record_heartbeat(heartbeat(f"vm-{place}", place), now_ms)
     offset = 0
-    for name, place in (("here", NEAR), *zip(("lost", "else"), OTHERS, strict=True)):
+    for name, place in (("here", LOCAL), *zip(("lost", "else"), OTHERS, strict=True)):
         for number in range(4):
             server = BackendServer(f"{name}-{number}", "s", "10.0.0.1:1", place, 3)
             knowledge.registry.apply(ServerRecord(server.name, offset, server), now_ms, False)
             offset += 1
-    context.wire = Wire()
+    context.wire = RecordingLink()
     context.updates = CountUpdates(
         "vm-0",
         Broadcast("vm-0", context.wire, context.members),
@@ -164,7 +164,7 @@
 @then("another data centre hears of it within 100 ms if requests have to cross, and not else")
 def step_far_figures(context):
     async def measure(crossing):
-        wire = Wire()
+        wire = RecordingLink()
         broadcast = Broadcast("vm-0", wire, context.members)
         news = LoadUpdates("vm-0", broadcast, lambda: True, lambda now_ms: crossing)
         begun_ms = monotonic_ms()
--- a/features/steps/gateway_measuring_steps.py
+++ b/features/steps/gateway_measuring_steps.py
@@ -9,7 +9,7 @@
 from cloverhook.gateway.measuring import ProbeSchedule
 from cloverhook.gateway.registry import Registry
 from features import gateway_fleet as fleet
-from features.gateway_crowd import FAR, NEAR, heartbeat, members_of
+from features.gateway_crowd import LOCAL, REMOTE, heartbeat, members_of
 
 PROBE_MS = 50
 
@@ -73,12 +73,12 @@
 
 @given("{vms:d} VMs of one data centre and {count:d} backend servers in it")
 def step_measuring(context, vms, count):
-    context.vms = MeasuringFleet(vms, count, NEAR)
+    context.vms = MeasuringFleet(vms, count, LOCAL)
 
 
 @given("{vms:d} VMs of one data centre and {count:d} backend servers in another one")
 def step_measuring_far(context, vms, count):
-    context.vms = MeasuringFleet(vms, count, FAR)
+    context.vms = MeasuringFleet(vms, count, REMOTE)
 
 
 @then("in a second each backend server is measured by one VM alone, {limit:d} measure at most")
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -341,7 +341,7 @@
     for backend in context.backends:
         backend.work_ms = 10.0
     read_from_all(context)
-    context.backends[0].deaf = True
+    context.backends[0].ignores_probes = True
     context.backends[0].ran.clear()
 
 
--- a/features/steps/gateway_store_era_steps.py
+++ b/features/steps/gateway_store_era_steps.py
@@ -11,7 +11,7 @@
 from cloverhook.gateway.store import Feed, FeedSlice
 from cloverhook.gateway.store_follower import offsets_to_versions
 from features import gateway_fleet as fleet
-from features.era_replay import HOLD_MS, EraReplay, usable
+from features.era_replay import GRACE_PERIOD_MS, StoreRestoreReplay, usable
 from features.shared import run
 
 ELSEWHERE = "new-kingston"
@@ -160,7 +160,7 @@
 @then("it gets none of {count:d} requests")
 def step_gets_none(context, count):
     async def call():
-        await asyncio.sleep(2 * HOLD_MS / 1000)
+        await asyncio.sleep(2 * GRACE_PERIOD_MS / 1000)
         seen = len(context.odd.seen)
         for number in range(count):
             _, settings = context.gateways[number % len(context.gateways)]
@@ -340,7 +340,7 @@
 
 @given("{count:d} replays of {vms:d} gateways that read the store or hear of it from others")
 def step_replays(context, count, vms):
-    context.replays = [EraReplay(vms, seed) for seed in range(count)]
+    context.replays = [StoreRestoreReplay(vms, seed) for seed in range(count)]
 
 
 @when("the store comes back from older copies while servers come, leave and report")
@@ -351,7 +351,9 @@
 
 @then("no gateway has used one that had left for longer than the hold time")
 def step_none_resurrected(context):
-    wrong = {seed: item.wrong[0] for seed, item in enumerate(context.replays) if item.wrong}
+    wrong = {
+        seed: item.violations[0] for seed, item in enumerate(context.replays) if item.violations
+    }
     assert not wrong, wrong
 
 
--- a/features/steps/gateway_trust_steps.py
+++ b/features/steps/gateway_trust_steps.py
@@ -43,7 +43,7 @@
 
 @given("the first backend server says that it is ill")
 def step_ill(context):
-    context.backends[0].ill = True
+    context.backends[0].unhealthy = True
 
 
 async def call_all(context, count, path):
--- a/features/steps/home_steps.py
+++ b/features/steps/home_steps.py
@@ -10,7 +10,7 @@
 from cloverhook.ownership import assign_owners
 from cloverhook.routing_events import CallerDisconnected, HomesChanged, ProbeEnded, SendMessage
 from cloverhook.steering import HomeRotation, answer_lifetime_ms
-from features.decision_driver import Driver, endpoints, usual_work
+from features.decision_driver import RouterDriver, endpoints, typical_work
 
 CENTERS = ("halfway-tree", "new-kingston", "papine")
 HOMES = ("vm-0", "vm-1", "vm-2")
@@ -53,19 +53,19 @@
 
 
 def homed(own, fleet, homes=HOMES[:1], **kwargs):
-    driver = Driver(fleet, **kwargs)
+    driver = RouterDriver(fleet, **kwargs)
     driver.do(HomesChanged(own, homes, HOME_CENTERS))
     return driver
 
 
 def deliver(drivers):
     """Pass on the messages between drivers until there are none."""
-    while any(driver.told for driver in drivers.values()):
+    while any(driver.sent_messages for driver in drivers.values()):
         for name, driver in drivers.items():
-            told, driver.told = driver.told, []
+            told, driver.sent_messages = driver.sent_messages, []
             for tell in told:
                 if tell.vm in drivers:
-                    drivers[tell.vm].hear(name, tell.message)
+                    drivers[tell.vm].receive(name, tell.message)
 
 
 @given("an owner and a VM that owns nothing")
@@ -78,13 +78,13 @@
 def free_slots(driver):
     """Return how many requests the router starts at once now, and end them again."""
     ids = [driver.arrive() for _ in range(20)]
-    started = [request_id for request_id in ids if request_id in driver.open]
+    started = [request_id for request_id in ids if request_id in driver.active_attempts]
 
     for request_id in set(ids) - set(started):
         driver.do(CallerDisconnected(request_id))
     for request_id in started:
         driver.end(request_id, latency_ms=20.0)
-    driver.told.clear()
+    driver.sent_messages.clear()
     return len(started)
 
 
@@ -96,7 +96,7 @@
 
 @then("it is started on a slot that the owner has lent")
 def step_on_lent(context):
-    assert context.request in context.other.open
+    assert context.request in context.other.active_attempts
     assert free_slots(context.owner) == 7
 
 
@@ -112,15 +112,15 @@
 @when("the owner lends 2 slots to each of two VMs and one slot is returned twice")
 def step_returned_twice(context):
     for vm in ("vm-8", "vm-9"):
-        context.owner.hear(vm, SlotRequest("brathwaite/booking", 1, 2, 5))
-    grants = [tell.message for tell in context.owner.told]
+        context.owner.receive(vm, SlotRequest("brathwaite/booking", 1, 2, 5))
+    grants = [tell.message for tell in context.owner.sent_messages]
     assert [len(grant.addresses) for grant in grants] == [2, 2]
     assert set(grants[0].addresses) == set(grants[1].addresses)
     assert free_slots(context.owner) == 4
     context.lent = grants[1].addresses[:1]
     message = SlotReturn("brathwaite/booking", context.lent, (0,))
-    context.owner.hear("vm-9", message)
-    context.owner.hear("vm-9", message)
+    context.owner.receive("vm-9", message)
+    context.owner.receive("vm-9", message)
 
 
 @then("the owner has {count:d} slots")
@@ -137,8 +137,8 @@
 @then("a return that comes late changes nothing")
 def step_late_return(context):
     message = SlotReturn("brathwaite/booking", context.lent, (0,))
-    context.owner.hear("vm-9", message)
-    context.owner.hear("vm-9", message)
+    context.owner.receive("vm-9", message)
+    context.owner.receive("vm-9", message)
     assert free_slots(context.owner) == 8
 
 
@@ -172,10 +172,10 @@
 @then("it hands them back when the other home speaks again")
 def step_handed_back(context):
     driver = context.driver
-    driver.hear("vm-1", SlotGrant("brathwaite/booking", ()))
+    driver.receive("vm-1", SlotGrant("brathwaite/booking", ()))
     before = driver.starts.copy()
     driver.now_ms += 20
-    for request_id in tuple(driver.open):
+    for request_id in tuple(driver.active_attempts):
         driver.end(request_id)
     assert not context.theirs & set(driver.starts - before)
 
@@ -192,12 +192,12 @@
     for _ in range(1_000):
         driver.arrive()
         driver.pass_time(10)
-        told, driver.told = driver.told, []
+        told, driver.sent_messages = driver.sent_messages, []
         for tell in told:
             assert isinstance(tell, SendMessage)
             context.sent_bytes += len(encode(tell.message))
-            driver.hear(tell.vm, SlotGrant("brathwaite/booking", ()))
-        for request_id in tuple(driver.open):
+            driver.receive(tell.vm, SlotGrant("brathwaite/booking", ()))
+        for request_id in tuple(driver.active_attempts):
             driver.end(request_id, latency_ms=20.0)
 
 
@@ -236,10 +236,10 @@
 
 @then("a router that serves requests at all its endpoints sends no probe")
 def step_no_probe(context):
-    driver = Driver(endpoints(3))
-    driver.run(200, 2.0, usual_work())
+    driver = RouterDriver(endpoints(3))
+    driver.run(200, 2.0, typical_work())
     driver.probes.clear()
-    driver.run(6_000, 2.0, usual_work())
+    driver.run(6_000, 2.0, typical_work())
     assert not driver.probes
 
 
--- a/features/steps/http_steps.py
+++ b/features/steps/http_steps.py
@@ -8,12 +8,12 @@
 
 from cloverhook_emulator.fleet_runner import Fleet
 from features.http_peers import (
+    CHUNK,
     HOST,
-    PIECE,
     ScriptedBackend,
     by_attempt,
     call,
-    open_to,
+    connect,
     read_to_end,
     request,
     then_cut,
@@ -244,7 +244,7 @@
     assert text.endswith(b"\r\n\r\nabc") and b"x-late" not in text.lower(), text
 
     async def expecting():
-        reader, writer = await open_to(context.address)
+        reader, writer = await connect(context.address)
         head = request("POST", "/echo", b"Content-Length: 3", b"Expect: 100-continue")
         writer.write(head)
         assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -272,17 +272,17 @@
     _call(context, request("GET", "/fixed"))
     before_kb = _peak_kb(context.pid)
     received = run(context, _upload(context) if direction == "an upload" else _download(context))
-    assert received == 1_024 * len(PIECE), received
+    assert received == 1_024 * len(CHUNK), received
     grown_kb = _peak_kb(context.pid) - before_kb
     print(f"{direction}: the peak grew by {grown_kb} kB")
     assert grown_kb < GROWTH_LIMIT_KB, grown_kb
 
 
 async def _upload(context):
-    reader, writer = await open_to(context.address)
-    writer.write(request("POST", "/slow-up", b"Content-Length: %d" % (1_024 * len(PIECE))))
+    reader, writer = await connect(context.address)
+    writer.write(request("POST", "/slow-up", b"Content-Length: %d" % (1_024 * len(CHUNK))))
     for _ in range(1_024):
-        writer.write(PIECE)
+        writer.write(CHUNK)
         await writer.drain()
     reply = await read_to_end(reader)
     writer.close()
@@ -291,7 +291,7 @@
 
 
 async def _download(context):
-    reader, writer = await open_to(context.address)
+    reader, writer = await connect(context.address)
     writer.write(request("GET", "/flood").replace(b"HTTP/1.1", b"HTTP/1.0"))
     await reader.readuntil(b"\r\n\r\n")
     received = 0
@@ -396,7 +396,7 @@
     async def leave():
         writers = []
         for index in range(6):
-            _, writer = await open_to(context.address)
+            _, writer = await connect(context.address)
             writer.write(request("POST", "/hang", b"X-Request-Id: left-%d" % index))
             writers.append(writer)
             if index == 3:
@@ -414,7 +414,7 @@
 @then("the backend server's connections close and no waiting request is started")
 def step_left(context):
     async def gone():
-        return all(item.gone.is_set() for item in context.backend.received)
+        return all(item.disconnected.is_set() for item in context.backend.received)
 
     run(context, eventually(gone))
     assert _call(context, request("GET", "/echo")).status == 200
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -160,7 +160,7 @@
 
 @when('"{vm}" wakes')
 def step_wakes(context, vm):
-    context.network.wake(vm)
+    context.network.resume(vm)
 
 
 @when('{seconds:d} seconds pass without anyone taking up "{one}" or "{other}"')
--- a/features/steps/probe_steps.py
+++ b/features/steps/probe_steps.py
@@ -144,7 +144,7 @@
     context.driver = homed("vm-0", spread_fleet(3))
     context.driver.run(2_000, 20, lambda address: 10)
     request_id = context.driver.arrive()
-    context.address = context.driver.open[request_id][0]
+    context.address = context.driver.active_attempts[request_id][0]
     context.driver.end(request_id, AttemptResult.REFUSED)
 
 
--- a/features/steps/quarantine_replay_steps.py
+++ b/features/steps/quarantine_replay_steps.py
@@ -59,10 +59,10 @@
     for number in range(30):
         for vm in CUT_VMS:
             fleet.at(5_100.0 + 300 * number, fleet.request, vm, FATAL)
-    fleet.at(0.0, fleet.reached.difference_update, CUT_VMS)
-    fleet.at(15_000.0, fleet.reached.update, CUT_VMS)
+    fleet.at(0.0, fleet.reachable.difference_update, CUT_VMS)
+    fleet.at(15_000.0, fleet.reachable.update, CUT_VMS)
     for vm in CUT_VMS:
-        fleet.at(15_000.0, fleet.welcome, vm)
+        fleet.at(15_000.0, fleet.send_suspicions, vm)
     for number in range(5, 10):
         fleet.at(16_000.0, fleet.join, f"vm-{number}")
     fleet.run()
