--- a/features/decision_driver.py
+++ b/features/decision_driver.py
@@ -1,4 +1,4 @@
-"""Drives one `ServiceRouter` by events on a clock of its own, and keeps what it did."""
+"""Drives one `ServiceRouter` by events on a simulated clock and records its actions."""
 
 import random
 from collections import Counter
@@ -23,15 +23,15 @@
 
 
 def endpoints(count, slots=4, data_center="papine"):
-    """Return endpoints with addresses of their own."""
+    """Return this many endpoints, each with its own address."""
     return tuple(Endpoint(f"10.0.0.{index}:80", data_center, slots) for index in range(count))
 
 
 class RouterDriver:
-    """A router, its clock and what it has started, refused and sent."""
+    """A router, its clock, and the attempts, rejections and messages that it has produced."""
 
     def __init__(self, fleet=(), policy=None, seed=1, peer_bytes=None):
-        """Make a router with these endpoints."""
+        """Create a router with these endpoints; `peer_bytes` limits what it sends a second."""
         bucket = TokenBucket(peer_bytes, peer_bytes) if peer_bytes else None
         self.router = ServiceRouter(random.Random(seed), "brathwaite/booking", bucket)
         self.now_ms = 0.0
@@ -48,17 +48,19 @@
             self.do(EndpointsChanged(tuple(fleet), policy or Policy()))
 
     def do(self, event):
-        """Hand the router an event and keep its actions."""
+        """Pass an event to the router; record its actions and return them."""
         actions = self.router.handle(event, self.now_ms)
         for action in actions:
             match action:
                 case Start(request_id, address):
-                    assert request_id not in self.active_attempts, "started while in flight"
+                    assert (
+                        request_id not in self.active_attempts
+                    ), "attempt started while another one of the request is in flight"
                     self.active_attempts[request_id] = (address, self.now_ms)
                     self.starts[address] += 1
                     self.attempts[request_id] += 1
                 case Reject():
-                    assert action.request_id not in self.rejected, "refused twice"
+                    assert action.request_id not in self.rejected, "request rejected twice"
                     self.rejected[action.request_id] = action
                     waited_ms = self.now_ms - self.arrived_ms[action.request_id]
                     self.rejected_after_ms[action.request_id] = waited_ms
@@ -69,7 +71,7 @@
         return actions
 
     def arrive(self, priority=Priority.NORMAL, idempotent=True, timeout_ms=TIMEOUT_MS, attempt=1):
-        """Let a request arrive and return its identifier."""
+        """Add a request and return its identifier."""
         self.arrived += 1
         request_id = f"r{self.arrived}"
         deadline_ms = self.now_ms + timeout_ms
@@ -78,31 +80,32 @@
         return request_id
 
     def end(self, request_id, result=AttemptResult.ANSWERED, latency_ms=None, load=None):
-        """End the attempt of a request; one without an answer wants another attempt."""
+        """End the attempt of a request; a request that got no answer is to be retried."""
         address, started_ms = self.active_attempts.pop(request_id)
-        again = result in (AttemptResult.REFUSED, AttemptResult.NOT_SENT, AttemptResult.CUT)
+        wants_retry = result in (AttemptResult.REFUSED, AttemptResult.NOT_SENT, AttemptResult.CUT)
         latency_ms = self.now_ms - started_ms if latency_ms is None else latency_ms
-        return self.do(AttemptEnded(request_id, address, result, latency_ms, load, again))
+        return self.do(AttemptEnded(request_id, address, result, latency_ms, load, wants_retry))
 
     def waiting(self, request_id):
-        """Return whether a request is neither started nor refused."""
+        """Return whether a request has been neither started nor rejected."""
         return request_id not in self.attempts and request_id not in self.rejected
 
     def receive(self, vm, message):
-        """Hand the router another VM's message."""
+        """Pass a message of another VM to the router."""
         return self.do(PeerMessageReceived(vm, message))
 
     def pass_time(self, ms, step_ms=10.0):
-        """Let time pass with ticks."""
+        """Advance the clock, with a tick after each step."""
         end_ms = self.now_ms + ms
         while self.now_ms < end_ms:
             self.now_ms = min(end_ms, self.now_ms + step_ms)
             self.do(Tick())
 
     def run(self, ms, every_ms, work_ms, result_of=None):
-        """Let requests arrive for a while.
+        """Add requests at a fixed interval for a period of time, and end those that are due.
 
-        `work_ms` gives the time that a request takes at an address, `result_of` how it ends there.
+        `work_ms` returns the time that a request takes at an address, and `result_of` the result of
+        an attempt there; without it every attempt is answered.
         """
         end_ms = self.now_ms + ms
         next_ms = self.now_ms
@@ -130,6 +133,6 @@
 
 
 def typical_work(seed=7):
-    """Return a function that gives the time of a request's work at an address."""
+    """Return a function that returns a random work time of a request at an address."""
     source = random.Random(seed)
     return lambda address: 20.0 * source.uniform(0.6, 1.4)
--- a/features/era_replay.py
+++ b/features/era_replay.py
@@ -1,4 +1,9 @@
-"""A store that comes back from older copies, replayed without sockets for some gateways."""
+"""Replays, without sockets, a store that is restored from older copies while gateways use it.
+
+Some gateways read the store and the others get the state from a peer.  The replay checks that a
+gateway that has seen the removal of an endpoint stops using it after the grace period, which an
+expiry of other entries within `EXPIRY_WINDOW_MS` may extend.
+"""
 
 import random
 import zlib
@@ -14,20 +19,25 @@
 
 GRACE_PERIOD_MS = 2_400.0
 EXPIRY_WINDOW_MS = 1_000.0
-"""Entries that vanish within this time of each other are held together."""
+"""Entries that vanish within this time of each other share the end of their grace period."""
 REPLAY_MS = 30_000
-UNCHANGED_MS = 6_000
+SETTLE_MS = 6_000
 REPORT_MS = 1_500
 
 
 def usable(registry, name):
-    """Return whether requests may go to a backend server."""
+    """Return whether a registry allows requests to be sent to a backend server."""
     found = registry.of_service(fleet.SERVICE)
     return any(item.name == name and not item.draining for item in found)
 
 
 class StoreRestoreReplay:
-    """A store with endpoints that come, report and leave, and gateways that learn of them."""
+    """A store to which endpoints are added and removed, and the gateways that follow it.
+
+    The first two gateways read the store; the others get the state from a random gateway.
+    `violations` holds a gateway's index, an endpoint, when the gateway first saw it removed, and
+    when the gateway still used it.
+    """
 
     def __init__(self, vms, seed):
         self.random = random.Random(seed)
@@ -42,10 +52,10 @@
         self.violations = []
 
     def play(self):
-        """Play until the store has been quiet for a while."""
+        """Run the replay; in the last `SETTLE_MS` entries are only renewed or expire."""
         while self.now_ms < REPLAY_MS:
             self.now_ms += 100.0
-            quiet = self.now_ms > REPLAY_MS - UNCHANGED_MS
+            quiet = self.now_ms > REPLAY_MS - SETTLE_MS
             if not quiet:
                 self._change()
             self._report()
@@ -67,7 +77,7 @@
             self.store.restore_older_copy({Feed.SERVERS: self.random.randrange(30)})
 
     def live(self):
-        """Return the names of the endpoints that have not left."""
+        """Return the names of the endpoints that have not been removed."""
         return [name for name in self.sequence if name not in self.left]
 
     def _write(self, name, draining=False):
@@ -81,7 +91,7 @@
                 self._write(name)
 
     def _expire(self):
-        """Drop entries of those that left, as nobody renews them."""
+        """Remove entries of endpoints that have left, at random times, as nothing renews them."""
         newest = {record.name: record.server for record in self.store.log[Feed.SERVERS]}
         for name in self.left:
             if newest.get(name) is not None and not self.random.randrange(45):
--- a/features/gateway_crowd.py
+++ b/features/gateway_crowd.py
@@ -1,4 +1,4 @@
-"""VMs that know each other, without sockets and on a clock of their own."""
+"""Simulated VMs that have each other as members, without sockets and on a simulated clock."""
 
 from cloverhook.clock import monotonic_ms
 from cloverhook.gateway.counters import Counters
@@ -15,13 +15,13 @@
 
 
 def heartbeat(name, data_center=LOCAL):
-    """Return a ready VM's sign of life."""
+    """Return the heartbeat of a ready VM."""
     addresses = f"{name}:1", f"{name}:2"
     return Heartbeat(name, 1, data_center, *addresses, True, False, False, 1, 1)
 
 
 def members_of(own, names, now_ms=0.0, data_center=LOCAL):
-    """Return what a VM knows of others that it has just heard."""
+    """Return the member table of a VM that has just received heartbeats of the others."""
     members = Members(own, LOCAL, now_ms)
     for name in names:
         if name != own:
@@ -30,18 +30,21 @@
 
 
 class RecordingLink:
-    """Stands in for the sockets and keeps what was sent."""
+    """A test double of the peer link that records the datagrams sent."""
 
     def __init__(self):
         self.sent = []
 
     def send_encoded(self, address, data):
-        """Keep a datagram."""
+        """Record a datagram."""
         self.sent.append((address, data))
 
 
 def peering_of(name, names, data_center=LOCAL):
-    """Return a VM's talk with others that it has just heard, and the wire that it sends on."""
+    """Return the peering of a VM that has just received heartbeats of the others.
+
+    Its `link` records what it sends.
+    """
     own = Identity(name, 1, data_center, f"{name}:1", f"{name}:2")
     members = Members(name, data_center, 0.0)
     for other in names:
@@ -55,16 +58,20 @@
 
 
 def start_large_data_centers(context, count):
-    """Let two data centres of so many VMs know each other."""
+    """Create two data centres of `count` VMs each, in which all VMs have each other as members."""
     context.peerings = {}
     hosts = {LOCAL: LOCAL_HOSTS, REMOTE: REMOTE_HOSTS}
-    names = {f"{hosts[place]}{number}": place for place in hosts for number in range(count)}
-    for name, place in names.items():
-        own = Identity(name, 1, place, f"{name}:1", f"{name}:2")
-        members = Members(name, place, 0.0)
-        for other, where in names.items():
+    names = {
+        f"{hosts[vm_data_center]}{number}": vm_data_center
+        for vm_data_center in hosts
+        for number in range(count)
+    }
+    for name, vm_data_center in names.items():
+        own = Identity(name, 1, vm_data_center, f"{name}:1", f"{name}:2")
+        members = Members(name, vm_data_center, 0.0)
+        for other, other_data_center in names.items():
             if other != name:
-                members.record_heartbeat(heartbeat(other, where), 0.0)
+                members.record_heartbeat(heartbeat(other, other_data_center), 0.0)
         peering = Peering(
             own, GatewayState(), members, EventLog(name, len), None, lambda: None, Counters()
         )
@@ -75,8 +82,8 @@
 
 
 def advance_time(context, duration_ms):
-    """Let time pass; return how many datagrams each VM got."""
-    got = dict.fromkeys(context.peerings, 0)
+    """Advance the clock and deliver datagrams; return how many datagrams each VM received."""
+    received = dict.fromkeys(context.peerings, 0)
     end_ms = context.now_ms + duration_ms
     while context.now_ms < end_ms:
         context.now_ms += 50.0
@@ -88,13 +95,13 @@
                 for address, data in sent:
                     if address not in context.peerings:
                         continue
-                    got[address] += 1
+                    received[address] += 1
                     deliver(context.peerings[address], decode(data), context.now_ms)
-    return got
+    return received
 
 
 def deliver(peering, message, now_ms):
-    """Hand a message to a VM, on the scenario's clock."""
+    """Deliver a message to a VM at a time of the scenario's clock."""
     if isinstance(message, Relay):
         peering.broadcast.relay(message, now_ms)
         message = decode(message.data)
@@ -102,7 +109,7 @@
 
 
 def addresses_for_callers(context):
-    """Return what each VM of a crowd tells callers, by its name and data centre."""
+    """Return the addresses that each VM gives to callers, by data centre and name of the VM."""
     found = {}
     for peering in context.peerings.values():
         members, own = peering._members, peering._identity
--- a/features/gateway_fleet.py
+++ b/features/gateway_fleet.py
@@ -1,4 +1,4 @@
-"""Gateways in the scenario's own process, with a store in memory and scripted backend servers."""
+"""Gateways in the scenario's own process, with an in-memory store and scripted backend servers."""
 
 import asyncio
 import contextlib
@@ -36,37 +36,40 @@
 FIRST_PORT = 10_000
 PORTS_PER_BLOCK = 1_000
 BLOCK_COUNT = 22
-"""All below the range that the kernel takes the ports of outgoing connections from."""
+"""All blocks lie below the range from which the kernel takes the ports of outgoing connections."""
 LOCK_SOCKETS = []
 PORT_CYCLES = []
 FLEET_ID = f"127.0.0.1:{random.SystemRandom().randrange(1, 65_536)}"
-"""Runs side by side may get each other's ports; this tells their fleets apart."""
+"""The store address of this run.  Test runs at the same time may get each other's ports; the store
+address, which differs between runs, distinguishes their fleets."""
 
 
 def reserve_ports():
-    """Return the ports that this process alone gives away, until it ends.
+    """Return an endless iterator over ports that are reserved for this process until it ends.
 
-    Runs side by side each hold a block of them: a port that is free now may else be taken by
-    another run before its listener starts.
+    Each of several test runs at the same time holds a block of ports, locked by a socket that is
+    bound to the block's lock port.  Otherwise a port that is free now could be taken by another run
+    before its listener starts.
     """
     for block in random.SystemRandom().sample(range(BLOCK_COUNT), BLOCK_COUNT):
-        mark = socket.socket()
+        lock = socket.socket()
         try:
-            mark.bind(("127.0.0.1", FIRST_LOCK_PORT + block))
+            lock.bind(("127.0.0.1", FIRST_LOCK_PORT + block))
         except OSError:
-            mark.close()
+            lock.close()
             continue
-        LOCK_SOCKETS.append(mark)
+        LOCK_SOCKETS.append(lock)
         first = FIRST_PORT + block * PORTS_PER_BLOCK
         return itertools.cycle(range(first, first + PORTS_PER_BLOCK))
-    raise OSError("every block of ports is held by another run")
+    raise OSError("every block of ports is reserved by another run")
 
 
 def free_address():
-    """Return an address on loopback that nobody listens on.
+    """Return a loopback address on which no socket listens.
 
-    Its port is not one that the kernel gives to outgoing connections: one of those could take it
-    before its listener starts, or while a gateway is down between two starts.
+    Its port is outside the range that the kernel uses for outgoing connections, because such a
+    connection could take the port before the listener starts, or while a gateway is down between
+    two starts.
     """
     if not PORT_CYCLES:
         PORT_CYCLES.append(reserve_ports())
@@ -82,7 +85,7 @@
 
 
 def route(name, prefix, idempotent, **fields):
-    """Return a route to the usual service."""
+    """Return a route to the default service."""
     parts = fields.pop("parts", (WeightedService(SERVICE, 1),))
     host = fields.pop("host", HOST)
     fields = {"timeout_ms": 2_000.0, "aim_ms": 1_000.0, "attempts": 2, **fields}
@@ -90,7 +93,7 @@
 
 
 def config(version=1, *routes):
-    """Return a configuration with the two usual routes and further ones."""
+    """Return a configuration with the two default routes and these further ones."""
     usual = (route("read", SAFE, True), route("write", UNSAFE, False))
     services = (ServiceSpec(SERVICE), ServiceSpec("menus"))
     return GatewayConfig.of(version, usual + routes, services, IngressLimits())
@@ -98,7 +101,11 @@
 
 @dataclass
 class Backend:
-    """A scripted backend server; `script` says what becomes of each request in turn."""
+    """A scripted backend server.
+
+    `script` holds the outcome of each request in order; `default` applies when it is empty.  `cut`
+    counts the connections that the gateway has closed while a request got no answer.
+    """
 
     incarnation: str
     service: str = SERVICE
@@ -123,7 +130,7 @@
     on_request: Callable[["Backend", bytes], None] | None = None
 
     async def start(self, context):
-        """Listen until the scenario ends."""
+        """Listen on a free port until the scenario ends."""
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         self.listener = server
@@ -131,11 +138,11 @@
         return self
 
     async def crash(self):
-        """Break off all connections and listen no more."""
+        """Drop all connections and stop listening."""
         await self._close(self.listener)
 
     async def restart(self, context, incarnation):
-        """Listen again at the same address, as another incarnation."""
+        """Listen again at the same address, as a new incarnation."""
         host, _, port = self.address.rpartition(":")
         self.incarnation = incarnation
         self.listener = await asyncio.start_server(self._serve, host, int(port))
@@ -149,7 +156,7 @@
             await asyncio.wait(self.tasks)
 
     def entry(self, **fields):
-        """Return the registry's entry."""
+        """Return the backend server's registry entry, with these fields replaced."""
         entry = BackendServer(self.incarnation, self.service, self.address, DATA_CENTER, SLOTS)
         return replace(entry, **fields)
 
@@ -184,48 +191,48 @@
         if wanted != self.incarnation:
             self._write(writer, 421, b"")
             return True
-        what = self.script.pop(0) if self.script else self.default
-        return await self._answer(what, headers[self.names.request_id], reader, writer)
+        outcome = self.script.pop(0) if self.script else self.default
+        return await self._answer(outcome, headers[self.names.request_id], reader, writer)
 
-    async def _answer(self, what, request_id, reader, writer):
-        if what == "reject":
+    async def _answer(self, outcome, request_id, reader, writer):
+        if outcome == "reject":
             self._write(writer, 503, b"", request_id, not_run=True)
             return True
-        if what == "hang":
+        if outcome == "hang":
             await reader.read()
             return False
-        if what == "reset-unread":
+        if outcome == "reset-unread":
             writer.transport.abort()
             return False
         self.ran.append(request_id)
-        if what == "silent":
+        if outcome == "silent":
             self.cut += not await reader.read(1)
             return False
         if self.work_ms:
             await asyncio.sleep(self.work_ms / 1000)
-        if what == "reset":
+        if outcome == "reset":
             writer.transport.abort()
             return False
-        if what == "foreign":
+        if outcome == "foreign":
             self._write(writer, 200, b"not yours", b"another-request")
-        if what == "half":
+        if outcome == "half":
             head = self._head(200, 100, request_id)
             writer.write(head + b"half")
             await writer.drain()
             return False
-        if what in ("unframed", "unframed-reset"):
+        if outcome in ("unframed", "unframed-reset"):
             head = self._head(200, None, request_id)
             writer.write(head + b"body of no length")
             await writer.drain()
-            if what == "unframed-reset":
+            if outcome == "unframed-reset":
                 await asyncio.sleep(0.05)
                 linger = b"\x01\x00\x00\x00\x00\x00\x00\x00"
                 sock = writer.get_extra_info("socket")
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
                 writer.transport.abort()
             return False
-        status = {"error": 500, "no-receipt": 200}.get(what, 200)
-        receipt = what != "no-receipt"
+        status = {"error": 500, "no-receipt": 200}.get(outcome, 200)
+        receipt = outcome != "no-receipt"
         self._write(writer, status, self.incarnation.encode(), request_id, receipt=receipt)
         return True
 
@@ -253,12 +260,12 @@
 
 
 def answer_directory(request, addresses, lifetime_ms):
-    """Answer in a form that the tests read."""
+    """Return the addresses as the comma-separated body that the tests read."""
     return CallerAnswer(200, [], ",".join(addresses).encode())
 
 
 def gateway_settings(name, **fields):
-    """Return settings with free addresses."""
+    """Return the settings of a gateway, with free addresses and these fields replaced."""
     return GatewaySettings(
         **{
             "vm": name,
@@ -275,7 +282,7 @@
 
 
 async def start_gateway(context, name="vm-1", store=None, write_log=len, **fields):
-    """Start a gateway that ends with the scenario."""
+    """Start a gateway that is stopped after the scenario; return it and its settings."""
     settings = gateway_settings(name, **fields)
     gateway = Gateway(settings, store or context.store, NAMES, answer_directory, write_log)
     await gateway.start()
@@ -284,7 +291,7 @@
 
 
 async def stop_gateway(gateway):
-    """End a gateway at once."""
+    """Stop a gateway immediately, without a planned shutdown."""
     gateway._stopped.set()
     gateway._caller_ingress.close_listener()
     gateway._readiness_ingress.close_listener()
@@ -293,7 +300,7 @@
 
 
 async def start_fleet(context, backends, gateways=1, **fields):
-    """Start a store, backend servers and gateways, and wait until all are ready."""
+    """Start a store, backend servers and gateways, and wait until all gateways are ready."""
     context.store = MemoryStore()
     context.backends = [await Backend(f"i-{index}").start(context) for index in range(backends)]
     context.store.put_config(config())
@@ -310,7 +317,7 @@
 
 
 async def until(condition):
-    """Wait until something holds."""
+    """Wait until a condition holds; raise `TimeoutError` after `WAIT_S` seconds."""
     async with asyncio.timeout(WAIT_S):
         while not condition():
             await asyncio.sleep(0.01)
@@ -318,7 +325,7 @@
 
 @dataclass
 class Answer:
-    """A caller's view of an answer."""
+    """An answer as a caller received it; `whole` tells whether it is complete."""
 
     status: int
     headers: dict
@@ -327,7 +334,7 @@
 
 
 async def call(address, path=SAFE, method="GET", request_id="r-1", timeout_ms=2_000, **fields):
-    """Send one request on a connection of its own and read until its end."""
+    """Send one request on a new connection, read until that ends, and return the answer."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     body = fields.get("body", b"")
--- a/features/gateway_soak.py
+++ b/features/gateway_soak.py
@@ -1,11 +1,11 @@
-"""A randomized soak: real gateway processes, callers that never rest, and faults from outside.
-
-`python -m features.gateway_soak FIRST COUNT` plays so many seeds.  Each starts gateways as
-processes of their own before the stand-in of the users' store and scripted backend servers, and
-brings about faults in series and overlapping: processes killed, paused, stopped and restarted by
-signals, the store silent, refusing, forgetful, backend servers that fail, drain, vanish or give
-their address to another incarnation, configurations that follow each other.  What is checked holds
-at any speed of the machine, so a busy one changes no verdict.
+"""A randomized soak test: real gateway processes, continuous calls, and injected faults.
+
+`python -m features.gateway_soak FIRST COUNT` runs `COUNT` seeds from `FIRST` on.  Each run starts
+gateways as separate processes, a stand-in for the users' store, and scripted backend servers.  It
+injects faults one after the other, and several may overlap: processes are killed, paused, stopped
+and restarted by signals; the store does not answer, rejects requests or loses its history; backend
+servers fail, drain, vanish or pass their address to another incarnation; configurations follow each
+other.  The checks hold at any speed of the machine, so a busy machine does not change the result.
 """
 
 import asyncio
@@ -39,7 +39,8 @@
 RECOVERY_TIMEOUT_S = 60
 FIRST_SEED_WITH_ENTRIES = 1_000
 FIRST_SEED_WITH_ERAS = 2_000
-"""Earlier seeds keep the faults that they had when they failed."""
+"""Seeds below these numbers keep the same choice of faults, so that a seed that once failed still
+reproduces its failure."""
 BORN_MS = 1_760_000_000_000
 INVALID_ENTRIES = (b"{}", b"\xff\x00", b"[" * 5_000, b'{"service": 7}', b"null")
 FAILING = ("reject", "reset", "error", "silent", "half", "foreign", "unframed-reset")
@@ -47,7 +48,10 @@
 
 @dataclass
 class GatewayProcess:
-    """A gateway's place: the process in it changes."""
+    """A gateway with fixed addresses, whose process is replaced when it ends.
+
+    `disturbed` marks a process that was killed or paused, `stopping` one in planned shutdown.
+    """
 
     name: str
     addresses: dict
@@ -58,12 +62,12 @@
 
     @property
     def alive(self):
-        """Return whether a process is there."""
+        """Return whether the process is running."""
         return self.process is not None and self.process.returncode is None
 
 
 def handles_stop(pid):
-    """Return whether a process has a handler for the signal of a planned stop at this moment."""
+    """Return whether a process currently has a handler for the signal of a planned shutdown."""
     status = Path(f"/proc/{pid}/status").read_text()
     caught = next(line for line in status.splitlines() if line.startswith("SigCgt:"))
     return bool(int(caught.split()[1], 16) & 1 << signal.SIGTERM - 1)
@@ -71,7 +75,7 @@
 
 @dataclass
 class Call:
-    """What a caller sent, where, and what it got."""
+    """A caller's request, the gateway process that it was sent to, and the answer."""
 
     request_id: str
     idempotent: bool
@@ -82,7 +86,7 @@
 
 @dataclass
 class Soak:
-    """One seed's run."""
+    """The run of one seed."""
 
     seed: int
     folder: Path
@@ -101,7 +105,7 @@
     number: int = 0
 
     async def play(self):
-        """Play the seed and return what was found wrong."""
+        """Run the seed and return the violations found."""
         self.source = random.Random(self.seed)
         self.store_address = fleet.free_address()
         await self.store.listen(self.store_address)
@@ -126,7 +130,7 @@
         await asyncio.sleep(0.3)
         return self.find_violations()
 
-    # The deployment.
+    # Deployment.
 
     def _configure_gateway(self, name):
         addresses = {
@@ -145,7 +149,7 @@
         return GatewayProcess(name, addresses)
 
     async def start(self, gateway):
-        """Start a process in a gateway's place."""
+        """Start a new process of a gateway."""
         log = (self.folder / f"{gateway.name}.log").open("ab")
         environment = {
             **os.environ,
@@ -159,7 +163,7 @@
         gateway.start_count += 1
 
     async def end_all(self):
-        """End what the soak started, by its own process objects."""
+        """Kill the processes that the soak has started, by its own process objects."""
         for gateway in self.gateways:
             if gateway.alive:
                 gateway.process.kill()
@@ -174,7 +178,7 @@
         return backend
 
     def put(self, backend, state="ready"):
-        """Write a backend server's entry."""
+        """Write a backend server's entry to the store."""
         entry = {
             "service": fleet.SERVICE,
             "address": backend.address,
@@ -190,7 +194,7 @@
         self.store.put(topic, backend.incarnation, json.dumps(entry).encode())
 
     def put_config(self):
-        """Write the next version of the configuration."""
+        """Write the next version of the configuration to the store."""
         self.version += self.source.randrange(1, 4)
         routes = [
             {
@@ -226,16 +230,16 @@
     # Callers.
 
     async def caller(self, index):
-        """Ask for addresses now and then, and call without rest."""
+        """Send calls continuously, and request the addresses again before every fifth one."""
         addresses, count = [], 0
         source = random.Random(f"{self.seed}-{index}")
         while True:
             if not addresses or count % 5 == 0:
                 addresses = await self.look_up(source) or addresses
             count += 1
-            place = source.choice(addresses) if addresses else None
+            address = source.choice(addresses) if addresses else None
             gateway = next(
-                (x for x in self.gateways if x.addresses["caller_address"] == place), None
+                (x for x in self.gateways if x.addresses["caller_address"] == address), None
             )
             if gateway is None:
                 await asyncio.sleep(0.02)
@@ -244,7 +248,7 @@
             await asyncio.sleep(0.01)
 
     async def look_up(self, source):
-        """Return what a gateway names."""
+        """Return the addresses that a random gateway gives to callers, or none if that fails."""
         gateway = source.choice(self.gateways)
         with contextlib.suppress(OSError, ValueError, TimeoutError):
             async with asyncio.timeout(2):
@@ -254,9 +258,9 @@
         return []
 
     async def call(self, gateway, request_id, idempotent):
-        """Send a request and keep what comes back."""
-        made = Call(request_id, idempotent, gateway, gateway.start_count)
-        self.calls.append(made)
+        """Send a request, and record and return the answer."""
+        record = Call(request_id, idempotent, gateway, gateway.start_count)
+        self.calls.append(record)
         path = fleet.SAFE if idempotent else fleet.UNSAFE
         lines = (
             f"{HEADERS.request_id.decode()}: {request_id}",
@@ -266,13 +270,13 @@
         method, body = ("GET", b"") if idempotent else ("POST", b"pay")
         with contextlib.suppress(OSError, TimeoutError):
             async with asyncio.timeout(10):
-                made.answer = await fleet.call(address, path, method, lines=lines, body=body)
-        return made.answer
+                record.answer = await fleet.call(address, path, method, lines=lines, body=body)
+        return record.answer
 
     # Faults.
 
     async def fault(self):
-        """Bring about one fault; many outlast the step."""
+        """Inject one random fault; many last longer than the step."""
         kinds = (
             self.kill,
             self.pause,
@@ -299,7 +303,7 @@
         return self.source.choice(alive) if len(alive) > 1 else None
 
     async def kill(self):
-        """Kill a gateway and start another process in its place."""
+        """Kill a gateway process and start another one for it."""
         gateway = self._running()
         if gateway is not None:
             gateway.disturbed = True
@@ -309,7 +313,7 @@
                 await self.start(gateway)
 
     async def pause(self):
-        """Let a gateway stand still for a while."""
+        """Pause a gateway process for a while."""
         gateway = self._running()
         if gateway is not None:
             gateway.disturbed = True
@@ -322,7 +326,7 @@
             process.send_signal(signal.SIGCONT)
 
     async def stop_planned(self):
-        """Stop a gateway as planned; another process takes its place when it has ended."""
+        """Start a planned shutdown of a gateway; a new process starts once the old has ended."""
         gateway = self._running()
         if gateway is not None and not gateway.stopping:
             gateway.stopping = True
@@ -336,19 +340,19 @@
         disturbed = gateway.disturbed
         await self.start(gateway)
         if disturbed or not code or (code == -signal.SIGTERM and not handled):
-            return ""  # Before it has a handler a process serves nobody, so nothing was cut.
+            return ""  # A process without a handler serves no requests yet, so none was cut off.
         return (
-            f"{code}; it {'handled' if handled else 'did not handle yet'} the signal when it came"
+            f"{code}; it {'had' if handled else 'did not have'} a handler when the signal was sent"
         )
 
     async def hang_up(self):
-        """Tell a gateway that its settings may have changed."""
+        """Signal a gateway that its settings may have changed."""
         gateway = self._running()
         if gateway is not None:
             gateway.process.send_signal(signal.SIGHUP)
 
     async def store_trouble(self):
-        """Let the store refuse, be silent or slow for a while."""
+        """Make the store reject requests, not answer them or answer slowly for a while."""
         self.store.refuse_status = self.source.choice((0, 429, 503))
         self.store.silent = self.source.random() < 0.3
         self.store.delay_ms = self.source.choice((0, 300))
@@ -359,12 +363,15 @@
         self.store.refuse_status, self.store.silent, self.store.delay_ms = 0, False, 0
 
     async def store_forgets(self):
-        """Drop the store's history."""
+        """Make the store lose its history."""
         for topic in self.store.topics.values():
             topic.forget()
 
     async def store_restored(self):
-        """Let the store be away and come back from an older copy; what was written is again."""
+        """Make the store unavailable for a while, and restore it from an older copy.
+
+        The configuration and the backend servers' entries are written again afterwards.
+        """
         away_s = self.source.uniform(0.1, 1.0)
         lost = {topic: self.source.randrange(12) for topic in self.store.topics}
         self.store.refuse_status = 503
@@ -380,27 +387,27 @@
             self.put(backend)
 
     async def backend_trouble(self):
-        """Let a backend server fail some requests, or all for a while."""
+        """Make a backend server fail its next requests, up to seven."""
         backend = self.source.choice(self.backends)
-        what = self.source.choice(FAILING)
-        backend.script = [what] * self.source.randrange(1, 8)
+        outcome = self.source.choice(FAILING)
+        backend.script = [outcome] * self.source.randrange(1, 8)
 
     async def backend_drains(self):
-        """Let one drain and end, after another has come."""
+        """Add a backend server, and let the oldest one drain and leave."""
         backend = self.backends.pop(0)
         await self.add_backend()
         self.put(backend, "draining")
         self.stopped_backends.append(backend)
 
     async def backend_vanishes(self):
-        """Let an entry vanish and come back, as after a lapse."""
+        """Remove an entry and write it again, as if it had expired in between."""
         backend = self.source.choice(self.backends)
         topic = TOPICS[next(feed for feed in TOPICS if feed.value == "servers")]
         self.store.put(topic, backend.incarnation)
         asyncio.get_running_loop().call_later(self.source.uniform(0.1, 1.5), self.put, backend)
 
     async def address_reused(self):
-        """Let another incarnation have an address; the old entry stays for a while."""
+        """Let a new incarnation take over an address; the old entry remains for a while."""
         backend = self.source.choice(self.backends)
         self.number += 1
         before, backend.incarnation = backend.incarnation, f"i-{self.number}"
@@ -410,17 +417,17 @@
         loop.call_later(self.source.uniform(0.0, 1.0), self.store.put, topic, before)
 
     async def backend_restarts(self):
-        """Crash a backend server with what it runs and start it again under its name."""
+        """Crash a backend server with its running requests, and start another one of that name."""
         backend = self.source.choice(self.backends)
         await backend.crash()
         self.stopped_backends.append(backend)
-        reborn = fleet.Backend(backend.incarnation, names=HEADERS)
-        reborn.born_ms = backend.born_ms + 1_000 or BORN_MS
-        self.backends[self.backends.index(backend)] = await reborn.start(self)
-        asyncio.get_running_loop().call_later(self.source.uniform(0.0, 0.8), self.put, reborn)
+        replacement = fleet.Backend(backend.incarnation, names=HEADERS)
+        replacement.born_ms = backend.born_ms + 1_000 or BORN_MS
+        self.backends[self.backends.index(backend)] = await replacement.start(self)
+        asyncio.get_running_loop().call_later(self.source.uniform(0.0, 0.8), self.put, replacement)
 
     async def foreign_entry(self):
-        """Let another writer put something else, half the time under a sound entry's key."""
+        """Write an invalid entry, as from another writer, half the time under a valid key."""
         topic = TOPICS[next(feed for feed in TOPICS if feed.value == "servers")]
         backend = self.source.choice(self.backends)
         key = self.source.choice((backend.incarnation, "i-foreign"))
@@ -430,19 +437,19 @@
             loop.call_later(self.source.uniform(0.1, 1.5), self.put, backend)
 
     async def backend_hangs(self):
-        """Let requests hang at a backend server, with all that follows on their connections."""
+        """Make requests hang at a backend server, and all later ones on their connections."""
         backend = self.source.choice(self.backends)
         backend.script = ["hang"] * self.source.randrange(1, 4)
 
     async def change_config(self):
-        """Write further versions."""
+        """Write one to three further versions of the configuration."""
         for _ in range(self.source.randrange(1, 4)):
             self.put_config()
 
-    # The end.
+    # Recovery and verdict.
 
     async def end_faults(self):
-        """End all faults."""
+        """End all faults, and wait until every gateway has a process."""
         self._repair_store()
         for backend in self.backends:
             backend.script, backend.default = [], "ok"
@@ -455,7 +462,7 @@
                 await self.start(gateway)
 
     async def wait_until_served(self):
-        """Wait until every gateway serves."""
+        """Wait until every gateway answers a call with 200."""
         async with asyncio.timeout(RECOVERY_TIMEOUT_S):
             for gateway in self.gateways:
                 count = 0
@@ -468,13 +475,13 @@
                     await asyncio.sleep(0.05)
 
     def find_violations(self):
-        """Return every promise that was broken."""
+        """Return a description of each guarantee that was violated."""
         runs = {}
         for backend in (*self.backends, *self.stopped_backends):
             for request_id in backend.ran:
                 runs[request_id.decode()] = runs.get(request_id.decode(), 0) + 1
         found = [
-            f"a planned stop ended with {task.result()}"
+            f"a planned shutdown ended with exit code {task.result()}"
             for task in self.planned_stops
             if task.result()
         ]
@@ -485,24 +492,24 @@
     def _call_violations(self, call, runs):
         answer = call.answer
         if not call.idempotent and runs > 1:
-            yield f"{call.request_id} may run once and ran {runs} times"
+            yield f"{call.request_id} is not idempotent but ran {runs} times"
         if call.idempotent and runs > ATTEMPTS:
-            yield f"{call.request_id} ran {runs} times"
+            yield f"{call.request_id} ran {runs} times, more often than its attempts allow"
         if answer is None or not answer.status:
             return
         if not call.idempotent and runs and answer.status in NOT_RUN_STATUSES:
-            yield f"{call.request_id} ran and was told {answer.status}"
+            yield f"{call.request_id} ran but was answered {answer.status}, which means not run"
         if answer.status == 200 and answer.whole:
             if answer.headers.get(HEADERS.request_id.decode()) != call.request_id:
-                yield f"{call.request_id} got another request's answer"
+                yield f"{call.request_id} received another request's answer"
             if HEADERS.receipt.decode() not in answer.headers:
-                yield f"{call.request_id} got a success without a receipt"
+                yield f"{call.request_id} was answered 200 without a receipt"
             if not runs:
-                yield f"{call.request_id} got a success and has not run"
+                yield f"{call.request_id} was answered 200 but has not run"
 
 
 async def play(seed, size=GATEWAYS):
-    """Play one seed with so many gateways; return what was wrong, and the run."""
+    """Run one seed with `size` gateways; return the violations and the run."""
     async with AsyncExitStack() as stack:
         folder = Path(stack.enter_context(tempfile.TemporaryDirectory(prefix="cloverhook-soak-")))
         context = SimpleNamespace(stack=stack)
@@ -510,26 +517,28 @@
         try:
             wrong = await soak.play()
         except TimeoutError:
-            wrong = [f"not every gateway served within {RECOVERY_TIMEOUT_S} s of calm"]
+            wrong = [f"not every gateway served within {RECOVERY_TIMEOUT_S} s without faults"]
             wrong += [f"{item.name}: {item.process.returncode}" for item in soak.gateways]
         return [*wrong, *log_faults(folder)], soak
 
 
 def log_faults(folder):
-    """Return what the gateways' logs say of faults; the last line of a trace tells the most."""
+    """Yield the faults in the gateways' logs, last line first: a traceback ends with its cause."""
     for log in sorted(folder.glob("*.log")):
         lines = log.read_text(errors="replace").splitlines()
-        strange = [item for item in lines if not item.startswith("{") or '"kind":"fault"' in item]
-        yield from (f"{log.name}: {line}" for line in reversed(strange))
+        fault_lines = [
+            item for item in lines if not item.startswith("{") or '"kind":"fault"' in item
+        ]
+        yield from (f"{log.name}: {line}" for line in reversed(fault_lines))
 
 
 def main(arguments):
-    """Play the seeds that the arguments name and return the exit code.
+    """Run the seeds given by the arguments and return the exit code.
 
-    They are the first seed, how many to play, and how many gateways to play them with.
+    The arguments are the first seed, the number of seeds, and the number of gateways.
     """
     first, count, size = (int(item) for item in (*arguments, GATEWAYS)[:3])
-    bad = 0
+    failed = 0
     for seed in range(first, first + count):
         wrong, soak = asyncio.run(play(seed, size))
         answered = sum(1 for x in soak.calls if x.answer is not None and x.answer.status == 200)
@@ -537,9 +546,9 @@
         print(f"  faults: {' '.join(soak.faults)}")
         for item in wrong[:10]:
             print(f"  WRONG: {item}")
-        bad += bool(wrong)
-    print(f"{count - bad} seeds kept all promises, {bad} did not", flush=True)
-    return 1 if bad else 0
+        failed += bool(wrong)
+    print(f"{count - failed} seeds kept all promises, {failed} did not", flush=True)
+    return 1 if failed else 0
 
 
 if __name__ == "__main__":
--- a/features/http_peers.py
+++ b/features/http_peers.py
@@ -1,4 +1,4 @@
-"""Raw callers and scripted backend servers, so that each odd byte on the wire is exact."""
+"""Raw callers and scripted backend servers, which control every byte on the wire."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -12,30 +12,30 @@
 
 @dataclass(slots=True)
 class Reply:
-    """All that a caller read until the connection's end, and whether that end was a reset."""
+    """All bytes that a caller read until the connection ended, and whether a reset ended it."""
 
     data: bytes
     reset: bool = False
 
     @property
     def status(self) -> int:
-        """The first status in the reply, or 0."""
+        """The status of the first answer in the reply, or 0 if there is none."""
         return int(self.data.split(b" ", 2)[1]) if self.data.startswith(b"HTTP/1.1 ") else 0
 
     @property
     def body(self) -> bytes:
-        """What stands behind the first head."""
+        """Everything after the first head."""
         return self.data.partition(b"\r\n\r\n")[2]
 
     def header(self, name: bytes) -> list[bytes]:
-        """Return the values of a header of the first head."""
+        """Return the values of a header in the first head."""
         lines = self.data.partition(b"\r\n\r\n")[0].split(b"\r\n")[1:]
         pairs = [line.split(b": ", 1) for line in lines]
         return [value for key, value in pairs if key.lower() == name]
 
 
 def request(method, path, *headers, body=b"", host=HOST, close=True):
-    """Return a request as bytes; it asks for the connection to be closed after its answer."""
+    """Return a request as bytes; if `close`, it asks to close the connection after the answer."""
     lines = [f"{method} {path} HTTP/1.1".encode()]
     if host:
         lines.append(b"Host: " + host.encode())
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True)
 class Received:
-    """A request as a backend server read it."""
+    """A request as a backend server read it; `disconnected` is set when its connection ends."""
 
     target: str
     head: bytes
@@ -89,9 +89,11 @@
 
 
 class ScriptedBackend:
-    """A backend server whose answer to a path is a function of this class or plain bytes.
+    """A backend server whose answer to each path is either plain bytes or a function.
 
-    It waits before it reads the body of a request whose path starts with `SLOW_PATH`.
+    Such functions are the static methods of this class and the results of `then_cut`, `then_hang`
+    and `by_attempt`.  A path without an answer gets that of `echo`.  The server waits for `SLOW_S`
+    before it reads the body of a request whose path starts with `SLOW_PATH`.
     """
 
     def __init__(self, answers=None):
@@ -110,11 +112,11 @@
         self._server.close()
 
     def ran(self, target):
-        """Return the requests for a target."""
+        """Return the requests received for a target."""
         return [item for item in self.received if item.target == target]
 
     async def wait_for(self, target, count=1):
-        """Wait until a target was asked for `count` times and return its last request."""
+        """Wait until `count` requests for a target have arrived and return the last one."""
         async with asyncio.timeout(READ_TIMEOUT_S), self.arrived:
             await self.arrived.wait_for(lambda: len(self.ran(target)) >= count)
         return self.ran(target)[-1]
@@ -143,7 +145,7 @@
         lower = item.head.lower()
         if b"\r\ntransfer-encoding: chunked" in lower:
             while size := int(await reader.readuntil(b"\r\n"), 16):
-                self._take(item, (await reader.readexactly(size + 2))[:-2])
+                self._record_body(item, (await reader.readexactly(size + 2))[:-2])
             await reader.readuntil(b"\r\n")
         elif b"\r\ncontent-length: " in lower:
             left = int(lower.partition(b"\r\ncontent-length: ")[2].partition(b"\r\n")[0])
@@ -151,10 +153,10 @@
                 part = await reader.read(min(left, 65_536))
                 if not part:
                     raise asyncio.IncompleteReadError(b"", left)
-                self._take(item, part)
+                self._record_body(item, part)
                 left -= len(part)
 
-    def _take(self, item, part):
+    def _record_body(self, item, part):
         item.body_bytes += len(part)
         if len(item.body) < 1_000:
             item.body += part
@@ -164,19 +166,19 @@
 
     @staticmethod
     async def echo(item, reader, writer):
-        """Answer with the head and the start of the body that came in."""
+        """Answer with the head and the start of the body of the request."""
         text = item.head + item.body
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(text), text))
         await writer.drain()
 
     @staticmethod
     async def hang(item, reader, writer):
-        """Answer nothing until the other side closes."""
+        """Send no answer until the other side closes the connection."""
         await reader.readexactly(1)
 
     @staticmethod
     async def cut(item, reader, writer):
-        """Close the connection instead of an answer."""
+        """Close the connection instead of answering."""
         raise ConnectionError
 
     @staticmethod
@@ -191,7 +193,7 @@
 
 
 def then_cut(data):
-    """Return an answer that is cut after these bytes."""
+    """Return an answer that sends these bytes and then closes the connection."""
 
     async def answer(item, reader, writer):
         writer.write(data)
@@ -202,7 +204,7 @@
 
 
 def then_hang(data):
-    """Return an answer that falls silent after these bytes."""
+    """Return an answer that sends these bytes and then nothing more."""
 
     async def answer(item, reader, writer):
         writer.write(data)
@@ -212,7 +214,7 @@
 
 
 def by_attempt(*answers):
-    """Return an answer that differs from attempt to attempt of the same request."""
+    """Return an answer that uses the next one of `answers` for each attempt of the same request."""
     attempts = {}
 
     async def answer(item, reader, writer):
@@ -224,7 +226,7 @@
 
 
 async def play(answer, item, reader, writer):
-    """Give an answer, which is plain bytes or a function."""
+    """Send an answer, which is plain bytes or a function."""
     if callable(answer):
         await answer(item, reader, writer)
     else:
--- a/features/loaded_fleet.py
+++ b/features/loaded_fleet.py
@@ -1,6 +1,6 @@
-"""A small fleet of real processes under load, for the scenarios that bring failures about.
+"""A small fleet of real processes under load, for the scenarios that cause failures.
 
-The load runs on the scenario's loop while its steps run.  Callers ask for addresses, keep the
+The load runs on the scenario's event loop while its steps run.  Callers request addresses, keep the
 answer for its lifetime, and send reads and writes with and without an idempotency key.
 """
 
@@ -54,7 +54,7 @@
 
 
 class LoadedFleet:
-    """Daemons, backend servers in processes of their own, and a load that goes on."""
+    """Daemons and backend servers, each in its own process, under a continuous load."""
 
     def __init__(self, fleet: Fleet, session: aiohttp.ClientSession) -> None:
         self.fleet = fleet
@@ -76,7 +76,7 @@
         calls_per_s=CALLS_PER_S,
         measuring_ms_per_s=MEASURING_MS_PER_S,
     ):
-        """Start everything, publish the configuration and begin the load."""
+        """Start all processes, publish the configuration and start the load."""
         self.measuring_ms_per_s = measuring_ms_per_s
         names = [f"vm-{index}" for index in range(daemons)]
         await asyncio.gather(
@@ -90,12 +90,12 @@
         self._begin(calls_per_s)
 
     async def start_daemon(self, vm, **settings):
-        """Start a daemon whose data centre follows from its name's number."""
+        """Start a daemon; the number in its name determines its data centre."""
         number = int(vm.rpartition("-")[2])
         await self.fleet.start_daemon(vm, DATA_CENTERS[number % 3], drain_ms=5_000, **settings)
 
     async def publish(self, leaving=()):
-        """Publish the configuration, with some of the endpoints leaving."""
+        """Publish the configuration, with the endpoints in `leaving` marked as draining."""
         document = tomllib.loads(
             CONFIG.format(
                 brand=BRAND,
@@ -114,13 +114,13 @@
         assert result.settlement is Settlement.ACCEPTED, result
 
     async def until(self, condition):
-        """Wait until an asynchronous condition holds."""
+        """Wait until an asynchronous condition holds; raise `TimeoutError` after `WAIT_S` s."""
         async with asyncio.timeout(WAIT_S):
             while not await condition():
                 await asyncio.sleep(0.02)
 
     async def until_answered(self, count, matches=lambda record: True):
-        """Wait until so many more calls have been answered by a backend server."""
+        """Wait until `count` more calls have been answered by a backend server."""
         start = len(self.load.result.ends)
 
         async def enough():
@@ -133,7 +133,7 @@
             raise AssertionError(self._describe_calls(start)) from error
 
     def _describe_calls(self, start):
-        """Return how the calls since a number ended, and the last lines that each daemon wrote."""
+        """Return how the calls from index `start` on ended, and each daemon's last log lines."""
         ends = Counter(
             (end.method, bool(end.idempotency_key), end.address, end.status, end.error)
             for end in self.load.result.ends[start:]
@@ -145,22 +145,22 @@
         return "\n".join(lines)
 
     async def serves(self, vm):
-        """Return whether a daemon has the brand and every daemon hands its address out."""
+        """Return whether a daemon serves the brand, and all daemons give out its address."""
         for asked in self.fleet.daemons:
             if not await is_handed_out(self.session, self.fleet, vm, HOST, asked):
                 return False
         return True
 
     async def kill_daemon(self, vm):
-        """Kill a daemon for good."""
+        """Kill a daemon that will not be restarted."""
         await self.fleet.daemons.pop(vm).process.stop(signal.SIGKILL)
 
     async def replace_all(self):
-        """Replace the daemons one by one by planned stops and return their exit codes."""
+        """Replace the daemons one by one by planned shutdowns and return their exit codes."""
         return await replace_all(self.fleet, self.start_daemon, self.serves)
 
     async def write(self, vm, key):
-        """Send a write under a key to one daemon and keep what is told."""
+        """Send a write with an idempotency key to one daemon, and record and return the outcome."""
         request_id = uuid.uuid4().hex
         address = self.fleet.daemons[vm].caller_address
         headers = {
@@ -190,7 +190,7 @@
         return record
 
     async def end(self) -> tuple[invariants.Report, list[RunRecord]]:
-        """End the load and return the checker's report and what ran."""
+        """Stop the load; return the checker's report and the backend servers' run records."""
         self.load.stop()
         result = await self._running
         assert len(result.ends) == result.calls, (len(result.ends), result.calls)
@@ -201,7 +201,7 @@
         return invariants.check(ran, [*result.told, *self.write_records]), ran
 
     async def close(self):
-        """End what runs in this process."""
+        """Stop the load and the proxies, which run in this process."""
         if self._running is not None:
             self.load.stop()
             await asyncio.wait({self._running}, timeout=WAIT_S)
@@ -209,7 +209,7 @@
             await proxy.close()
 
     def backend(self, number) -> Process:
-        """Return a process of backend servers."""
+        """Return the process with this number that runs backend servers."""
         return self.fleet.backends[number]
 
     async def _start_backends(self, servers_each, proxied):
--- a/features/machine.py
+++ b/features/machine.py
@@ -1,8 +1,9 @@
-"""A state machine over the fold, snapshots and joins, with a log and a network that misbehave.
+"""A state machine over folds, snapshots and joins, with a faulty log and a faulty network.
 
 A few replicas follow one log.  Operators append changes on versions that may be old, and repeat
-them; messages between replicas are dropped, doubled, delayed and reordered; the log loses its head
-or starts over; replicas are replaced.  A reference folds the whole log in order.
+them.  Messages between replicas are dropped, duplicated, delayed and reordered.  The log loses its
+oldest records or starts over.  Replicas are replaced.  A reference state is computed by folding the
+whole log in order.
 """
 
 import json
@@ -32,10 +33,10 @@
 
 
 class Log:
-    """A log with retention that may start over."""
+    """A log that loses old records by retention and may start over."""
 
     def __init__(self):
-        """Start empty."""
+        """Create an empty log."""
         self.first_offset = 0
         self.records = []
 
@@ -45,25 +46,25 @@
         return self.first_offset + len(self.records)
 
     def read(self, offset):
-        """Return a page of records from an offset on."""
+        """Return a page of records that starts at an offset, or at the first record kept."""
         start = max(offset, self.first_offset)
         index = start - self.first_offset
         page = tuple(self.records[index : index + PAGE])
         return LogSlice(self.first_offset, self.next_offset, start, page)
 
     def truncate(self, count):
-        """Lose the first records."""
+        """Remove the first `count` records."""
         self.records = self.records[count:]
         self.first_offset += count
 
 
 class LogMachine(RuleBasedStateMachine):
-    """The replicas, the log, the messages under way and the reference."""
+    """The replicas, the log, the messages in transit and the reference state."""
 
     steps = 0
 
     def __init__(self):
-        """Start with an empty log and new replicas."""
+        """Create a log with one configuration of each brand, and new replicas."""
         super().__init__()
         self.log = Log()
         self.restarts = 0
@@ -79,11 +80,14 @@
             self.append_change(brand, 0, Publish(_document(brand, host)))
 
     def new_replica(self):
-        """Return a replica that checks each of its steps."""
+        """Return a replica whose state is checked after each record that it folds."""
         return Replica(lambda record, result: self.check(result.state))
 
     def check(self, state):
-        """Compare a state with the reference: a version of a brand is one change, everywhere."""
+        """Compare a state with the reference.
+
+        A version of a brand must be the same change in both, and no two brands may share a host.
+        """
         if not self.seeded:
             return
         for brand in (*state.brands, *state.removed):
@@ -94,19 +98,19 @@
         assert len(hosts) == len(set(hosts)), hosts
 
     def step(self, index=None):
-        """Count a step; return a replica and the versions that it must not lower."""
+        """Count a step; return the replica with this index, if one is given."""
         LogMachine.steps += 1
         return None if index is None else self.replicas[index]
 
     def append(self, data):
-        """Append a record, as JSON carries it, and fold it into the reference."""
+        """Append a record, converted to JSON and back, and fold it into the reference."""
         offset = self.log.next_offset
         self.log.records.append(json.loads(json.dumps(data)))
         if self.seeded:
             self.fold_reference(offset, data)
 
     def fold_reference(self, offset, data):
-        """Fold a record into the reference and note which change made which version."""
+        """Fold a record into the reference and record which change created which version."""
         position = position_of(self.restarts, offset)
         record, result = fold_data(self.reference, position, data)
         self.reference = result.state
@@ -118,24 +122,26 @@
             self.version_of[record.change_id] = version
 
     def run_checked(self, replica, work):
-        """Do something to a replica and check that it lowers no version."""
+        """Run an operation on a replica; check that it lowers no version and not the position."""
         before = {brand: replica.state.version_of(brand) for brand in BRANDS}
         position = replica.state.next_offset
         work()
         for brand, version in before.items():
-            assert replica.state.version_of(brand) >= version, "a version was lowered"
-        assert replica.state.next_offset >= position, "a position was lowered"
+            assert (
+                replica.state.version_of(brand) >= version
+            ), "an operation lowered the version of a brand"
+        assert replica.state.next_offset >= position, "an operation lowered the position in the log"
         self.check(replica.state)
 
     def append_change(self, brand, version, action):
-        """Append a change with an identifier of its own."""
+        """Append a change with a new identifier."""
         change = Change(f"c{len(self.appended)}", brand, version, "ann", action)
         self.appended.append(encode_record(change))
         self.append(self.appended[-1])
 
     @rule(index=REPLICA, brand=st.sampled_from(BRANDS), choice=SMALL, current=st.booleans())
     def publish(self, index, brand, choice, current):
-        """Append an operator's change on the version that some replica has."""
+        """Append an operator's change based on the version that a replica has."""
         replica = self.step(index)
         if current:
             self.read_all(replica, index)
@@ -150,7 +156,7 @@
 
     @rule(choice=SMALL)
     def repeat(self, choice):
-        """Repeat an operator's change, or append junk."""
+        """Append an operator's change a second time, or an invalid record."""
         self.step()
         if choice % 8 and self.appended:
             self.append(self.appended[choice % len(self.appended)])
@@ -159,23 +165,30 @@
 
     @rule(index=REPLICA)
     def read(self, index):
-        """Let a replica read a page of the log."""
+        """Make a replica read a page of the log."""
         self.read_page(self.step(index), index)
 
     @rule(index=REPLICA)
     def read_to_end(self, index):
-        """Let a replica read up to the end of the log."""
+        """Make a replica read to the end of the log."""
         self.read_all(self.step(index), index)
 
     def read_all(self, replica, index):
-        """Read pages until the end of the log, also after a search of it."""
+        """Read pages until the end of the log.
+
+        The number of pages is sufficient also when the replica first searches for a snapshot.
+        """
         for _ in range(6 + 2 * len(self.log.records) // PAGE):
             self.read_page(replica, index)
             if replica.at_end:
                 break
 
     def read_page(self, replica, index):
-        """Read a page, with the doubt that a pause or an outage leaves."""
+        """Read a page.
+
+        A replica that is not yet aware that the log has started over first records a failed read,
+        as a pause or an outage causes one.
+        """
         if index in self.unaware:
             self.unaware.discard(index)
             replica.record_read_failure()
@@ -184,7 +197,7 @@
 
     @rule(source=REPLICA, receiver=REPLICA, with_state=st.booleans(), skipped=st.integers(0, 2))
     def send(self, source, receiver, with_state, skipped):
-        """Send a peer a state, or the records that the peer lacks, without some of them."""
+        """Send a peer a state, or the records that it lacks, possibly without the first ones."""
         replica = self.step(source)
         offset = self.replicas[receiver].state.next_offset + skipped
         if with_state:
@@ -196,7 +209,7 @@
     @precondition(lambda self: self.messages)
     @rule(choice=SMALL, doubled=st.booleans(), dropped=st.booleans())
     def deliver(self, choice, doubled, dropped):
-        """Deliver any message, maybe to deliver it again, or drop it."""
+        """Deliver or drop any one of the messages; a duplicated one stays in transit, up to 32."""
         self.step()
         index = choice % len(self.messages)
         receiver, content, records = self.messages[index]
@@ -213,7 +226,7 @@
 
     @rule(index=REPLICA)
     def snapshot(self, index):
-        """Append a snapshot, which may be old or stand there already."""
+        """Append a snapshot, which may be old or already be in the log."""
         replica = self.step(index)
         if index not in self.unaware and not replica.records_lost and replica.at_end:
             self.append(encode_record(replica.snapshot()))
@@ -221,9 +234,10 @@
     @precondition(lambda self: all(item.records_lost for item in self.replicas))
     @rule(index=REPLICA)
     def seed(self, index):
-        """Start the log again from the replica that knows most when nobody can fold it.
+        """Seed the log with the most advanced replica's snapshot when no replica can fold the log.
 
-        The replicas' patience outlasts every message under way.
+        The messages in transit are dropped, because the replicas' delay before they seed a log is
+        longer than any message takes.
         """
         replica = self.step(index)
         self.read_page(replica, index)
@@ -238,7 +252,7 @@
         self.append(encode_record(snapshot))
 
     def restart_reference(self, snapshot):
-        """Fold the reference again from what a snapshot says and the log still keeps."""
+        """Recompute the reference from a snapshot and the records that the log still contains."""
         state = State.from_document(snapshot.state)
         offset = offset_of(state.next_offset)
         self.reference = replace(state, next_offset=position_of(self.restarts, offset))
@@ -253,7 +267,7 @@
     @precondition(lambda self: self.seeded)
     @rule(index=REPLICA)
     def replace_replica(self, index):
-        """Replace a VM: its daemon starts with nothing."""
+        """Replace a VM, whose new daemon starts without any state."""
         self.step(index)
         others = [item for item in self.replicas if item is not self.replicas[index]]
         if any(item.at_end for item in others):
@@ -261,7 +275,7 @@
 
     @rule(count=st.integers(1, 6))
     def truncate(self, count):
-        """Retention cuts the head of the log, also further than some replicas have read."""
+        """Remove the oldest records by retention, possibly some that not every replica has read."""
         self.step()
         cut = self.log.first_offset + min(count, len(self.log.records))
         follows = [item for item in self.replicas if offset_of(item.state.next_offset) >= cut]
@@ -271,7 +285,10 @@
     @precondition(lambda self: self.seeded and all(item.state.brands for item in self.replicas))
     @rule(choice=st.integers(0, 1), grown=st.integers(0, 12))
     def start_over(self, choice, grown):
-        """Lose the whole log while every replica has something in force; it grows unread."""
+        """Lose the whole log while every replica has brands in force.
+
+        The new log has the last `grown` changes, or all if that is 0, before any replica reads it.
+        """
         self.step()
         if choice or self.unaware:
             return
@@ -293,19 +310,21 @@
     @precondition(lambda self: self.seeded)
     @rule()
     def converge(self):
-        """Check that all come to the reference's state once one of them has read the whole log."""
+        """Check that all replicas reach the reference state once one has folded the whole log."""
         self.step()
         for index, replica in enumerate(self.replicas):
             self.read_all(replica, index)
         following = [replica for replica in self.replicas if not replica.records_lost]
         for replica in following:
-            assert replica.state.same_brands(self.reference), "the log reads otherwise"
+            assert replica.state.same_brands(
+                self.reference
+            ), "a replica that follows the log differs from the reference"
         if not following:
             return
         self.append(encode_record(following[0].snapshot()))
         for index, replica in enumerate(self.replicas):
             self.read_all(replica, index)
-            assert replica.at_end, "a replica does not come to the log's end"
+            assert replica.at_end, "a replica does not reach the end of the log"
             assert not replica.records_lost, "a replica does not find the snapshot"
             assert replica.state.same_brands(self.reference)
 
@@ -315,7 +334,7 @@
 
 
 def run_machine(steps, number=0):
-    """Run at least a number of steps of a numbered sequence and return how many were run."""
+    """Run at least `steps` steps of the sequence with this number; return how many were run."""
     LogMachine.steps = 0
     run_state_machine_as_test(
         seed(number)(LogMachine),
--- a/features/member_network.py
+++ b/features/member_network.py
@@ -1,4 +1,4 @@
-"""Memberships that talk over links in memory, on a clock that the test moves."""
+"""Memberships that exchange messages over in-memory links, on a clock that the test advances."""
 
 import heapq
 import random
@@ -27,11 +27,11 @@
 
 
 class MemberNetwork:
-    """Daemons' memberships and the links between them.
+    """The memberships of daemons and the links between them.
 
-    `cut` holds (from, to) pairs whose messages are dropped; `loss` is the share of all messages
-    that is.  Every link carries a message within 5 ms.  A daemon gets a `Tick` only when it
-    has asked for one.
+    `cut` holds the (from, to) pairs whose messages are dropped; `loss` is the share of all messages
+    that is dropped at random.  Every link delivers a message within 5 ms.  A daemon gets a `Tick`
+    only at the time that it has requested.
     """
 
     def __init__(self, seed=1, loss=0.0):
@@ -50,14 +50,14 @@
         self._count = 0
 
     def add(self, vm, incarnation=1):
-        """Start a daemon that knows no other one yet."""
+        """Start a daemon that has no other members yet."""
         data_center = DATA_CENTERS[int(vm.partition("-")[2]) % 3]
         own = Member(vm, data_center, f"{vm}:80", f"{vm}:90", incarnation)
         source = random.Random(self.random.random())
         self.nodes[vm] = Membership(own, source, self.now_ms)
 
     def list_vms(self, vms, leaving=()):
-        """Let every daemon read a list of the platform."""
+        """Make every daemon read a list of VMs from the platform."""
         listed = tuple(
             ListedVm(
                 vm,
@@ -72,19 +72,19 @@
             self.handle(vm, VmListRead(listed))
 
     def kill(self, vm):
-        """End a daemon; its peers see their links close."""
+        """Kill a daemon; the links of its peers to it close."""
         del self.nodes[vm]
         for peer in tuple(self.nodes):
             if vm in self.nodes[peer].linked:
                 self.handle(peer, LinkLost(vm))
 
     def resume(self, vm):
-        """Let a paused daemon go on; it notices its pause before anything else."""
+        """Resume a paused daemon, which detects its pause before it handles anything else."""
         self.paused.discard(vm)
         self.handle(vm, ProcessResumed())
 
     def handle(self, vm, event):
-        """Give a daemon an event and carry its actions out."""
+        """Pass an event to a daemon and carry out its actions."""
         for action in self.nodes[vm].handle(event, self.now_ms):
             match action:
                 case SendMessage(to, message):
@@ -98,7 +98,7 @@
         self._wake_ms[vm] = min(wake_ms, self._wake_ms.get(vm, wake_ms))
 
     def run(self, duration_ms):
-        """Let time pass."""
+        """Advance the clock."""
         until_ms = self.now_ms + duration_ms
         while self.now_ms < until_ms:
             self.now_ms += STEP_MS
@@ -111,7 +111,7 @@
                     self._tick(vm)
 
     def _tick(self, vm):
-        """Let a daemon's time pass if it has asked for that by now."""
+        """Send a daemon a `Tick` if the time that it requested has come."""
         if self.now_ms < self._wake_ms.get(vm, self.now_ms):
             return
         self._wake_ms.pop(vm, None)
@@ -119,7 +119,7 @@
         self.handle(vm, Tick())
 
     def serving(self, vm):
-        """Return the names of those that a daemon hands out."""
+        """Return the names of the VMs whose addresses a daemon gives to callers."""
         return {member.vm for member in self.nodes[vm].serving()}
 
     def _connect(self, vm, to):
--- a/features/quarantine_fleet.py
+++ b/features/quarantine_fleet.py
@@ -1,4 +1,4 @@
-"""VMs that share a quarantine, replayed without sockets: messages take time and may be lost."""
+"""Replays VMs that share a quarantine, without sockets; messages take time and may be lost."""
 
 import heapq
 import itertools
@@ -18,7 +18,7 @@
 
 @dataclass
 class Outcomes:
-    """What has become of the requests of a replay."""
+    """The outcomes of the requests of a replay."""
 
     crashed_ms: list = field(default_factory=list)
     served: int = 0
@@ -27,7 +27,10 @@
 
 
 class QuarantineFleet:
-    """Some VMs, the messages between them, and endpoints that `fatal` says crash or not."""
+    """Some VMs and the messages between them.
+
+    `fatal` decides whether a request crashes the endpoint that runs it.
+    """
 
     def __init__(self, vms, seed, fatal, lost_share=0.0):
         self.random = random.Random(seed)
@@ -41,46 +44,46 @@
         self._events = []
 
     def at(self, at_ms, work, *arguments):
-        """Do something at a time."""
+        """Schedule a function call at a time."""
         heapq.heappush(self._events, (at_ms, next(self._order), work, arguments))
 
     def run(self):
-        """Play until nothing is left to do."""
+        """Run until no event is left."""
         while self._events:
             self.now_ms, _, work, arguments = heapq.heappop(self._events)
             work(*arguments)
 
     def request(self, vm, keys):
-        """Take a request of a caller at a VM."""
+        """Accept a request of a caller at a VM."""
         self._try_send(vm, keys, self.now_ms + WAIT_TIMEOUT_MS, 1)
 
     def join(self, vm):
-        """Add a VM, or one that starts again, which a neighbour tells what it knows."""
+        """Add a VM, or restart one; another VM sends it the crash records."""
         self.vms[vm] = Quarantine(vm)
         self.reachable.add(vm)
         self.send_suspicions(vm)
 
     def send_suspicions(self, vm):
-        """Tell a VM that is back what another one knows."""
+        """Send a VM that is reachable again the crash records of another one."""
         other = next(name for name in self.vms if name != vm and name in self.reachable)
-        for news in self.vms[other].suspicions(self.now_ms):
-            self._send(other, vm, news)
+        for record in self.vms[other].suspicions(self.now_ms):
+            self._send(other, vm, record)
 
     def _try_send(self, vm, keys, give_up_ms, attempt):
         quarantine = self.vms[vm]
-        standing = quarantine.send_permission(keys, self.now_ms)
+        permission = quarantine.send_permission(keys, self.now_ms)
         wait_ms = POLL_MS
-        if standing is SendPermission.LEASE_FREE:
+        if permission is SendPermission.LEASE_FREE:
             self._broadcast(vm, quarantine.claim(keys, self.now_ms))
             wait_ms = quarantine.claim_settled_ms(keys) - self.now_ms
-        elif standing is SendPermission.OWN_LEASE:
+        elif permission is SendPermission.OWN_LEASE:
             wait_ms = quarantine.claim_settled_ms(keys) - self.now_ms
-        elif standing is SendPermission.QUARANTINED or (standing and self.now_ms >= give_up_ms):
+        elif permission is SendPermission.QUARANTINED or (permission and self.now_ms >= give_up_ms):
             self.outcomes.refused += 1
             return
         if (
-            standing <= SendPermission.OWN_LEASE and wait_ms <= 0.0
-        ) or standing is SendPermission.CLEAR:
+            permission <= SendPermission.OWN_LEASE and wait_ms <= 0.0
+        ) or permission is SendPermission.CLEAR:
             if quarantine.try_begin_send(keys, self.now_ms):
                 self._run(vm, keys, give_up_ms, attempt)
                 return
@@ -105,23 +108,23 @@
         else:
             self.outcomes.failed += 1
 
-    def _broadcast(self, vm, news):
-        for item in news:
+    def _broadcast(self, vm, records):
+        for item in records:
             for other in self.vms:
                 if other != vm:
                     self._send(vm, other, item)
 
-    def _send(self, vm, other, news):
+    def _send(self, vm, other, record):
         cut = vm not in self.reachable or other not in self.reachable
         if cut or self.random.random() < self.loss_share:
             return
         delay_ms = self.random.uniform(*DELAY_MS)
-        self.at(self.now_ms + delay_ms, self._receive, vm, other, news)
+        self.at(self.now_ms + delay_ms, self._receive, vm, other, record)
 
-    def _receive(self, vm, other, news: CrashRecord):
+    def _receive(self, vm, other, record: CrashRecord):
         if other not in self.reachable:
             return
-        answer, pass_on = self.vms[other].apply_update(vm, news, self.now_ms)
+        answer, pass_on = self.vms[other].apply_update(vm, record, self.now_ms)
         if answer is not None:
             self._send(other, vm, answer)
         if pass_on is not None:
@@ -129,5 +132,5 @@
 
 
 def keys_of(number, caller=0):
-    """Return the keys of a request with one content, from one caller."""
+    """Return the keys of a request: `number` stands for its content, `caller` for its caller."""
     return RequestKeys(1_000 + number, 1_000_000 + 1_000 * number + caller)
--- a/features/rate_limit_replay.py
+++ b/features/rate_limit_replay.py
@@ -1,4 +1,4 @@
-"""Endpoints that name limits, and gateways that have requests enough, without sockets."""
+"""Replays, without sockets, endpoints that advertise rate limits, under a surplus of requests."""
 
 import random
 
@@ -11,13 +11,13 @@
 WINDOW_MS = 4_000.0
 CONTACT_MS = 3_000.0
 MAX_DETECTION_MS = 2_500.0
-"""For so long a VM that has gone still counts for the others."""
+"""The longest time for which the other VMs still list a VM that has stopped."""
 ENDPOINTS = 3
 DATA_CENTER = "papine"
 
 
 class RateLimitReplay:
-    """Some VMs, each with its own list of the others, that all send what they may."""
+    """Some VMs, each with its own list of the others, that send as much as their limits allow."""
 
     def __init__(self, vms, per_s, changing_share, seed):
         self.random = random.Random(seed)
@@ -45,11 +45,14 @@
             limits.record_limit(server.incarnation, self.per_s, self.now_ms)
 
     def _cached_list(self, name):
-        """Return the VMs that one takes for alive: those that went are noticed at their time."""
-        look = self.now_ms // LIST_MS
+        """Return the VMs that one considers alive, including stopped VMs until it detects that.
+
+        A list is rebuilt every `LIST_MS`.
+        """
+        period = self.now_ms // LIST_MS
         known = self.lists.get(name)
-        if known is None or known[0] != look:
-            known = self.lists[name] = look, self._build_list(name)
+        if known is None or known[0] != period:
+            known = self.lists[name] = period, self._build_list(name)
         return known[1]
 
     def _build_list(self, name):
@@ -61,7 +64,7 @@
         return tuple(sorted(self.alive | recent | {name}))
 
     def play(self):
-        """Play until the end, with some VMs that go and come back."""
+        """Run until the end, while some VMs stop and start again."""
         while self.now_ms < PLAY_MS:
             self.now_ms += STEP_MS
             if self.now_ms % 2_000 == 0:
@@ -93,7 +96,7 @@
                 self.arrivals[server.name].append(self.now_ms)
 
     def most_in_window(self):
-        """Return the most arrivals at an endpoint in a window that counts."""
+        """Return the most arrivals at an endpoint in any window that ends after `CONTACT_MS`."""
         found = 0
         for times_ms in self.arrivals.values():
             first = 0
@@ -105,6 +108,6 @@
         return found
 
     def least_used_share(self):
-        """Return the part of its limit that the endpoint with the fewest arrivals got."""
+        """Return the share of its limit that the endpoint with the fewest arrivals received."""
         fewest = min(len(times_ms) for times_ms in self.arrivals.values())
         return fewest / (self.per_s * PLAY_MS / 1_000)
--- a/features/registry_replay.py
+++ b/features/registry_replay.py
@@ -1,4 +1,4 @@
-"""Backend servers leave while gateways restart: what each gateway knows, without sockets."""
+"""Replays, without sockets, the registries of gateways that restart while backend servers leave."""
 
 import random
 from collections import Counter
@@ -25,7 +25,7 @@
 
 @dataclass
 class ReplayedVm:
-    """A gateway of the replay."""
+    """A gateway of the replay; `inbox` holds registry changes with their base versions."""
 
     knowledge: GatewayState
     up_from_ms: float
@@ -36,7 +36,11 @@
 
 
 class RegistryReplay:
-    """A fleet whose VMs restart a few at a time while backend servers leave."""
+    """A fleet whose VMs restart, a few at a time, while backend servers leave.
+
+    `late_uses` holds the servers that a VM still used after the drain time; `differing_ms` holds
+    the times at which registries of the same version differed.
+    """
 
     def __init__(self, vms, seed, killed_share=0.0, restarted=4):
         self.random = random.Random(seed)
@@ -59,7 +63,7 @@
             vm.reader = True
 
     def play(self, duration_ms=20_000.0):
-        """Play until all leaving has been over for a while."""
+        """Run the replay; in the last `2 * CONTACT_MS` no server leaves and no VM restarts."""
         while self.now_ms < duration_ms:
             self.now_ms += STEP_MS
             quiet = self.now_ms > duration_ms - 2 * CONTACT_MS
@@ -156,19 +160,23 @@
     def _heartbeat(self):
         up = [vm for vm in self.vms if self._is_up(vm)]
         for vm in up:
-            heard = [other for other in up if other.reader] + self.random.sample(up, 2)
-            for other in heard:
+            senders = [other for other in up if other.reader] + self.random.sample(up, 2)
+            for other in senders:
                 if other is not vm and self.random.random() > LOST_SHARE:
                     self._receive_heartbeat(vm, other)
 
     def _receive_heartbeat(self, vm, other):
-        registry, told = vm.knowledge.registry, other.knowledge.registry
-        if registry.as_of < told.position.advertised_version and vm.fetch_at_ms is None:
+        registry, sender_registry = vm.knowledge.registry, other.knowledge.registry
+        if registry.as_of < sender_registry.position.advertised_version and vm.fetch_at_ms is None:
             vm.fetch_at_ms = self.now_ms + self.random.uniform(*FETCH_MS)
-        if told.position.advertised_version >= 0:
-            registry.position.advance_from_peer(told.position.advertised_version, told.as_of)
+        if sender_registry.position.advertised_version >= 0:
+            registry.position.advance_from_peer(
+                sender_registry.position.advertised_version, sender_registry.as_of
+            )
         if other.reader:
-            registry.position.confirm_current(told.position.advertised_version, self.now_ms)
+            registry.position.confirm_current(
+                sender_registry.position.advertised_version, self.now_ms
+            )
 
     def _fetch(self, vm):
         registry = vm.knowledge.registry
--- a/features/run.py
+++ b/features/run.py
@@ -1,8 +1,8 @@
-"""Runs every feature and closes with the line that CI reads: `N passed, N failed`.
+"""Runs every feature and ends with the line that CI reads: `N passed, N failed`.
 
-Each feature file runs in a process of its own, a few at a time.  A scenario that `KNOWN-RED.txt`
-names (one line each: `feature file: scenario | cause | issue`) is run and printed, but does not
-fail the run.
+Each feature file runs in its own process, `WORKERS` at a time.  A scenario that is listed in
+`KNOWN-RED.txt` (one line each: `feature file: scenario | cause | issue`) is run, and printed if it
+fails, but does not fail the run.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FeatureRun:
-    """What a feature's process printed, and whether each of its scenarios passed."""
+    """The output of a feature's process, and whether each of its scenarios passed."""
 
     path: Path
     output: str
@@ -66,7 +66,7 @@
 
 
 def _slowest_first(paths: list[Path]) -> list[Path]:
-    """Return the paths with the slowest features first, so that none of them runs alone last."""
+    """Return the paths, slowest features first, so that none of those runs alone at the end."""
     rank = {name: index for index, name in enumerate(SLOWEST_FIRST)}
     return sorted(paths, key=lambda path: (rank.get(path.stem, len(rank)), path.name))
 
@@ -81,7 +81,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the feature files that the arguments name, or all, and return the exit code."""
+    """Run the feature files given as arguments, or all, and return the exit code."""
     paths = [Path(item) for item in arguments] or list((ROOT / "features").glob("*.feature"))
     known = _known_red()
     runs = asyncio.run(_run_all(_slowest_first(paths)))
--- a/features/run_one.py
+++ b/features/run_one.py
@@ -1,4 +1,4 @@
-"""Runs one feature file and writes what became of each of its scenarios to a JSON file.
+"""Runs one feature file and writes whether each of its scenarios passed to a JSON file.
 
 `features.run` starts one such process for each feature file.
 """
@@ -16,7 +16,7 @@
 
 
 def main(feature: str, results: str) -> int:
-    """Run a feature file; write a list of pairs, a scenario's name and whether it passed."""
+    """Run a feature file and write a list of pairs: a scenario's name and whether it passed."""
     config = Configuration([feature, "--no-capture", "--format=progress3"], load_config=False)
     runner = Runner(config)
     runner.run()
--- a/features/shared.py
+++ b/features/shared.py
@@ -1,4 +1,4 @@
-"""What steps of several features share: the scenario's loop, and a small fleet of processes."""
+"""Helpers for the steps of several features: the scenario's loop, and a small fleet."""
 
 import asyncio
 
@@ -27,14 +27,14 @@
 
 
 async def eventually(condition):
-    """Wait until an asynchronous condition holds."""
+    """Wait until an asynchronous condition holds; raise `TimeoutError` after `WAIT_S` seconds."""
     async with asyncio.timeout(WAIT_S):
         while not await condition():
             await asyncio.sleep(0.05)
 
 
 async def start_fleet(context, backends, daemons, **settings):
-    """Start backend servers and daemons that end with the scenario."""
+    """Start backend servers and daemons as processes, which are stopped after the scenario."""
     context.fleet = await context.stack.enter_async_context(Fleet())
     context.session = await context.stack.enter_async_context(aiohttp.ClientSession())
     context.endpoints = await context.fleet.start_backend("--work_ms=5", count=backends)
--- a/features/soak.py
+++ b/features/soak.py
@@ -12,7 +12,7 @@
 
 
 def main() -> int:
-    """Run numbered sequences and print how many steps held; one that does not hold raises."""
+    """Run numbered sequences and print the number of steps; a step that fails a check raises."""
     logging.set_verbosity(logging.FATAL)
     started = time.monotonic()
     steps = 0
--- a/features/transfer_replay.py
+++ b/features/transfer_replay.py
@@ -1,4 +1,7 @@
-"""A configuration goes from one gateway to all others over slow links, without sockets."""
+"""Replays, without sockets, the transfer of a configuration from one gateway to all others.
+
+The links are slow, and some of the VMs are killed.
+"""
 
 import heapq
 import itertools
@@ -10,16 +13,16 @@
 LINKS_KBIT_PER_MS = (5.0, 5.0, 20.0, 100.0)
 ROUND_TRIP_MS = 3.0
 FORWARD_DELAY_MS = 30.0
-"""What a small VM needs before it sends what it has received."""
+"""The time that a small VM takes before it can send a state that it has received."""
 DECODE_MS = 150.0
-"""What it needs before it serves by that."""
+"""The time that a small VM takes before it serves requests by a state that it has received."""
 ANSWER_TIMEOUT_MS = 1_000.0
 REQUEST_SPREAD_MS = 50.0
 RETRY_DELAY_MS = 50.0
 
 
 class TransferReplay:
-    """The VMs of three data centres, of which the first one has the state at the beginning."""
+    """The VMs of three data centres; at the start only the first VM has the state."""
 
     def __init__(self, vms, size_kb, killed_share, seed):
         self.random = random.Random(seed)
@@ -40,7 +43,10 @@
             self._at(self.random.uniform(0.0, REQUEST_SPREAD_MS), self._request, vm, "vm-0")
 
     def play(self):
-        """Play until every VM that lives has the state; return when the last one serves by it."""
+        """Run until every VM that was not killed has the state.
+
+        Returns the time at which the last one serves requests by it.
+        """
         while self._events:
             now_ms, _, action, arguments = heapq.heappop(self._events)
             action(now_ms, *arguments)
@@ -53,7 +59,11 @@
         return Requester(vm, self.data_centers[vm])
 
     def _request(self, now_ms, vm, holder):
-        """Ask a VM; one that was killed answers nothing, or has crashed with its connections."""
+        """Request the state from a VM.
+
+        A VM that was killed does not answer, or its connections have failed; the requester then
+        tries another one after `ANSWER_TIMEOUT_MS`.
+        """
         if vm in self.received_ms:
             return
         self.request_count += 1
