--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -4,21 +4,21 @@
 
 from cloverhook.fleet import Endpoint, Policy, Priority
 from cloverhook.routing_events import AttemptResult, CallerDisconnected, EndpointsChanged
-from features.decision_driver import Driver, endpoints, usual_work
+from features.decision_driver import RouterDriver, endpoints, typical_work
 
 SLOW_ADDRESS = "10.0.0.0:80"
 
 
 @given("a router that owns {count:d} endpoints")
 def step_router(context, count):
-    context.driver = Driver(endpoints(count))
+    context.driver = RouterDriver(endpoints(count))
 
 
 @given("a router that owns {count:d} endpoints and has served for {ms:d} ms")
 def step_served(context, count, ms):
-    context.driver = Driver(endpoints(count))
+    context.driver = RouterDriver(endpoints(count))
     context.every_ms = 20.0 / (count * 4 * 0.7)
-    context.driver.run(ms, context.every_ms, usual_work())
+    context.driver.run(ms, context.every_ms, typical_work())
 
 
 @given("all slots are taken")
@@ -77,7 +77,7 @@
 
 @then("no request of priority HIGH was refused and those of priority LOW were, without delay")
 def step_low_first(context):
-    refused = context.driver.refused
+    refused = context.driver.rejected
     assert not any(request_id in refused for request_id in context.high)
     assert sum(request_id in refused for request_id in context.low) >= 200
     assert context.driver.now_ms == 0.0
@@ -85,7 +85,7 @@
 
 @then("the times to come back are spread and grow with the overload")
 def step_spread(context):
-    times = [rejection.retry_after_ms for rejection in context.driver.refused.values()]
+    times = [rejection.retry_after_ms for rejection in context.driver.rejected.values()]
     assert len(set(times)) == len(times)
     early, late = times[:20], times[-20:]
     assert sum(late) > 2 * sum(early)
@@ -101,14 +101,14 @@
 
 @then("it is refused at once as overloaded")
 def step_rejected_short_timeout(context):
-    rejection = context.driver.refused[context.short_timeout_id]
+    rejection = context.driver.rejected[context.short_timeout_id]
     assert rejection.kind.value == "overloaded"
     assert rejection.retry_after_ms > 0
 
 
 @when("one endpoint becomes {factor:d} times slower for {ms:d} ms")
 def step_slow(context, factor, ms):
-    work = usual_work()
+    work = typical_work()
     context.before = context.driver.starts[SLOW_ADDRESS]
     slow = {SLOW_ADDRESS: float(factor)}
     context.driver.run(ms, context.every_ms, lambda a: work(a) * slow.get(a, 1.0))
@@ -123,16 +123,16 @@
 @then("{ms:d} ms after its recovery it gets its share again")
 def step_share(context, ms):
     driver = context.driver
-    driver.run(ms, context.every_ms, usual_work())
+    driver.run(ms, context.every_ms, typical_work())
     before = driver.starts.copy()
-    driver.run(500, context.every_ms, usual_work())
+    driver.run(500, context.every_ms, typical_work())
     started = driver.starts - before
     assert started[SLOW_ADDRESS] > 0.5 * sum(started.values()) / 5, started
 
 
 @when("one endpoint answers errors after 1 ms for {ms:d} ms")
 def step_failing(context, ms):
-    work = usual_work()
+    work = typical_work()
     context.before = context.driver.starts[SLOW_ADDRESS]
     context.driver.run(
         ms,
@@ -161,7 +161,7 @@
 @when("no endpoint can be reached for {ms:d} ms")
 def step_down(context, ms):
     driver = context.driver
-    driver.run(60, 1e9, usual_work())
+    driver.run(60, 1e9, typical_work())
     context.arrived_before = driver.arrived
     context.attempts_before = sum(driver.starts.values())
     driver.run(ms, context.every_ms, lambda a: 1.0, lambda a: AttemptResult.NOT_SENT)
@@ -173,22 +173,22 @@
     calls = driver.arrived - context.arrived_before
     attempts = sum(driver.starts.values()) - context.attempts_before
     assert attempts / calls < 1.1, attempts / calls
-    assert all(rejection.retry_after_ms > 0 for rejection in driver.refused.values())
+    assert all(rejection.retry_after_ms > 0 for rejection in driver.rejected.values())
 
 
 @then("99 of 100 refusals came within {ms:d} ms")
 def step_refused_soon(context, ms):
-    waits = sorted(context.driver.refused_after_ms.values())
+    waits = sorted(context.driver.rejected_after_ms.values())
     assert waits[int(len(waits) * 0.99)] <= ms, waits[-5:]
 
 
 @then("{ms:d} ms after the recovery 95 of 100 calls are answered")
 def step_recovered(context, ms):
     driver = context.driver
-    driver.run(ms, context.every_ms, usual_work())
-    arrived, refused = driver.arrived, len(driver.refused)
-    driver.run(1_000, context.every_ms, usual_work())
-    share = 1 - (len(driver.refused) - refused) / (driver.arrived - arrived)
+    driver.run(ms, context.every_ms, typical_work())
+    arrived, refused = driver.arrived, len(driver.rejected)
+    driver.run(1_000, context.every_ms, typical_work())
+    share = 1 - (len(driver.rejected) - refused) / (driver.arrived - arrived)
     assert share >= 0.95, share
 
 
@@ -203,7 +203,7 @@
 @then("it is not run again")
 def step_not_again(context):
     assert context.driver.attempts[context.ended] == 1
-    assert context.ended not in context.driver.open
+    assert context.ended not in context.driver.active_attempts
 
 
 @then("it is started again")
@@ -217,7 +217,7 @@
     for _ in range(count):
         request_id = driver.arrive()
         driver.now_ms += 100
-        while request_id in driver.open:
+        while request_id in driver.active_attempts:
             driver.end(request_id, AttemptResult.REFUSED)
         driver.pass_time(10)
 
@@ -239,19 +239,19 @@
 @then("it is refused without another attempt")
 def step_no_second(context):
     assert context.driver.attempts[context.ended] == 1
-    assert context.ended in context.driver.refused
+    assert context.ended in context.driver.rejected
 
 
 @given("13 services that call each other in a chain whose last one always refuses")
 def step_chain(context):
-    context.chain = [Driver(endpoints(9), seed=number) for number in range(13)]
+    context.chain = [RouterDriver(endpoints(9), seed=number) for number in range(13)]
 
 
 def call_chain(chain, layer, attempt):
     """Call one layer of the chain. A layer reports the failure of the layer below as its own."""
     driver = chain[layer]
     request_id = driver.arrive(attempt=attempt)
-    while request_id in driver.open:
+    while request_id in driver.active_attempts:
         driver.now_ms += 100
         if layer + 1 < len(chain):
             call_chain(chain, layer + 1, max(attempt, driver.attempts[request_id]))
@@ -277,7 +277,7 @@
 @when("a third endpoint is added and {count:d} requests arrive")
 def step_added(context, count):
     driver = context.driver
-    driver.run(60, 1e9, usual_work())
+    driver.run(60, 1e9, typical_work())
     context.added_address = "10.0.0.2:80"
     driver.do(EndpointsChanged(endpoints(3), Policy()))
     for _ in range(count):
@@ -289,12 +289,12 @@
     driver = context.driver
 
     def in_flight():
-        return sum(address == context.added_address for address, _ in driver.open.values())
+        return sum(address == context.added_address for address, _ in driver.active_attempts.values())
 
     assert in_flight() == first
     most = 0
     for _ in range(400):
-        driver.run(1, 1.0, usual_work())
+        driver.run(1, 1.0, typical_work())
         most = max(most, in_flight())
     assert most == later
 
@@ -308,7 +308,7 @@
     context.before = driver.starts[first.address]
     for _ in range(20):
         driver.arrive()
-    driver.run(500, 10.0, usual_work())
+    driver.run(500, 10.0, typical_work())
 
 
 @then("no request starts there any more")
@@ -326,5 +326,5 @@
 @then("all of them start in time")
 def step_all_start(context):
     driver = context.driver
-    driver.run(400, 1e9, usual_work())
+    driver.run(400, 1e9, typical_work())
     assert all(driver.attempts[request_id] == 1 for request_id in context.ids)
