--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -289,7 +289,9 @@
     driver = context.driver
 
     def in_flight():
-        return sum(address == context.added_address for address, _ in driver.active_attempts.values())
+        return sum(
+            address == context.added_address for address, _ in driver.active_attempts.values()
+        )
 
     assert in_flight() == first
     most = 0
--- a/features/steps/gateway_broadcast_steps.py
+++ b/features/steps/gateway_broadcast_steps.py
@@ -40,7 +40,9 @@
             context.backends.append(backend)
             context.store.put_server(backend.entry(data_center=name))
         context.gateways = [
-            await fleet.start_gateway(context, f"vm-{index}", data_center=(LOCAL, REMOTE)[index % 2])
+            await fleet.start_gateway(
+                context, f"vm-{index}", data_center=(LOCAL, REMOTE)[index % 2]
+            )
             for index in range(6)
         ]
         addresses = [settings.peer_address for _, settings in context.gateways]
--- a/features/steps/gateway_crowd_steps.py
+++ b/features/steps/gateway_crowd_steps.py
@@ -59,7 +59,9 @@
 def step_serving_silent(context):
     advance_time(context, 3_000)
     context.named_before = addresses_for_callers(context)
-    context.silent_vm = next(iter(context.peerings.values()))._members.serving_vms(context.now_ms)[0]
+    context.silent_vm = next(iter(context.peerings.values()))._members.serving_vms(context.now_ms)[
+        0
+    ]
     del context.peerings[f"{context.silent_vm}:2"]
 
 
