--- a/bench/capacity_membership.py
+++ b/bench/capacity_membership.py
@@ -57,14 +57,14 @@
             self._do(Tick())
             if tick % TICKS_PER_HEARTBEAT == 0:
                 for vm in sorted(self.membership.linked):
-                    beat = Heartbeat(vm, 1, 0, False, 1, self.membership.table.digest)
-                    self._hear(vm, beat)
+                    heartbeat = Heartbeat(vm, 1, 0, False, 1, self.membership.table.digest)
+                    self._receive(vm, heartbeat)
 
     def change(self) -> None:
         """Hear that a member has said something new of itself."""
         self.changing = replace(self.changing, sequence=self.changing.sequence + 1)
         vm = min(self.membership.linked)
-        self._hear(vm, MemberUpdates((self.changing,)))
+        self._receive(vm, MemberUpdates((self.changing,)))
         self.membership.neighbours()
 
     def _link(self, update: MemberUpdate) -> None:
@@ -78,7 +78,7 @@
         )
         self._do(LinkOpened(hello))
 
-    def _hear(self, vm: str, message: Heartbeat | MemberUpdates) -> None:
+    def _receive(self, vm: str, message: Heartbeat | MemberUpdates) -> None:
         data = encode(message)
         self.bytes += len(data)
         self._do(MessageReceived(vm, decode(data)))
--- a/bench/choice_cost.py
+++ b/bench/choice_cost.py
@@ -19,13 +19,13 @@
 SIZES = (20, 214, 3_000)
 CENTERS = 5
 SLOTS = 4
-SLOW_PACE = 5.0
+SLOWDOWN = 5.0
 WORK_MS = 700.0
-AIM_MS = 1_500.0
+OBJECTIVE_MS = 1_500.0
 DEADLINE_MS = 5_000.0
-WAITERS = 16
+QUEUED_REQUESTS = 16
 CHOICES = 500
-LOOKS = 100
+CHECKS = 100
 ROUNDS = 5
 SERVICE = "booking"
 
@@ -35,14 +35,14 @@
     found = []
     for size in SIZES:
         choice_us = median(_choice_us(size, seed) for seed in range(ROUNDS))
-        look_us = median(_look_us(size, seed) for seed in range(ROUNDS))
+        check_us = median(_check_us(size, seed) for seed in range(ROUNDS))
         found.append(Figure(f"choices.{size}_endpoints", choice_us, "us"))
-        found.append(Figure(f"choices.{size}_endpoints.full_look", look_us, "us"))
+        found.append(Figure(f"choices.{size}_endpoints.full_look", check_us, "us"))
     return found
 
 
 def _balancer(size: int, seed: int, full: bool) -> Balancer:
-    source, registry, board = random.Random(seed), Registry(), LoadTable()
+    source, registry, load_table = random.Random(seed), Registry(), LoadTable()
     servers = [
         BackendServer(
             f"i-{n}", SERVICE, f"10.0.{n // 250}.{n % 250}:80", f"dc-{n % CENTERS}", SLOTS
@@ -54,9 +54,9 @@
     )
     for item in servers:
         running = SLOTS if full else source.randrange(SLOTS)
-        pace = source.choice((1.0, 1.0, 1.0, SLOW_PACE))
-        board.get_or_create(item.incarnation).update(LoadReport(running, 0, pace), 0.0)
-    return Balancer(registry, board, WorkEstimates(), "dc-0", source)
+        slowdown = source.choice((1.0, 1.0, 1.0, SLOWDOWN))
+        load_table.get_or_create(item.incarnation).update(LoadReport(running, 0, slowdown), 0.0)
+    return Balancer(registry, load_table, WorkEstimates(), "dc-0", source)
 
 
 def _choice_us(size: int, seed: int) -> float:
@@ -68,12 +68,12 @@
     return (time.perf_counter() - started_s) / CHOICES * 1_000_000
 
 
-def _look_us(size: int, seed: int) -> float:
+def _check_us(size: int, seed: int) -> float:
     line = RequestQueue(_balancer(size, seed, full=True))
-    for number in range(WAITERS):
-        line.add(QueuedRequest(SERVICE, number % 2, WORK_MS, 0.0, AIM_MS, DEADLINE_MS))
+    for number in range(QUEUED_REQUESTS):
+        line.add(QueuedRequest(SERVICE, number % 2, WORK_MS, 0.0, OBJECTIVE_MS, DEADLINE_MS))
     line.next(SERVICE, 1.0)
     started_s = time.perf_counter()
-    for _ in range(LOOKS):
+    for _ in range(CHECKS):
         line.next(SERVICE, 1.0)
-    return (time.perf_counter() - started_s) / LOOKS * 1_000_000
+    return (time.perf_counter() - started_s) / CHECKS * 1_000_000
--- a/bench/gateway_loads.py
+++ b/bench/gateway_loads.py
@@ -14,15 +14,15 @@
     worth: float
     priority: int
     work_ms: float
-    aim_ms: float
+    objective_ms: float
     timeout_ms: float
     deadline_ms: float
-    repeatable: bool = True
+    idempotent: bool = True
 
 
 KINDS = (
     Kind("check", 0.7, 1.0, 2, 120.0, 300.0, 800.0, 1_500.0),
-    Kind("cancel", 0.3, 2.0, 1, 160.0, 400.0, 1_000.0, 2_000.0, repeatable=False),
+    Kind("cancel", 0.3, 2.0, 1, 160.0, 400.0, 1_000.0, 2_000.0, idempotent=False),
 )
 
 
--- a/bench/gateway_replay.py
+++ b/bench/gateway_replay.py
@@ -77,23 +77,23 @@
 @dataclass(slots=True)
 class _Endpoint:
     server: BackendServer
-    pace: float = 1.0
+    slowdown: float = 1.0
     running: list[_Work] = field(default_factory=list)
     queued: list[_Work] = field(default_factory=list)
     lies: bool = False
     sheds: bool = False
     down: bool = False
 
-    def figure(self) -> LoadReport:
-        return LoadReport(len(self.running), len(self.queued), self.pace, not self.down)
+    def load_report(self) -> LoadReport:
+        return LoadReport(len(self.running), len(self.queued), self.slowdown, not self.down)
 
 
 class _Vm:
     def __init__(self, name: str, registry: Registry, source: random.Random) -> None:
         self.name = name
-        self.board = LoadTable()
+        self.load_table = LoadTable()
         self.estimates = WorkEstimates()
-        balancer = Balancer(registry, self.board, self.estimates, DATA_CENTER, source)
+        balancer = Balancer(registry, self.load_table, self.estimates, DATA_CENTER, source)
         self.line = RequestQueue(balancer)
         self.cut_off = False
         self.requests: dict[QueuedRequest, _Request] = {}
@@ -133,7 +133,7 @@
         heapq.heappush(self._events, (at_ms, next(self._numbers), action))
 
     def run(self) -> Outcome:
-        self._draw_paces()
+        self._sample_slowdowns()
         self._probe()
         self._tick()
         if self.deployment.cut_off:
@@ -167,28 +167,28 @@
         vm.arrivals += 1
         request.tries += 1
         kind = request.kind
-        waiter = QueuedRequest(
+        queued = QueuedRequest(
             SERVICE,
             kind.priority,
-            vm.estimates.work_ms(kind.name, kind.aim_ms),
+            vm.estimates.work_ms(kind.name, kind.objective_ms),
             self.now_ms + WAY_MS,
-            kind.aim_ms,
+            kind.objective_ms,
             min(self.now_ms + kind.timeout_ms, request.until_ms),
             is_top_priority=kind.priority <= min(item.priority for item in self.load.kinds),
-            retryable=kind.repeatable,
+            retryable=kind.idempotent,
         )
-        vm.requests[waiter] = request
-        self.at(self.now_ms + WAY_MS, lambda: (vm.line.add(waiter), self._look(vm)))
+        vm.requests[queued] = request
+        self.at(self.now_ms + WAY_MS, lambda: (vm.line.add(queued), self._admit_ready(vm)))
 
-    def _look(self, vm: _Vm) -> None:
+    def _admit_ready(self, vm: _Vm) -> None:
         while (decision := vm.line.next(SERVICE, self.now_ms)) is not None:
-            request = vm.requests.pop(decision.waiter)
+            offered = vm.requests.pop(decision.request)
             if decision.choice is None:
-                self._refuse(request, vm)
+                self._reject(offered, vm)
             else:
-                self._start(request, vm, decision.choice, decision.waiter.deadline_ms)
+                self._start(offered, vm, decision.choice, decision.request.deadline_ms)
 
-    def _refuse(self, request: _Request, vm: _Vm) -> None:
+    def _reject(self, request: _Request, vm: _Vm) -> None:
         back_ms = self.source.uniform(*RETRY_AFTER_RANGE_MS)
         left_ms = request.until_ms - self.now_ms
         if request.tries > 1 or back_ms > left_ms / 3:
@@ -206,16 +206,16 @@
 
     def _count(self, vm: _Vm, choice: Choice, change: int) -> None:
         name = choice.server.incarnation
-        load = vm.board.get_or_create(name)
+        load = vm.load_table.get_or_create(name)
         load.in_flight += change
         count = load.in_flight
-        self.at(self.now_ms + NEWS_MS, lambda: self._told(vm, name, count))
+        self.at(self.now_ms + NEWS_MS, lambda: self._receive_count(vm, name, count))
 
-    def _told(self, vm: _Vm, name: str, count: int) -> None:
+    def _receive_count(self, vm: _Vm, name: str, count: int) -> None:
         for other in self.vms:
             if other is not vm and not (vm.cut_off or other.cut_off):
-                other.board.get_or_create(name).set_peer_in_flight(vm.name, count, self.now_ms)
-                self._look(other)
+                other.load_table.get_or_create(name).set_peer_in_flight(vm.name, count, self.now_ms)
+                self._admit_ready(other)
 
     def _at_endpoint(self, work: _Work) -> None:
         endpoint = self.endpoints[work.choice.server.incarnation]
@@ -240,7 +240,7 @@
         endpoint.running.append(work)
         kind, deployment = work.request.kind, self.deployment
         took_ms = kind.work_ms * self.source.lognormvariate(-SPREAD * SPREAD / 2, SPREAD)
-        took_ms *= endpoint.pace
+        took_ms *= endpoint.slowdown
         if deployment.slots > 1 and len(endpoint.running) == deployment.slots:
             took_ms *= deployment.knee
         self.at(self.now_ms + took_ms, lambda: self._done(endpoint, work))
@@ -266,17 +266,17 @@
 
     def _answered(self, endpoint: _Endpoint, work: _Work) -> None:
         vm, choice, kind = work.vm, work.choice, work.request.kind
-        load = vm.board.get_or_create(choice.server.incarnation)
-        load.update(endpoint.figure(), self.now_ms, ended_count=1)
+        load = vm.load_table.get_or_create(choice.server.incarnation)
+        load.update(endpoint.load_report(), self.now_ms, ended_count=1)
         load.record_success(self.now_ms)
         load.circuit_breaker.record_answer(self.now_ms)
         latency_ms = self.now_ms - work.begun_ms
         if choice.load < choice.server.slots:
-            vm.estimates.record_latency(kind.name, kind.aim_ms, latency_ms, choice)
+            vm.estimates.record_latency(kind.name, kind.objective_ms, latency_ms, choice)
         total_ms = self.now_ms + WAY_MS - work.request.first_ms
-        work.request.result = "in aim" if total_ms <= kind.aim_ms else "late"
+        work.request.result = "in aim" if total_ms <= kind.objective_ms else "late"
         self._count(vm, choice, -1)
-        self._look(vm)
+        self._admit_ready(vm)
 
     def _failed(self, work: _Work) -> None:
         """Tell all VMs of a failure, and send the request elsewhere if that may be done."""
@@ -286,23 +286,23 @@
         self._distrust(work)
         request.result = "failed"
         request.tried.append(work.choice.server.incarnation)
-        if kind.repeatable and len(request.tried) < ATTEMPTS:
+        if kind.idempotent and len(request.tried) < ATTEMPTS:
             choice = vm.line._balancer.choose(
                 SERVICE, kind.work_ms, self.now_ms, request.tried, CapacityRequirement.FREE_SLOT
             )
             if choice is not None:
                 self._start(request, vm, choice, work.until_ms)
-        self._look(vm)
+        self._admit_ready(vm)
 
     def _shed(self, work: _Work) -> None:
         """Tell all VMs that an endpoint turned a request away with room, and send it elsewhere."""
         work.over = True
         vm, name = work.vm, work.choice.server.incarnation
         self._count(vm, work.choice, -1)
-        vm.board.get_or_create(name).record_end(self.now_ms)
+        vm.load_table.get_or_create(name).record_end(self.now_ms)
         for other in self.vms:
             delay_ms = 0.0 if other is vm else NEWS_MS
-            load = other.board.get_or_create(name)
+            load = other.load_table.get_or_create(name)
             self.at(self.now_ms + delay_ms, lambda load=load: load.record_refusal(self.now_ms))
         vm.repeats += self._send_on(work, vm.may_repeat())
 
@@ -311,7 +311,7 @@
         work.over = True
         name = work.choice.server.incarnation
         self._count(work.vm, work.choice, -1)
-        work.vm.board.get_or_create(name).record_unreachable(self.now_ms)
+        work.vm.load_table.get_or_create(name).record_unreachable(self.now_ms)
         self._send_on(work, allowed=True)
 
     def _send_on(self, work: _Work, allowed: bool) -> bool:
@@ -320,32 +320,34 @@
         request.tried.append(work.choice.server.incarnation)
         choice = None
         if len(request.tried) < SENDS and allowed:
-            work_ms = vm.estimates.work_ms(request.kind.name, request.kind.aim_ms)
+            work_ms = vm.estimates.work_ms(request.kind.name, request.kind.objective_ms)
             choice = vm.line._balancer.choose(
                 SERVICE, work_ms, self.now_ms, request.tried, CapacityRequirement.FREE_SLOT
             )
         if choice is None:
             request.tried.clear()
-            self._refuse(request, vm)
+            self._reject(request, vm)
         else:
             self._start(request, vm, choice, work.until_ms)
-        self._look(vm)
+        self._admit_ready(vm)
         return choice is not None
 
     def _distrust(self, work: _Work) -> None:
         name, began_ms = work.choice.server.incarnation, work.begun_ms
-        load = work.vm.board.get_or_create(name)
+        load = work.vm.load_table.get_or_create(name)
         answered = load.circuit_breaker.answered_since(self.now_ms - RECENT_ANSWER_MS)
         load.record_failure(self.now_ms)
         load.circuit_breaker.record_failure(self.now_ms, began_ms)
         for other in self.vms:
             if other is not work.vm and not (work.vm.cut_off or other.cut_off):
-                trust = other.board.get_or_create(name).circuit_breaker
-                news = functools.partial(self._told_failure, trust, began_ms, answered)
+                breaker = other.load_table.get_or_create(name).circuit_breaker
+                news = functools.partial(self._receive_failure, breaker, began_ms, answered)
                 self.at(self.now_ms + NEWS_MS, news)
 
-    def _told_failure(self, trust: CircuitBreaker, began_ms: float, answered: bool) -> None:
-        trust.record_peer_failure(self.now_ms, began_ms, answered)
+    def _receive_failure(
+        self, circuit_breaker: CircuitBreaker, began_ms: float, answered: bool
+    ) -> None:
+        circuit_breaker.record_peer_failure(self.now_ms, began_ms, answered)
 
     def _give_up(self, work: _Work) -> None:
         if work.over:
@@ -355,26 +357,26 @@
         self._leave(self.endpoints[work.choice.server.incarnation], work)
         work.request.result = "failed"
         self._count(work.vm, work.choice, -1)
-        self._look(work.vm)
+        self._admit_ready(work.vm)
 
     # What goes on without requests.
 
-    def _draw_paces(self) -> None:
+    def _sample_slowdowns(self) -> None:
         for endpoint in self.endpoints.values():
             slow = self.source.random() < self.deployment.slow_share
-            endpoint.pace = self.deployment.slow_by if slow else 1.0
-        self.at(self.now_ms + self.deployment.slow_every_ms, self._draw_paces)
+            endpoint.slowdown = self.deployment.slow_by if slow else 1.0
+        self.at(self.now_ms + self.deployment.slow_every_ms, self._sample_slowdowns)
 
     def _probe(self) -> None:
         for name, endpoint in self.endpoints.items():
-            figure, at_ms = endpoint.figure(), self.now_ms
-            self.at(at_ms + NEWS_MS, lambda x=(name, figure, at_ms): self._measured(*x))
+            load_report, at_ms = endpoint.load_report(), self.now_ms
+            self.at(at_ms + NEWS_MS, lambda x=(name, load_report, at_ms): self._measured(*x))
         self.at(self.now_ms + self.deployment.probe_ms, self._probe)
 
-    def _measured(self, name: str, figure: LoadReport, at_ms: float) -> None:
+    def _measured(self, name: str, load_report: LoadReport, at_ms: float) -> None:
         for vm in self.vms:
             if not vm.cut_off:
-                vm.board.get_or_create(name).update_from_probe(figure, at_ms)
+                vm.load_table.get_or_create(name).update_from_probe(load_report, at_ms)
 
     def _cut_off(self) -> None:
         """Let some VMs hear no other one from now on."""
@@ -386,8 +388,8 @@
     def _probe_for_itself(self, vm: _Vm, names: list[str]) -> None:
         """Let a VM that hears no other measure some endpoints."""
         for name in names:
-            vm.board.get_or_create(name).update_from_probe(
-                self.endpoints[name].figure(), self.now_ms
+            vm.load_table.get_or_create(name).update_from_probe(
+                self.endpoints[name].load_report(), self.now_ms
             )
         self.at(
             self.now_ms + self.deployment.own_probe_ms, lambda: self._probe_for_itself(vm, names)
@@ -395,7 +397,7 @@
 
     def _tick(self) -> None:
         for vm in self.vms:
-            self._look(vm)
+            self._admit_ready(vm)
         self.at(self.now_ms + TICK_MS, self._tick)
 
     # The result.
--- a/bench/membership_cost.py
+++ b/bench/membership_cost.py
@@ -21,7 +21,7 @@
 SIMULATED_S = 60
 WARM_UP_S = 5
 TICK_MS = 50
-BEAT_TICKS = 5
+HEARTBEAT_TICKS = 5
 FRAME_BYTES = 4 + 20 + 20
 
 
@@ -73,8 +73,8 @@
     def let_pass(self, duration_s: int, changes: bool) -> None:
         for tick in range(duration_s * 1_000 // TICK_MS):
             self.tick()
-            if tick % BEAT_TICKS == 0:
-                self.beat()
+            if tick % HEARTBEAT_TICKS == 0:
+                self.heartbeat()
             if changes and tick % (1_000 // TICK_MS) == 0:
                 self.change()
 
@@ -92,7 +92,7 @@
         self._send(self.membership.handle(Tick(), self.now_ms))
         self.cost.cpu_s += time.process_time() - started_s
 
-    def beat(self) -> None:
+    def heartbeat(self) -> None:
         for vm in self.links:
             digest = self.membership.table.digest
             self.receive(vm, Heartbeat(vm, 0, 0, False, self.sequences[vm], digest))
--- a/bench/replay_ways.py
+++ b/bench/replay_ways.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from bench.replay_traces import Call, Deployment, Scenario, calls_of
-from bench.replay_world import NEAR_MS, Backend, Result, World
+from bench.replay_world import LOCAL_WAY_MS, Backend, Result, World
 from cloverhook.fleet import Endpoint, Policy
 from cloverhook.members import Member
 from cloverhook.messages import encode
@@ -145,7 +145,7 @@
 
     def _begin(self, call: Call, backend: Backend) -> None:
         world = self._world
-        way_ms = NEAR_MS
+        way_ms = LOCAL_WAY_MS
         self._used[backend.index] += 1
         world.attempted(call)
 
@@ -272,7 +272,7 @@
         vm.lost = True
         self._homes_changed_ms = self._world.clock.now_ms
         for backend, number, _ in vm.attempts.values():
-            self._world.clock.after(NEAR_CUT_MS, backend.cancel, self._world.clock, number[0])
+            self._world.clock.after(LOCAL_CANCEL_MS, backend.cancel, self._world.clock, number[0])
         for call in vm.calls.values():
             self._world.ended(call, "lost_with_vm")
         self._world.clock.after(MEMBERSHIP_LAG_MS, self._set_homes)
@@ -348,7 +348,7 @@
         self._handle(vm, ended)
 
 
-NEAR_CUT_MS = 0.5
+LOCAL_CANCEL_MS = 0.5
 ALONE = ("random_choice", "round_robin", "least_in_flight", "best_of_two")
 WAYS: dict[str, Callable[[World, random.Random], object]] = {
     **{name: (lambda world, source, n=name: AloneWay(world, n, source)) for name in ALONE},
--- a/bench/replay_world.py
+++ b/bench/replay_world.py
@@ -11,7 +11,7 @@
 
 __all__ = ["Backend", "Clock", "Result", "World"]
 
-NEAR_MS = 0.15
+LOCAL_WAY_MS = 0.15
 FAIL_MS = 1.0
 
 OnEnd = Callable[[AttemptResult, int], None]
@@ -203,7 +203,7 @@
 
     def way_ms(self, one: str, other: str) -> float:
         """Return the time one way between two data centres."""
-        return NEAR_MS if one == other else self.deployment.way_ms
+        return LOCAL_WAY_MS if one == other else self.deployment.way_ms
 
     def arrived(self, call: Call) -> None:
         """Count a call."""
--- a/cloverhook/gateway/admission.py
+++ b/cloverhook/gateway/admission.py
@@ -57,7 +57,7 @@
     def admit_ready(self, service: str) -> None:
         """Start or reject the queued requests of a service that are due for a decision."""
         while (decision := self._queue.next(service, monotonic_ms())) is not None:
-            future = self._futures.pop(decision.waiter)
+            future = self._futures.pop(decision.request)
             if decision.choice is not None:
                 self._place(decision.choice)
             future.set_result(decision.choice)
--- a/cloverhook/gateway/balancer.py
+++ b/cloverhook/gateway/balancer.py
@@ -70,7 +70,7 @@
     remote: Candidates
 
 
-class _Look:
+class _Selection:
     """The state of one selection: what is required, and the best endpoint so far."""
 
     __slots__ = (
@@ -176,7 +176,7 @@
         request that is not `retryable` never goes to an endpoint whose circuit breaker is
         half-open, and one with `regions` goes only to data centres in these.
         """
-        selection = _Look(
+        selection = _Selection(
             service,
             work_ms,
             now_ms,
@@ -242,7 +242,7 @@
         in_evacuated = (item.data_center in evacuated for item in serving)
         return next(in_evacuated, False) and all(in_evacuated)
 
-    def _compare_sample(self, selection: "_Look", candidates: Candidates, count: int) -> None:
+    def _compare_sample(self, selection: "_Selection", candidates: Candidates, count: int) -> None:
         """Sample some candidates and keep the best one."""
         now_ms, work_ms, load_table = selection.now_ms, selection.work_ms, self._load_table
         for server in candidates.sample(count, now_ms):
@@ -325,7 +325,7 @@
         limit = self._cold_limit
         return limit is None or limit.may_send(server, now_ms)
 
-    def _breaker_allows(self, selection: "_Look", load: ServerLoad) -> bool:
+    def _breaker_allows(self, selection: "_Selection", load: ServerLoad) -> bool:
         """Return whether an endpoint that has failed requests may get this one."""
         breaker, now_ms = load.circuit_breaker, selection.now_ms
         if breaker.is_half_open(now_ms):
--- a/cloverhook/gateway/count_updates.py
+++ b/cloverhook/gateway/count_updates.py
@@ -36,14 +36,14 @@
         own_vm: str,
         broadcast: Broadcast,
         members: Members,
-        knowledge: GatewayState,
+        gateway_state: GatewayState,
         on_in_flight_counts: Callable[[], None],
     ) -> None:
         """`on_in_flight_counts` is called when counts of another VM have arrived."""
         self._own_vm = own_vm
         self._broadcast = broadcast
         self._members = members
-        self._knowledge = knowledge
+        self._gateway_state = gateway_state
         self._on_in_flight_counts = on_in_flight_counts
         self._local_timer: asyncio.TimerHandle | None = None
         self._remote_timer: asyncio.TimerHandle | None = None
@@ -59,7 +59,7 @@
         if self._local_timer is None:
             self._local_timer = loop.call_later(DELAY_MS / 1000, self._send_local)
         now_ms = monotonic_ms()
-        if self._knowledge.needs_remote_capacity(now_ms):
+        if self._gateway_state.needs_remote_capacity(now_ms):
             self._remote_changed.add(incarnation)
             if self._remote_timer is None:
                 delay_ms = self._remote_delay_ms(now_ms)
@@ -67,17 +67,17 @@
 
     def resend_all(self, now_ms: float) -> None:
         """Send all counts again if this is due, as a datagram may have been lost."""
-        if now_ms < self._repeat_due_ms or not self._knowledge.load_table.in_flight():
+        if now_ms < self._repeat_due_ms or not self._gateway_state.load_table.in_flight():
             return
         self._repeat_due_ms = now_ms + REPEAT_MS
-        data = encode(InFlightCounts(self._own_vm, self._knowledge.load_table.in_flight()))
+        data = encode(InFlightCounts(self._own_vm, self._gateway_state.load_table.in_flight()))
         self._broadcast.send_to(self._members.live_load_subscribers(now_ms), data)
-        if self._knowledge.needs_remote_capacity(now_ms):
+        if self._gateway_state.needs_remote_capacity(now_ms):
             self._broadcast.send_remote(data, now_ms)
 
     def received(self, message: InFlightCounts, now_ms: float) -> None:
         """Apply all counts of another VM; endpoints that are missing have no requests in flight."""
-        table, vm = self._knowledge.load_table, message.vm
+        table, vm = self._gateway_state.load_table, message.vm
         if message.counts:
             self._members.record_count_sender(vm, now_ms)
         before = self._counted_endpoints.get(vm, frozenset())
@@ -90,7 +90,7 @@
 
     def received_changes(self, message: InFlightCountChanges, now_ms: float) -> None:
         """Apply the counts of another VM that have changed."""
-        table, vm = self._knowledge.load_table, message.vm
+        table, vm = self._gateway_state.load_table, message.vm
         self._members.record_count_sender(vm, now_ms)
         self._counted_endpoints[vm] = (
             self._counted_endpoints.get(vm, frozenset()) | message.counts.keys()
@@ -114,7 +114,7 @@
 
     def _changes(self, names: set[str]) -> InFlightCountChanges:
         """Return the counts at the named endpoints, and clear the set of names."""
-        counts = self._knowledge.load_table.in_flight()
+        counts = self._gateway_state.load_table.in_flight()
         changes = {name: counts.get(name, 0) for name in names}
         names.clear()
         return InFlightCountChanges(self._own_vm, changes)
--- a/cloverhook/gateway/daemon.py
+++ b/cloverhook/gateway/daemon.py
@@ -45,7 +45,7 @@
 __all__ = ["DirectoryHandler", "Gateway"]
 
 TICK_MS = 50.0
-STANDBY_TICK_MS = 100.0
+IDLE_TICK_MS = 100.0
 """The interval on a VM that gets no callers and measures nothing: it has little to do."""
 SWEEP_MS = 1_000.0
 ACCEPT_FRACTION = 0.55
@@ -83,7 +83,7 @@
         self._answer_directory = directory
         self._log = EventLog(settings.vm, write_log)
         self._counters = Counters()
-        self._knowledge = GatewayState(settings.drain_s * 1000)
+        self._gateway_state = GatewayState(settings.drain_s * 1000)
         self._members = Members(settings.vm, settings.data_center, now_ms)
         self._discovery = Discovery(settings.vm, self._members, now_ms)
         identity = Identity(
@@ -98,7 +98,7 @@
         )
         self._peering = Peering(
             identity,
-            self._knowledge,
+            self._gateway_state,
             self._members,
             self._log,
             lambda incarnation: self._forwarder.slowdown_changed(incarnation),
@@ -119,7 +119,7 @@
             member_record, store, self._discovery, self._peering.add_member_addresses, self._log
         )
         self._follower = StoreFollower(
-            store, self._knowledge, self._on_change, self._log, self._counters
+            store, self._gateway_state, self._on_change, self._log, self._counters
         )
         self._pool = BackendPool()
         self._prober = Prober(headers, self._on_load_report)
@@ -127,17 +127,17 @@
         self._cold_limit = ColdLimit(
             settings.vm,
             self._members.dispatching_vms,
-            self._knowledge.cold_per_s,
+            self._gateway_state.cold_per_s,
             ColdRateBound(settings.cold_over, settings.cold_slack),
         )
         balancer = Balancer(
-            self._knowledge.registry,
-            self._knowledge.load_table,
+            self._gateway_state.registry,
+            self._gateway_state.load_table,
             estimates,
             settings.data_center,
             random.Random(),
             self._pool.has_idle,
-            self._knowledge.evacuated,
+            self._gateway_state.evacuated,
             self._cold_limit,
             (settings.regions or {}).get,
             self._peering.rate_limit_updates.limits,
@@ -145,16 +145,16 @@
         self._probe_schedule = ProbeSchedule(
             settings.vm,
             self._members,
-            self._knowledge.registry,
-            self._knowledge.load_table,
+            self._gateway_state.registry,
+            self._gateway_state.load_table,
             settings.probes_per_s,
             retry_budget.requests_per_s,
             now_ms + STARTUP_DELAY_MS,
             0 if settings.first_start else GROUP_SIZE,
-            self._knowledge.evacuated,
+            self._gateway_state.evacuated,
         )
         self._forwarder = Forwarder(
-            self._knowledge,
+            self._gateway_state,
             balancer,
             estimates,
             self._pool,
@@ -166,7 +166,7 @@
             self._peering.refusal_updates.record_refusal,
             quarantine_updates,
             self._peering.rate_limit_updates,
-            RequestReport(self._knowledge, self._log, self._counters),
+            RequestReport(self._gateway_state, self._log, self._counters),
         )
         self._caller_ingress = Ingress(self._serve_caller, self._limits)
         self._readiness_ingress = Ingress(self._answer_ready)
@@ -278,7 +278,7 @@
     # Listeners.
 
     def _limits(self) -> IngressLimits:
-        config = self._knowledge.config
+        config = self._gateway_state.config
         return IngressLimits() if config is None else config.limits
 
     async def _serve_caller(self, request: CallerRequest) -> CallerAnswer:
@@ -298,13 +298,13 @@
 
     async def _serve_metrics(self, request: CallerRequest) -> CallerAnswer:
         counters = self._counters
-        knowledge = self._knowledge
-        counters.set("config_version", knowledge.config_version)
-        counters.set("registry_version", knowledge.registry.version)
-        counters.set("registry_digest", knowledge.registry.digest())
-        counters.set("store_era", knowledge.store_era)
-        counters.set("backend_servers", len(knowledge.registry))
-        counters.set("data_centers_evacuated", len(knowledge.evacuated()))
+        gateway_state = self._gateway_state
+        counters.set("config_version", gateway_state.config_version)
+        counters.set("registry_version", gateway_state.registry.version)
+        counters.set("registry_digest", gateway_state.registry.digest())
+        counters.set("store_era", gateway_state.store_era)
+        counters.set("backend_servers", len(gateway_state.registry))
+        counters.set("data_centers_evacuated", len(gateway_state.evacuated()))
         now_ms = monotonic_ms()
         counters.set("members_alive", len(self._members.alive(now_ms)))
         counters.set("cut_off", int(self._members.is_cut_off(now_ms)))
@@ -321,7 +321,7 @@
         return CallerAnswer(200, headers, counters.to_prometheus_text())
 
     def _is_ready(self) -> bool:
-        return self._knowledge.can_serve and not self._stopping
+        return self._gateway_state.can_serve and not self._stopping
 
     # Background work.
 
@@ -341,17 +341,17 @@
 
     def _tick_ms(self) -> float:
         """Return the time to the next tick, which is longer when no request depends on it."""
-        busy = self._knowledge.load_table.has_requests() or len(self._forwarder.admission)
+        busy = self._gateway_state.load_table.has_requests() or len(self._forwarder.admission)
         if busy or self._members.is_load_subscriber(monotonic_ms()):
             return TICK_MS
-        return STANDBY_TICK_MS
+        return IDLE_TICK_MS
 
     def _run_periodic_work(self, now_ms: float) -> None:
         self._update_store_following(now_ms)
-        evacuated = self._knowledge.evacuated()
-        ended = self._knowledge.expire(now_ms)
-        if self._knowledge.evacuated() != evacuated:
-            document = self._knowledge.evacuations.to_document()
+        evacuated = self._gateway_state.evacuated()
+        ended = self._gateway_state.expire(now_ms)
+        if self._gateway_state.evacuated() != evacuated:
+            document = self._gateway_state.evacuations.to_document()
             self._log.note(EventKind.EVACUATION, **document, source="grace period")
         for incarnation in ended:
             self._pool.forget(incarnation)
@@ -363,7 +363,7 @@
                 EventKind.SERVER,
                 source="grace period",
                 gone=incarnation,
-                digest=self._knowledge.registry.digest(),
+                digest=self._gateway_state.registry.digest(),
             )
         self._publish_readiness()
         self._probe(now_ms)
@@ -381,9 +381,9 @@
         self._rewrite_after_store_restore()
         self._log_cut_off(now_ms)
         self._pool.sweep()
-        known = self._knowledge.registry.get
+        known = self._gateway_state.registry.get
         self._prober.sweep(known)
-        self._knowledge.load_table.remove_unknown(known)
+        self._gateway_state.load_table.remove_unknown(known)
         self._members.forget(now_ms)
         self._peering.failure_updates.forget(now_ms)
         self._peering.quarantine_updates.remove_expired(now_ms)
@@ -394,7 +394,7 @@
 
         The copy may lack them; a new store era shows that it was restored.
         """
-        era = self._knowledge.store_era
+        era = self._gateway_state.store_era
         if era == self._written_era:
             return
         if self._written_era:
@@ -420,8 +420,8 @@
             self._log.note(
                 EventKind.READY,
                 ready=ready,
-                config=self._knowledge.config_version,
-                servers=len(self._knowledge.registry),
+                config=self._gateway_state.config_version,
+                servers=len(self._gateway_state.registry),
             )
             self._peering.send_heartbeat()
 
@@ -429,7 +429,7 @@
         should_read = self._members.should_read_store(self._follower.reading, now_ms)
         if not self._follower.active and should_read and not self._stopping:
             self._follower.start()
-        elif not self._knowledge.can_serve and not self._settings.first_start:
+        elif not self._gateway_state.can_serve and not self._settings.first_start:
             self._follower.read_initial_state()
         elif self._follower.active and not should_read and self._enough_others_read(now_ms):
             self._follower.stop("enough other VMs read the store")
@@ -444,23 +444,23 @@
         `changed_names` lists the changed backend servers, and `base_version` is the version of the
         registry before the change.
         """
-        knowledge = self._knowledge
+        gateway_state = self._gateway_state
         if not changed_names:
             self._peering.send_heartbeat(has_update=True)
             return
-        version = knowledge.registry.version
+        version = gateway_state.registry.version
         self._log.note(
             EventKind.SERVER,
             version=version,
             source="store",
             touched=changed_names[:8],
-            digest=knowledge.registry.digest(),
+            digest=gateway_state.registry.digest(),
         )
         self._peering.broadcast_registry_changes(base_version, changed_names)
 
     def _probe(self, now_ms: float) -> None:
         """Start the probes that are due."""
-        config = self._knowledge.config
+        config = self._gateway_state.config
         if config is None or self._stopping:
             return
         self._prober.probe(
@@ -470,7 +470,7 @@
         )
 
     def _on_load_report(self, server: BackendServer, report: LoadReport, at_ms: float) -> None:
-        load = self._knowledge.load_table.get_or_create(server.incarnation)
+        load = self._gateway_state.load_table.get_or_create(server.incarnation)
         previous = load.latest_report
         load.update_from_probe(report, at_ms)
         self._peering.load_updates.add(server.incarnation, report, at_ms)
--- a/cloverhook/gateway/discovery.py
+++ b/cloverhook/gateway/discovery.py
@@ -27,7 +27,7 @@
         self._members = members
         self._started_ms = now_ms
         self._seeds: set[str] = set()
-        self._has_heard_all_seeds = False
+        self._has_seen_all_seeds = False
         self._announced = False
 
     def add_seed(self, peer_address: str) -> None:
@@ -48,11 +48,11 @@
             return True
         alive = self._members.alive(now_ms)
         if self._seeds <= {item.peer_address for item in alive}:
-            self._has_heard_all_seeds = True
+            self._has_seen_all_seeds = True
             return False
         if now_ms - self._started_ms < SEED_TIMEOUT_MS:
             return False
-        if not self._has_heard_all_seeds:
+        if not self._has_seen_all_seeds:
             return True
         rank = rendezvous_rank("announce", self._own_vm, (item.vm for item in alive))
         return rank < MAX_ANNOUNCERS
--- a/cloverhook/gateway/failure_updates.py
+++ b/cloverhook/gateway/failure_updates.py
@@ -26,11 +26,11 @@
     """Sends the failures of this VM's requests, and applies those that other VMs send."""
 
     def __init__(
-        self, own_vm: str, broadcast: Broadcast, knowledge: GatewayState, log: EventLog
+        self, own_vm: str, broadcast: Broadcast, gateway_state: GatewayState, log: EventLog
     ) -> None:
         self._own_vm = own_vm
         self._broadcast = broadcast
-        self._knowledge = knowledge
+        self._gateway_state = gateway_state
         self._log = log
         self._report_filter = FailureReportFilter()
         self._unsent: list[tuple[str, float, bool]] = []
@@ -43,9 +43,9 @@
         has seen so many endpoints fail that the fault is probably its own.
         """
         now_ms = monotonic_ms()
-        if self._knowledge.registry.get(incarnation) is None:
+        if self._gateway_state.registry.get(incarnation) is None:
             return
-        breaker = self._knowledge.load_table.get_or_create(incarnation).circuit_breaker
+        breaker = self._gateway_state.load_table.get_or_create(incarnation).circuit_breaker
         answered = breaker.answered_since(now_ms - RECENT_ANSWER_MS)
         if breaker.record_failure(now_ms, began_ms):
             self._log_suspension(incarnation, self._own_vm)
@@ -62,10 +62,10 @@
         endpoints that the fault is probably its own.
         """
         for incarnation, age_ms, answered in message.rows[:ROWS_LIMIT]:
-            known = self._knowledge.registry.get(incarnation) is not None
+            known = self._gateway_state.registry.get(incarnation) is not None
             if not known or not self._is_credible(message.vm, incarnation, now_ms):
                 continue
-            breaker = self._knowledge.load_table.get_or_create(incarnation).circuit_breaker
+            breaker = self._gateway_state.load_table.get_or_create(incarnation).circuit_breaker
             if breaker.record_peer_failure(now_ms, now_ms - age_ms, answered):
                 self._log_suspension(incarnation, message.vm)
 
@@ -74,7 +74,7 @@
         self._report_filter.forget(now_ms)
 
     def _is_credible(self, vm: str, incarnation: str, now_ms: float) -> bool:
-        endpoints = len(self._knowledge.registry)
+        endpoints = len(self._gateway_state.registry)
         return self._report_filter.accept(vm, incarnation, endpoints, now_ms)
 
     def _log_suspension(self, incarnation: str, source: str) -> None:
--- a/cloverhook/gateway/forwarding.py
+++ b/cloverhook/gateway/forwarding.py
@@ -94,7 +94,7 @@
             self._count_placed,
             lambda choice: self._change_in_flight(choice, -1),
         )
-        self._splits = WeightedRoundRobin()
+        self._round_robin = WeightedRoundRobin()
         self._running: dict[str, set[RequestState]] = {}
 
     def slowdown_changed(self, incarnation: str) -> None:
@@ -130,7 +130,7 @@
         if route is None:
             kind, reason = ErrorKind.UNKNOWN_HOST, "no route matches the host and path"
             return self._reject_unrouted(request, request_id, kind, reason)
-        service = self._splits.next_service(route)
+        service = self._round_robin.next_service(route)
         state = RequestState.of(request, request_id, route, service, self._headers)
         self._retry_budget.count_request(service, request.arrived_ms)
         try:
@@ -181,9 +181,9 @@
         While another copy with the same content is being tried under a lease, the request waits for
         the outcome for as long as it may still be answered in time.
         """
-        updates, aim_ms = self._quarantine_updates, state.route.aim_ms
+        updates, objective_ms = self._quarantine_updates, state.route.aim_ms
         if await updates.admit(
-            state.keys, state.request.arrived_ms + QUARANTINE_WAIT_SHARE * aim_ms
+            state.keys, state.request.arrived_ms + QUARANTINE_WAIT_SHARE * objective_ms
         ):
             return True
         state.quarantine_left_ms = updates.quarantine.remaining_ms(state.keys, monotonic_ms())
--- a/cloverhook/gateway/log_position.py
+++ b/cloverhook/gateway/log_position.py
@@ -27,7 +27,7 @@
     def __init__(self) -> None:
         self.version = -1
         self._as_of = -1
-        self._knows_last_change = True
+        self._has_last_change = True
         self._history_floor = -1
         self._confirmed_ms: float | None = None
 
@@ -39,7 +39,7 @@
     @property
     def advertised_version(self) -> int:
         """The version that peers may rely on, or -1 while that of the last change isn't known."""
-        return self.version if self._knows_last_change else -1
+        return self.version if self._has_last_change else -1
 
     @property
     def history_floor(self) -> int:
@@ -59,16 +59,16 @@
         if version <= self.as_of <= as_of:
             self._as_of = as_of
             self.version = max(self.version, version)
-            self._knows_last_change = True
+            self._has_last_change = True
 
     def assume_last_change(self) -> None:
         """Treat the position read up to as the last change, where the last change isn't known.
 
         Peers that know less then ask for the full state.
         """
-        if not self._knows_last_change:
+        if not self._has_last_change:
             self.version = self.as_of
-            self._knows_last_change = True
+            self._has_last_change = True
 
     def record_snapshot(self, known: tuple[int, int], as_of: int, changed: bool) -> None:
         """Record that a snapshot as of a position was applied; it doesn't show the last change.
@@ -78,7 +78,7 @@
         """
         known_version, known_as_of = known
         if changed or era_of(as_of) > era_of(known_as_of):
-            self._knows_last_change = False
+            self._has_last_change = False
         self.version = known_version
         self._as_of = max(as_of, known_as_of)
         self.record_full_state(known_as_of, as_of)
@@ -86,7 +86,7 @@
     def record_peer_state(self, version: int, as_of: int) -> None:
         """Record that everything that a peer knows has been applied."""
         self.version, self._as_of = version, max(as_of, self._as_of)
-        self._knows_last_change = True
+        self._has_last_change = True
 
     def record_full_state(self, known_as_of: int, floor: int) -> None:
         """Record that a full state was applied, with all changes since `floor` known one by one."""
--- a/cloverhook/gateway/peering.py
+++ b/cloverhook/gateway/peering.py
@@ -94,7 +94,7 @@
     def __init__(
         self,
         identity: Identity,
-        knowledge: GatewayState,
+        gateway_state: GatewayState,
         members: Members,
         log: EventLog,
         on_load_report: Callable[[str], None],
@@ -112,7 +112,7 @@
         """
         self._identity = identity
         self._on_load_report = on_load_report
-        self._knowledge = knowledge
+        self._gateway_state = gateway_state
         self._members = members
         self._log = log
         self._counters = counters
@@ -129,21 +129,21 @@
             identity.vm,
             self.broadcast,
             members.in_large_data_center,
-            knowledge.needs_remote_capacity,
+            gateway_state.needs_remote_capacity,
         )
-        self.failure_updates = FailureUpdates(identity.vm, self.broadcast, knowledge, log)
+        self.failure_updates = FailureUpdates(identity.vm, self.broadcast, gateway_state, log)
         self.count_updates = CountUpdates(
-            identity.vm, self.broadcast, members, knowledge, on_in_flight_counts
+            identity.vm, self.broadcast, members, gateway_state, on_in_flight_counts
         )
         self.refusal_updates = RefusalUpdates(
-            identity.vm, self.broadcast, knowledge.load_table, knowledge.registry.get
+            identity.vm, self.broadcast, gateway_state.load_table, gateway_state.registry.get
         )
         self.quarantine_updates = QuarantineUpdates(identity.vm, self.broadcast, members, log)
         self.rate_limit_updates = RateLimitUpdates(
             identity.vm,
             self.broadcast,
             RateLimits(identity.vm, members.dispatching_vms),
-            knowledge,
+            gateway_state,
             log,
             counters,
         )
@@ -158,7 +158,7 @@
         self._has_update = False
         self._contact_due_ms = 0.0
         self._state_fetch = StateFetcher(
-            knowledge,
+            gateway_state,
             members,
             log,
             counters,
@@ -227,7 +227,7 @@
         version lacks more than the entries in `changed_names`.
         """
         now_ms = monotonic_ms()
-        document = self._knowledge.registry.to_document(now_ms, changed_names)
+        document = self._gateway_state.registry.to_document(now_ms, changed_names)
         data = encode(ServerChanges(self._identity.vm, base_version, document))
         if len(data) > DATAGRAM_LIMIT_BYTES:
             self.send_heartbeat(has_update=True)
@@ -242,11 +242,11 @@
         heartbeat is sent ahead of schedule and is valid until the next regular one: it carries the
         longer one of the two heartbeat intervals.
         """
-        own, knowledge, now_ms = self._identity, self._knowledge, monotonic_ms()
+        own, gateway_state, now_ms = self._identity, self._gateway_state, monotonic_ms()
         if every_ms is None:
-            near_ms = self._heartbeat_intervals.local_interval_ms(self.reading, now_ms)
+            local_ms = self._heartbeat_intervals.local_interval_ms(self.reading, now_ms)
             every_ms = max(
-                near_ms, self._heartbeat_intervals.remote_interval_ms(self.reading, now_ms)
+                local_ms, self._heartbeat_intervals.remote_interval_ms(self.reading, now_ms)
             )
         return Heartbeat(
             own.vm,
@@ -257,21 +257,25 @@
             self.ready,
             self.reading,
             self.leaving,
-            knowledge.config_version,
-            knowledge.registry.position.advertised_version,
+            gateway_state.config_version,
+            gateway_state.registry.position.advertised_version,
             every_ms,
             wants_answer,
             round(self._requests_per_s(now_ms)),
             1 + self._members.local_count(),
-            knowledge.evacuations.version,
-            knowledge.registry.as_of if knowledge.registry.position.advertised_version >= 0 else -1,
-            knowledge.config_as_of,
+            gateway_state.evacuations.version,
+            (
+                gateway_state.registry.as_of
+                if gateway_state.registry.position.advertised_version >= 0
+                else -1
+            ),
+            gateway_state.config_as_of,
         )
 
     def _receive_batch_ms(self) -> float:
         """Return for how long received datagrams may wait to be read in one batch."""
         return self._heartbeat_intervals.receive_batch_ms(
-            self._knowledge.load_table.has_requests(), monotonic_ms()
+            self._gateway_state.load_table.has_requests(), monotonic_ms()
         )
 
     def _send_discovery_requests(self, now_ms: float) -> None:
@@ -358,7 +362,7 @@
                 self._on_heartbeat(message, now_ms, relayed)
             case LoadReports():
                 for incarnation, report, age_ms in message.reports:
-                    self._knowledge.load_table.get_or_create(incarnation).update_from_probe(
+                    self._gateway_state.load_table.get_or_create(incarnation).update_from_probe(
                         report, now_ms - age_ms
                     )
                     self._on_load_report(incarnation)
@@ -412,18 +416,18 @@
 
         A sender that reads the store also confirms its registry version as current.
         """
-        knowledge = self._knowledge
-        knowledge.registry.position.advance_from_peer(
+        gateway_state = self._gateway_state
+        gateway_state.registry.position.advance_from_peer(
             heartbeat.registry_version, heartbeat.registry_as_of
         )
         if heartbeat.reading:
-            knowledge.registry.position.confirm_current(heartbeat.registry_version, now_ms)
-        knowledge.confirm_config_as_of(
+            gateway_state.registry.position.confirm_current(heartbeat.registry_version, now_ms)
+        gateway_state.confirm_config_as_of(
             heartbeat.config_version, heartbeat.evacuation_version, heartbeat.config_as_of
         )
 
     def _on_server_changes(self, changes: ServerChanges, now_ms: float, relayed: bool) -> None:
-        registry = self._knowledge.registry
+        registry = self._gateway_state.registry
         if changes.base_version > registry.as_of:
             member = self._members.get(changes.vm)
             if member is not None:
@@ -461,7 +465,7 @@
         """
         if "config" not in request:
             return StateReply(self._state_for(request))
-        encoded = self._knowledge.encoded_config()
+        encoded = self._gateway_state.encoded_config()
         if encoded is None or encoded.version <= request["config"]:
             return StateReply({})
         requester = Requester(request.get("peer_address", ""), request.get("data_center", ""))
@@ -475,7 +479,7 @@
 
     def _state_for(self, request: dict[str, Any]) -> dict[str, Any]:
         started_ms = monotonic_ms()
-        state = build_state_reply(request, self._knowledge, self._members, started_ms)
+        state = build_state_reply(request, self._gateway_state, self._members, started_ms)
         self._counters.add("states_sent")
         took_ms = round(monotonic_ms() - started_ms, 1)
         self._log.note(
--- a/cloverhook/gateway/quarantine.py
+++ b/cloverhook/gateway/quarantine.py
@@ -191,7 +191,7 @@
         self._adopt(vm, update, now_ms)
         return UpdateResponse()
 
-    def suspicions(self, now_ms: float) -> list[CrashRecord]:
+    def crash_records(self, now_ms: float) -> list[CrashRecord]:
         """Return the crash records to send to a new VM, those with the most crashes first."""
         return self._by_crashes(now_ms)[:CRASH_RECORDS_PER_DATAGRAM]
 
@@ -208,7 +208,7 @@
 
     def _adopt(self, vm: str, update: CrashRecord, now_ms: float) -> None:
         key, known = update.key, self._suspects.get(update.key)
-        until_ms = now_ms + min(update.hold_ms, _hold_ms(update.crashes))
+        until_ms = now_ms + min(update.hold_ms, _quarantine_ms(update.crashes))
         if known is None or update.crashes > known.crashes:
             known = self._put(key, _Suspect(update.crashes, until_ms, now_ms, claimed_ms=now_ms))
             known.lease_holder = vm if update.is_claim else ""
@@ -236,7 +236,7 @@
         return SendPermission.OWN_LEASE if ours else SendPermission.LEASE_TAKEN
 
     def _add_crash(self, key: int, crashes: int, now_ms: float) -> CrashRecord:
-        item = self._put(key, _Suspect(crashes, now_ms + _hold_ms(crashes), now_ms))
+        item = self._put(key, _Suspect(crashes, now_ms + _quarantine_ms(crashes), now_ms))
         if crashes == 1:
             return self._claim(key, now_ms)
         return self._crash_record(key, item, now_ms)
@@ -276,7 +276,7 @@
     return item.crashes > 1 and not item.lease_holder and now_ms < item.until_ms
 
 
-def _hold_ms(crashes: int) -> float:
+def _quarantine_ms(crashes: int) -> float:
     if crashes < 2:
         return LEASE_MS
     return QUARANTINE_MS[min(crashes - 2, len(QUARANTINE_MS) - 1)]
--- a/cloverhook/gateway/quarantine_updates.py
+++ b/cloverhook/gateway/quarantine_updates.py
@@ -122,7 +122,7 @@
         """Send the crash records to a VM that has just joined or returned."""
         if not len(self.quarantine) or not self._is_join_sender(member, now_ms):
             return
-        rows = tuple(self.quarantine.suspicions(now_ms))
+        rows = tuple(self.quarantine.crash_records(now_ms))
         self._broadcast.send_to([member], encode(CrashRecords(self._own_vm, rows)))
 
     def remove_expired(self, now_ms: float) -> None:
@@ -138,7 +138,7 @@
 
     def _repeat(self, keys: RequestKeys) -> None:
         """Send the quarantine of a request again if it is still in force."""
-        known = {item.key: item for item in self.quarantine.suspicions(monotonic_ms())}
+        known = {item.key: item for item in self.quarantine.crash_records(monotonic_ms())}
         self._schedule_send(known[key] for key in keys if key in known and known[key].crashes > 1)
 
     def _schedule_send(self, records: Iterable[CrashRecord]) -> None:
--- a/cloverhook/gateway/rate_limit_updates.py
+++ b/cloverhook/gateway/rate_limit_updates.py
@@ -33,14 +33,14 @@
         own_vm: str,
         broadcast: Broadcast,
         limits: RateLimits,
-        knowledge: GatewayState,
+        gateway_state: GatewayState,
         log: EventLog,
         counters: Counters,
     ) -> None:
         self._own_vm = own_vm
         self._broadcast = broadcast
         self.limits = limits
-        self._knowledge = knowledge
+        self._gateway_state = gateway_state
         self._log = log
         self._counters = counters
         self._sent_ms: dict[str, float] = {}
@@ -63,7 +63,7 @@
     def received(self, message: RateLimitUpdate, now_ms: float) -> None:
         """Apply the limits of registered endpoints that another VM has sent."""
         for row in message.rows[:ROWS_LIMIT]:
-            if self._knowledge.registry.get(row.incarnation) is None:
+            if self._gateway_state.registry.get(row.incarnation) is None:
                 continue
             self._sent_ms[row.incarnation] = now_ms
             at_ms = now_ms - row.age_ms
--- a/cloverhook/gateway/state_fetch.py
+++ b/cloverhook/gateway/state_fetch.py
@@ -60,7 +60,7 @@
 
     def __init__(
         self,
-        knowledge: GatewayState,
+        gateway_state: GatewayState,
         members: Members,
         log: EventLog,
         counters: Counters,
@@ -76,7 +76,7 @@
         has sent an invalid one, and an error.  Other VMs may request the configuration at
         `own_address` once this VM has it.
         """
-        self._knowledge = knowledge
+        self._gateway_state = gateway_state
         self._members = members
         self._log = log
         self._counters = counters
@@ -93,13 +93,13 @@
 
     def _lacks(self, part: StatePart, other: KnownVersions) -> bool:
         """Return whether another VM's version of a part is newer."""
-        knowledge = self._knowledge
+        gateway_state = self._gateway_state
         if part is StatePart.CONFIG:
-            lacks = other.config_version > knowledge.config_version
+            lacks = other.config_version > gateway_state.config_version
         else:
             lacks = (
-                other.registry_version > knowledge.registry.as_of
-                or other.evacuation_version > knowledge.evacuations.version
+                other.registry_version > gateway_state.registry.as_of
+                or other.evacuation_version > gateway_state.evacuations.version
             )
         if lacks:
             self._behind_since_ms.setdefault(part, monotonic_ms())
@@ -180,17 +180,17 @@
 
     async def _request(self, part: StatePart, address: str) -> State | None:
         """Request a part; return None if no valid answer is received."""
-        knowledge = self._knowledge
+        gateway_state = self._gateway_state
         if part is StatePart.CONFIG:
             request: State = {
-                "config": knowledge.config_version,
+                "config": gateway_state.config_version,
                 "peer_address": self._own_address,
                 "data_center": self._members.data_center,
             }
         else:
             request = {
-                "registry": knowledge.registry.as_of,
-                "evacuations": knowledge.evacuations.version,
+                "registry": gateway_state.registry.as_of,
+                "evacuations": gateway_state.evacuations.version,
             }
         started_ms = monotonic_ms()
         try:
@@ -222,51 +222,51 @@
 
     async def _apply_config(self, state: State, address: str) -> None:
         """Put a received configuration in force; it is offered to peers before it is decoded."""
-        knowledge = self._knowledge
+        gateway_state = self._gateway_state
         if not state:
             return  # The peer has no newer one.
         version, data = state.get("config_version"), state.get("config")
         if type(version) is not int or not isinstance(data, bytes):
             raise MessageError("state without a valid configuration")
-        if version <= knowledge.config_version:
+        if version <= gateway_state.config_version:
             return
         encoded = EncodedConfig(version, data)
-        knowledge.relay_config(encoded)
+        gateway_state.relay_config(encoded)
         config: GatewayConfig | None = None
         try:
             for step in encoded.decode():
                 config = step
                 await asyncio.sleep(0)
         except MessageError:
-            knowledge.stop_relaying_config(encoded)
+            gateway_state.stop_relaying_config(encoded)
             raise
-        if config is not None and knowledge.apply_config(config, monotonic_ms()):
+        if config is not None and gateway_state.apply_config(config, monotonic_ms()):
             self._log.note(EventKind.CONFIG, version=version, source=address)
             self._on_fetched(address)
 
     def _apply_servers(self, state: State, address: str) -> None:
         """Apply received backend servers and evacuations."""
-        knowledge, now_ms = self._knowledge, monotonic_ms()
+        gateway_state, now_ms = self._gateway_state, monotonic_ms()
         registry, evacuations = state.get("registry"), state.get("evacuations")
         left = Evacuations.from_document(evacuations) if evacuations else None
         if registry and not is_registry_document(registry):
             raise MessageError("state with an invalid registry")
-        if left is not None and knowledge.apply_evacuations(left, now_ms):
+        if left is not None and gateway_state.apply_evacuations(left, now_ms):
             self._log.note(EventKind.EVACUATION, **left.to_document(), source=address)
-        if registry and knowledge.registry.adopt(registry, now_ms):
+        if registry and gateway_state.registry.adopt(registry, now_ms):
             self._log.note(
                 EventKind.SERVER,
                 source=address,
-                version=knowledge.registry.version,
+                version=gateway_state.registry.version,
                 whole=registry["whole"],
-                digest=knowledge.registry.digest(),
+                digest=gateway_state.registry.digest(),
             )
         if registry or evacuations:
             self._on_fetched(address)
 
 
 def build_state_reply(
-    request: State, knowledge: GatewayState, members: Members, now_ms: float
+    request: State, gateway_state: GatewayState, members: Members, now_ms: float
 ) -> State:
     """Return the state that is newer than the versions in `request`, or the requested addresses."""
     if "addresses" in request:
@@ -274,10 +274,12 @@
         found = [item for item in alive if item.data_center == request["addresses"]]
         return {"addresses": [item.peer_address for item in found]}
     state: State = {}
-    if knowledge.registry.position.advertised_version > request.get("registry", -1):
-        state["registry"] = _registry_since(knowledge.registry, request.get("registry", -1), now_ms)
-    if knowledge.evacuations.version > request.get("evacuations", -1):
-        state["evacuations"] = knowledge.evacuations.to_document()
+    if gateway_state.registry.position.advertised_version > request.get("registry", -1):
+        state["registry"] = _registry_since(
+            gateway_state.registry, request.get("registry", -1), now_ms
+        )
+    if gateway_state.evacuations.version > request.get("evacuations", -1):
+        state["evacuations"] = gateway_state.evacuations.to_document()
     return state
 
 
--- a/cloverhook/gateway/store_follower.py
+++ b/cloverhook/gateway/store_follower.py
@@ -49,13 +49,13 @@
     def __init__(
         self,
         store: Store,
-        knowledge: GatewayState,
+        gateway_state: GatewayState,
         on_change: Callable[[tuple[str, ...], int], None],
         log: EventLog,
         counters: Counters,
     ) -> None:
         self._store = store
-        self._knowledge = knowledge
+        self._gateway_state = gateway_state
         self._on_change = on_change
         self._log = log
         self._counters = counters
@@ -99,12 +99,14 @@
         self._answered.clear()
         self._offsets.clear()
         if not self._initial_only:
-            self._knowledge.registry.position.assume_last_change()
-            self._resume_from(Feed.SERVERS, self._knowledge.registry.as_of)
-            self._resume_from(Feed.CONFIG, self._knowledge.config_as_of)
+            self._gateway_state.registry.position.assume_last_change()
+            self._resume_from(Feed.SERVERS, self._gateway_state.registry.as_of)
+            self._resume_from(Feed.CONFIG, self._gateway_state.config_as_of)
         for feed in Feed:
             self._follow_feed(feed)
-        self._log.note(EventKind.READER, action=action, registry=self._knowledge.registry.version)
+        self._log.note(
+            EventKind.READER, action=action, registry=self._gateway_state.registry.version
+        )
 
     def _resume_from(self, feed: Feed, as_of: int) -> None:
         """Read a feed on from the position known here, by own reading or from a peer's report."""
@@ -133,7 +135,7 @@
     async def _follow(self, feed: Feed) -> None:
         failures = 0
         while True:
-            if self._initial_only and self._knowledge.can_serve:
+            if self._initial_only and self._gateway_state.can_serve:
                 self.stop("enough to serve by")
                 return
             offset = self._offsets.get(feed)
@@ -162,7 +164,7 @@
             if offset is not None and era != self._eras[feed]:
                 self._offsets.pop(feed, None)  # The offset belongs to another record now.
                 continue
-            if era >= self._knowledge.store_era:
+            if era >= self._gateway_state.store_era:
                 arrived_while_waiting = monotonic_ms() - called_ms > EXISTING_RECORD_MS
                 self._apply(
                     feed, offsets_to_versions(found, era), offset is None, arrived_while_waiting
@@ -176,7 +178,7 @@
         An answer without an era is taken to be of the known era.  An answer of an earlier era comes
         from a copy, or was already under way: the caller ignores it.
         """
-        known = self._knowledge.store_era
+        known = self._gateway_state.store_era
         if found.era is None:
             if known:
                 self._log.note(EventKind.STORE, feed=feed.value, state="no-era", era=known)
@@ -189,7 +191,7 @@
             first = not self._read_era
             self._read_era = found.era
             if not first or known:
-                self._knowledge.begin_store_era(found.era, monotonic_ms())
+                self._gateway_state.begin_store_era(found.era, monotonic_ms())
                 self._log.note(EventKind.STORE, feed=feed.value, state="new-era", era=found.era)
                 self._reread_other_feeds(feed)
         return found.era
@@ -205,65 +207,67 @@
         """Return the pause before the next call for a feed."""
         if feed is Feed.CONFIG:
             return POLL_GAP_MS
-        return max(POLL_GAP_MS, POLL_GAP_DRAIN_RATIO * self._knowledge.drain_ms)
+        return max(POLL_GAP_MS, POLL_GAP_DRAIN_RATIO * self._gateway_state.drain_ms)
 
     def _apply(
         self, feed: Feed, found: FeedSlice, whole: bool, arrived_while_waiting: bool
     ) -> None:
         now_ms = monotonic_ms()
-        knowledge = self._knowledge
-        base_version = knowledge.registry.version
+        gateway_state = self._gateway_state
+        base_version = gateway_state.registry.version
         for record in found.unreadable:
             self._log.note(EventKind.STORE, feed=feed.value, state="unreadable", record=record)
         if feed is Feed.CONFIG:
             changed = self._apply_config(found, now_ms) | self._apply_evacuations(found, whole)
-            knowledge.config_as_of = max(knowledge.config_as_of, found.end_offset - 1)
+            gateway_state.config_as_of = max(gateway_state.config_as_of, found.end_offset - 1)
             if changed:
                 self._on_change((), base_version)
             return
         if whole:
-            touched = knowledge.apply_server_list(
+            touched = gateway_state.apply_server_list(
                 found.servers, found.end_offset, now_ms, follows_store=not self._initial_only
             )
             if touched:
                 self._log.note(
                     EventKind.SERVER,
-                    version=knowledge.registry.as_of,
+                    version=gateway_state.registry.as_of,
                     source="store",
                     whole=True,
                     touched=touched[:8],
-                    digest=knowledge.registry.digest(),
+                    digest=gateway_state.registry.digest(),
                 )
                 self._on_change((), base_version)
             return
         touched = [
             record.name
             for record in found.servers
-            if knowledge.apply_server_record(record, now_ms, from_long_poll=arrived_while_waiting)
+            if gateway_state.apply_server_record(
+                record, now_ms, from_long_poll=arrived_while_waiting
+            )
         ]
-        knowledge.registry.position.advance_to(found.end_offset - 1)
-        knowledge.registry.position.confirm_current(found.end_offset - 1, now_ms)
+        gateway_state.registry.position.advance_to(found.end_offset - 1)
+        gateway_state.registry.position.confirm_current(found.end_offset - 1, now_ms)
         if touched:
             self._on_change(tuple(touched), base_version)
 
     def _apply_config(self, found: FeedSlice, now_ms: float) -> bool:
-        knowledge = self._knowledge
-        taken = [config for config in found.configs if knowledge.apply_config(config, now_ms)]
+        gateway_state = self._gateway_state
+        taken = [config for config in found.configs if gateway_state.apply_config(config, now_ms)]
         if taken:
-            self._log.note(EventKind.CONFIG, version=knowledge.config_version, source="store")
+            self._log.note(EventKind.CONFIG, version=gateway_state.config_version, source="store")
         return bool(taken)
 
     def _apply_evacuations(self, found: FeedSlice, whole: bool) -> bool:
         """Apply the evacuations; return whether peers should be notified of them."""
-        knowledge = self._knowledge
+        gateway_state = self._gateway_state
         if whole:
             after = Evacuations.from_records(found.end_offset - 1, found.evacuations)
         else:
-            after = knowledge.evacuations.with_records(found.evacuations)
+            after = gateway_state.evacuations.with_records(found.evacuations)
         revoked = frozenset(item.data_center for item in found.evacuations if not item.is_evacuated)
-        if not knowledge.apply_evacuations(after, monotonic_ms(), revoked):
+        if not gateway_state.apply_evacuations(after, monotonic_ms(), revoked):
             return False
-        held = sorted(knowledge.evacuated() - after.data_centers)
+        held = sorted(gateway_state.evacuated() - after.data_centers)
         self._log.note(EventKind.EVACUATION, **after.to_document(), held=held, source="store")
         return True
 
@@ -272,7 +276,7 @@
         if since_ms is not None:
             now_ms = monotonic_ms()
             if now_ms - since_ms > OUTAGE_MS:
-                self._knowledge.record_store_recovery(now_ms)
+                self._gateway_state.record_store_recovery(now_ms)
             away_ms = round(now_ms - since_ms)
             self._log.note(EventKind.STORE, feed=feed.value, state="regained", away_ms=away_ms)
         self._answered[feed] = True
--- a/cloverhook/gateway/waiting_line.py
+++ b/cloverhook/gateway/waiting_line.py
@@ -29,7 +29,7 @@
 WORK_MARGIN = 1.2
 """A request waits for a slot only as long as work that takes this many times its estimate would
 still be in time."""
-PUT_OFF_SHARE = 0.04
+DEFERRAL_SHARE = 0.04
 """A request that is not of the top priority of its service waits for at most this share of its
 latency objective. After a longer wait it would start too late to be in time, and would take a slot
 from a request that still can be."""
@@ -81,7 +81,7 @@
     def latest_start_ms(self) -> float:
         """The time after which a free slot comes too late for this request and goes to others."""
         latest_ms = self.in_time_until_ms - WORK_MARGIN * self.work_ms
-        deferred_ms = self.arrived_ms + PUT_OFF_SHARE * self.objective_ms
+        deferred_ms = self.arrived_ms + DEFERRAL_SHARE * self.objective_ms
         return latest_ms if self.is_top_priority else min(latest_ms, deferred_ms)
 
     def may_wait_late(self, now_ms: float) -> bool:
@@ -95,7 +95,7 @@
         """Return whether a request without a free slot should be told to retry later."""
         return (
             not self.is_top_priority
-            and now_ms >= self.arrived_ms + PUT_OFF_SHARE * self.objective_ms
+            and now_ms >= self.arrived_ms + DEFERRAL_SHARE * self.objective_ms
         )
 
 
@@ -103,7 +103,7 @@
 class Decision:
     """A request leaves the queue: it starts at `choice`, or is rejected if that is None."""
 
-    waiter: QueuedRequest
+    request: QueuedRequest
     choice: Choice | None
 
 
--- a/features/decision_driver.py
+++ b/features/decision_driver.py
@@ -88,7 +88,7 @@
         """Return whether a request is neither started nor refused."""
         return request_id not in self.attempts and request_id not in self.refused
 
-    def hear(self, vm, message):
+    def receive(self, vm, message):
         """Hand the router another VM's message."""
         return self.do(PeerMessageReceived(vm, message))
 
--- a/features/era_replay.py
+++ b/features/era_replay.py
@@ -12,7 +12,7 @@
 from cloverhook.gateway.store_follower import offsets_to_versions
 from features import gateway_fleet as fleet
 
-HOLD_MS = 2_400.0
+GRACE_MS = 2_400.0
 LAPSE_MS = 1_000.0
 """Entries that vanish within this time of each other are held together."""
 REPLAY_MS = 30_000
@@ -88,23 +88,23 @@
                 self.store.remove_server(name)
 
     def _learn(self, everyone):
-        for index, knowledge in enumerate(self.vms):
+        for index, gateway_state in enumerate(self.vms):
             if everyone or self.random.random() < 0.5:
                 if index < 2:
                     self._read(index)
                 else:
                     other = self.vms[self.random.randrange(len(self.vms))]
-                    asked = {"registry": knowledge.registry.version}
+                    asked = {"registry": gateway_state.registry.version}
                     state = build_state_reply(asked, other, None, self.now_ms)
                     if "registry" in state:
-                        knowledge.registry.adopt(state["registry"], self.now_ms)
-            knowledge.expire(self.now_ms)
+                        gateway_state.registry.adopt(state["registry"], self.now_ms)
+            gateway_state.expire(self.now_ms)
 
     def _read(self, index):
-        knowledge, store = self.vms[index], self.store
+        gateway_state, store = self.vms[index], self.store
         if self.eras[index] != store.era:
             self.eras[index], self.positions[index] = store.era, None
-            knowledge.begin_store_era(store.era, self.now_ms)
+            gateway_state.begin_store_era(store.era, self.now_ms)
         log, start = store.log[Feed.SERVERS], self.positions[index]
         if start is None:
             newest = {record.name: record for record in log}
@@ -113,26 +113,31 @@
             records = tuple(log[start:])
         found = offsets_to_versions(FeedSlice((), records, len(log), era=store.era), store.era)
         if start is None:
-            knowledge.apply_server_list(found.servers, found.end_offset, self.now_ms)
+            gateway_state.apply_server_list(found.servers, found.end_offset, self.now_ms)
         else:
             for record in found.servers:
-                knowledge.apply_server_record(record, self.now_ms)
+                gateway_state.apply_server_record(record, self.now_ms)
         self.positions[index] = len(log)
 
     def _check(self):
-        for index, knowledge in enumerate(self.vms):
+        for index, gateway_state in enumerate(self.vms):
             for name in self.left:
-                used = usable(knowledge.registry, name) and not self._held(knowledge, name)
-                if not used and name in {item.name for item in knowledge.registry.servers()}:
+                used = usable(gateway_state.registry, name) and not self._in_grace_period(
+                    gateway_state, name
+                )
+                if not used and name in {item.name for item in gateway_state.registry.servers()}:
                     self.learned.setdefault((index, name), self.now_ms)
-                if usable(knowledge.registry, name):
+                if usable(gateway_state.registry, name):
                     since_ms = self.learned.get((index, name))
-                    if since_ms is not None and self.now_ms - since_ms > HOLD_MS + LAPSE_MS + 100.0:
+                    if (
+                        since_ms is not None
+                        and self.now_ms - since_ms > GRACE_MS + LAPSE_MS + 100.0
+                    ):
                         self.wrong.append((index, name, since_ms, self.now_ms))
 
     @staticmethod
-    def _held(knowledge: GatewayState, name):
-        registry: Registry = knowledge.registry
+    def _in_grace_period(gateway_state: GatewayState, name):
+        registry: Registry = gateway_state.registry
         return any(
             item.name == name and registry.in_grace_period(item) for item in registry.servers()
         )
--- a/features/gateway_crowd.py
+++ b/features/gateway_crowd.py
@@ -8,21 +8,21 @@
 from cloverhook.gateway.peer_messages import Heartbeat, Identity, Relay, decode
 from cloverhook.gateway.peering import Peering
 
-NEAR = "papine"
-FAR = "halfway-tree"
-NEAR_HOSTS = "10.1.0."
-FAR_HOSTS = "10.2.0."
+LOCAL = "papine"
+REMOTE = "halfway-tree"
+LOCAL_HOSTS = "10.1.0."
+REMOTE_HOSTS = "10.2.0."
 
 
-def heartbeat(name, data_center=NEAR):
+def heartbeat(name, data_center=LOCAL):
     """Return a ready VM's sign of life."""
     addresses = f"{name}:1", f"{name}:2"
     return Heartbeat(name, 1, data_center, *addresses, True, False, False, 1, 1)
 
 
-def members_of(own, names, now_ms=0.0, data_center=NEAR):
+def members_of(own, names, now_ms=0.0, data_center=LOCAL):
     """Return what a VM knows of others that it has just heard."""
-    members = Members(own, NEAR, now_ms)
+    members = Members(own, LOCAL, now_ms)
     for name in names:
         if name != own:
             members.record_heartbeat(heartbeat(name, data_center), now_ms)
@@ -40,7 +40,7 @@
         self.sent.append((address, data))
 
 
-def peering_of(name, names, data_center=NEAR):
+def peering_of(name, names, data_center=LOCAL):
     """Return a VM's talk with others that it has just heard, and the wire that it sends on."""
     own = Identity(name, 1, data_center, f"{name}:1", f"{name}:2")
     members = Members(name, data_center, 0.0)
@@ -54,10 +54,10 @@
     return peering
 
 
-def start_crowd(context, count):
+def start_large_data_centers(context, count):
     """Let two data centres of so many VMs know each other."""
-    context.crowd = {}
-    hosts = {NEAR: NEAR_HOSTS, FAR: FAR_HOSTS}
+    context.peerings = {}
+    hosts = {LOCAL: LOCAL_HOSTS, REMOTE: REMOTE_HOSTS}
     names = {f"{hosts[place]}{number}": place for place in hosts for number in range(count)}
     for name, place in names.items():
         own = Identity(name, 1, place, f"{name}:1", f"{name}:2")
@@ -70,26 +70,26 @@
         )
         peering.ready = True
         peering.link = peering.broadcast._link = Wire()
-        context.crowd[f"{name}:2"] = peering
+        context.peerings[f"{name}:2"] = peering
     context.now_ms = 0.0
 
 
-def pass_crowd_time(context, duration_ms):
+def pass_time_in_large_data_centers(context, duration_ms):
     """Let time pass; return how many datagrams each VM got."""
-    got = dict.fromkeys(context.crowd, 0)
+    got = dict.fromkeys(context.peerings, 0)
     end_ms = context.now_ms + duration_ms
     while context.now_ms < end_ms:
         context.now_ms += 50.0
-        for peering in context.crowd.values():
+        for peering in context.peerings.values():
             peering.tick(context.now_ms)
-        while any(peering.link.sent for peering in context.crowd.values()):
-            for peering in context.crowd.values():
+        while any(peering.link.sent for peering in context.peerings.values()):
+            for peering in context.peerings.values():
                 sent, peering.link.sent = peering.link.sent, []
                 for address, data in sent:
-                    if address not in context.crowd:
+                    if address not in context.peerings:
                         continue
                     got[address] += 1
-                    deliver(context.crowd[address], decode(data), context.now_ms)
+                    deliver(context.peerings[address], decode(data), context.now_ms)
     return got
 
 
@@ -104,7 +104,7 @@
 def named_to_callers(context):
     """Return what each VM of a crowd tells callers, by its name and data centre."""
     found = {}
-    for peering in context.crowd.values():
+    for peering in context.peerings.values():
         members, own = peering._members, peering._identity
         reaches_nobody = getattr(context, "reaches_nobody", False)
         named = set(members.caller_addresses(context.now_ms, reaches_nobody))
--- a/features/gateway_fleet.py
+++ b/features/gateway_fleet.py
@@ -109,7 +109,7 @@
     ran: list = field(default_factory=list)
     cut: int = 0
     address: str = ""
-    pace: int = 100
+    slowdown_percent: int = 100
     running: int = 0
     deaf: bool = False
     ill: bool = False
@@ -235,7 +235,7 @@
     def _head(self, status, length, request_id=b"", receipt=True, not_run=False, incarnation=False):
         lines = [
             b"HTTP/1.1 %d X" % status,
-            self.names.load + b": %d,0,4,%d" % (self.running, self.pace),
+            self.names.load + b": %d,0,4,%d" % (self.running, self.slowdown_percent),
         ]
         if self.limit_per_s is not None:
             lines.append(b"cloverhook-rate-limit: %g" % self.limit_per_s)
@@ -305,7 +305,9 @@
     await until(lambda: all(gateway._is_ready() for gateway, _ in context.gateways))
     servers = len(context.backends)
     await until(
-        lambda: all(len(gateway._knowledge.registry) == servers for gateway, _ in context.gateways)
+        lambda: all(
+            len(gateway._gateway_state.registry) == servers for gateway, _ in context.gateways
+        )
     )
 
 
--- a/features/quarantine_fleet.py
+++ b/features/quarantine_fleet.py
@@ -10,7 +10,7 @@
 from cloverhook.gateway.request_key import RequestKeys
 
 POLL_MS = 5.0
-PATIENCE_MS = 150.0
+WAIT_TIMEOUT_MS = 150.0
 ATTEMPTS = 2
 DELAY_MS = (0.5, 5.0)
 WORK_MS = (10.0, 90.0)
@@ -52,7 +52,7 @@
 
     def request(self, vm, keys):
         """Take a request of a caller at a VM."""
-        self._ask(vm, keys, self.now_ms + PATIENCE_MS, 1)
+        self._ask(vm, keys, self.now_ms + WAIT_TIMEOUT_MS, 1)
 
     def join(self, vm):
         """Add a VM, or one that starts again, which a neighbour tells what it knows."""
@@ -63,7 +63,7 @@
     def welcome(self, vm):
         """Tell a VM that is back what another one knows."""
         other = next(name for name in self.vms if name != vm and name in self.reached)
-        for news in self.vms[other].suspicions(self.now_ms):
+        for news in self.vms[other].crash_records(self.now_ms):
             self._send(other, vm, news)
 
     def _ask(self, vm, keys, give_up_ms, attempt):
@@ -101,7 +101,7 @@
         self.outcomes.crashed_ms.append(self.now_ms)
         self._tell(vm, quarantine.record_crash(keys, known, self.now_ms))
         if attempt < ATTEMPTS:
-            self._ask(vm, keys, max(give_up_ms, self.now_ms + PATIENCE_MS), attempt + 1)
+            self._ask(vm, keys, max(give_up_ms, self.now_ms + WAIT_TIMEOUT_MS), attempt + 1)
         else:
             self.outcomes.failed += 1
 
--- a/features/rate_limit_replay.py
+++ b/features/rate_limit_replay.py
@@ -46,10 +46,10 @@
 
     def _listed(self, name):
         """Return the VMs that one takes for alive: those that went are noticed at their time."""
-        look = self.now_ms // LIST_MS
+        check = self.now_ms // LIST_MS
         known = self.lists.get(name)
-        if known is None or known[0] != look:
-            known = self.lists[name] = look, self._list(name)
+        if known is None or known[0] != check:
+            known = self.lists[name] = check, self._list(name)
         return known[1]
 
     def _list(self, name):
--- a/features/registry_replay.py
+++ b/features/registry_replay.py
@@ -12,7 +12,7 @@
 CONTACT_MS = 3_000.0
 STEP_MS = 50.0
 READ_EVERY_MS = 250.0
-BEAT_EVERY_MS = 300.0
+HEARTBEAT_EVERY_MS = 300.0
 DOWN_MS = 1_000.0
 TAKEOVER_MS = 1_300.0
 READERS = 2
@@ -27,7 +27,7 @@
 class ReplayedVm:
     """A gateway of the replay."""
 
-    knowledge: GatewayState
+    gateway_state: GatewayState
     up_from_ms: float
     reader: bool = False
     read_due_ms: float = 0.0
@@ -73,7 +73,7 @@
             for vm in self.vms:
                 if self._is_up(vm):
                     self._live(vm)
-            if self._every(BEAT_EVERY_MS):
+            if self._every(HEARTBEAT_EVERY_MS):
                 self._heartbeat()
             self._check()
 
@@ -95,7 +95,7 @@
 
     def _restart(self, vms):
         for vm in vms:
-            vm.knowledge = GatewayState(DRAIN_MS)
+            vm.gateway_state = GatewayState(DRAIN_MS)
             vm.up_from_ms = self.now_ms + DOWN_MS
             vm.reader, vm.fetch_at_ms = False, None
             vm.inbox.clear()
@@ -115,22 +115,22 @@
             self.reader_gone_ms = None
 
     def _live(self, vm):
-        vm.knowledge.expire(self.now_ms)
+        vm.gateway_state.expire(self.now_ms)
         inbox, vm.inbox = vm.inbox, []
         for base_version, document in inbox:
-            if base_version <= vm.knowledge.registry.as_of:
-                vm.knowledge.registry.adopt(document, self.now_ms)
+            if base_version <= vm.gateway_state.registry.as_of:
+                vm.gateway_state.registry.adopt(document, self.now_ms)
         if vm.reader and self.now_ms >= vm.read_due_ms:
             vm.read_due_ms = self.now_ms + READ_EVERY_MS
             self._read(vm)
-        elif vm.knowledge.registry.as_of < 0:
+        elif vm.gateway_state.registry.as_of < 0:
             self._read_whole(vm)
         if vm.fetch_at_ms is not None and self.now_ms >= vm.fetch_at_ms:
             vm.fetch_at_ms = None
             self._fetch(vm)
 
     def _read(self, vm):
-        registry = vm.knowledge.registry
+        registry = vm.gateway_state.registry
         if registry.as_of < 0:
             self._read_whole(vm)
         registry.position.assume_last_change()
@@ -138,7 +138,7 @@
         touched = [
             item.name
             for item in self.log[registry.as_of + 1 :]
-            if vm.knowledge.apply_server_record(item, self.now_ms, from_long_poll=False)
+            if vm.gateway_state.apply_server_record(item, self.now_ms, from_long_poll=False)
         ]
         registry.position.advance_to(len(self.log) - 1)
         registry.position.confirm_current(registry.as_of, self.now_ms)
@@ -151,18 +151,18 @@
     def _read_whole(self, vm):
         newest = {record.name: record for record in self.log}
         records = tuple(item for item in newest.values() if item.server is not None)
-        vm.knowledge.apply_server_list(records, len(self.log), self.now_ms)
+        vm.gateway_state.apply_server_list(records, len(self.log), self.now_ms)
 
     def _heartbeat(self):
         up = [vm for vm in self.vms if self._is_up(vm)]
         for vm in up:
-            heard = [other for other in up if other.reader] + self.random.sample(up, 2)
-            for other in heard:
+            senders = [other for other in up if other.reader] + self.random.sample(up, 2)
+            for other in senders:
                 if other is not vm and self.random.random() > LOST_SHARE:
-                    self._hear(vm, other)
+                    self._receive(vm, other)
 
-    def _hear(self, vm, other):
-        registry, told = vm.knowledge.registry, other.knowledge.registry
+    def _receive(self, vm, other):
+        registry, told = vm.gateway_state.registry, other.gateway_state.registry
         if registry.as_of < told.position.advertised_version and vm.fetch_at_ms is None:
             vm.fetch_at_ms = self.now_ms + self.random.uniform(*FETCH_MS)
         if told.position.advertised_version >= 0:
@@ -171,17 +171,17 @@
             registry.position.confirm_current(told.position.advertised_version, self.now_ms)
 
     def _fetch(self, vm):
-        registry = vm.knowledge.registry
-        newest = max(other.knowledge.registry.position.advertised_version for other in self.vms)
+        registry = vm.gateway_state.registry
+        newest = max(other.gateway_state.registry.position.advertised_version for other in self.vms)
         holders = [
             other
             for other in self.vms
-            if self._is_up(other) and other.knowledge.registry.as_of >= newest
+            if self._is_up(other) and other.gateway_state.registry.as_of >= newest
         ]
         if holders and registry.as_of < newest:
             asked = {"registry": registry.as_of}
             state = build_state_reply(
-                asked, self.random.choice(holders).knowledge, None, self.now_ms
+                asked, self.random.choice(holders).gateway_state, None, self.now_ms
             )
             if "registry" in state:
                 registry.adopt(state["registry"], self.now_ms)
@@ -190,7 +190,7 @@
     def _check(self):
         in_touch = [vm for vm in self.vms if self.now_ms - vm.up_from_ms > CONTACT_MS]
         for vm in in_touch:
-            for server in vm.knowledge.registry.of_service(SERVICE):
+            for server in vm.gateway_state.registry.of_service(SERVICE):
                 left_at_ms = self.left_at_ms.get(server.name)
                 if left_at_ms is not None:
                     self.last_use_ms = max(self.last_use_ms, self.now_ms - left_at_ms)
@@ -198,7 +198,7 @@
                         self.late.append((self.now_ms, server.name))
         digests = {}
         for vm in self.vms:
-            registry = vm.knowledge.registry
+            registry = vm.gateway_state.registry
             if self._is_up(vm) and registry.position.advertised_version >= 0:
                 digests.setdefault(registry.version, set()).add(registry.digest())
         self.differing += [self.now_ms for found in digests.values() if len(found) > 1]
--- a/features/steps/claim_steps.py
+++ b/features/steps/claim_steps.py
@@ -29,19 +29,19 @@
     return time.time() * 1000
 
 
-def _book(vm="vm-0"):
+def _claim_table(vm="vm-0"):
     return ClaimTable(vm, WINDOW_MS)
 
 
-def _append(log, book, now_ms):
-    batch = book.take_batch(now_ms)
+def _append(log, claims, now_ms):
+    batch = claims.take_batch(now_ms)
     log.append(batch.to_document())
     return batch
 
 
-def _read(log, book, now_ms, first=0):
-    start = max(first, book.next_offset)
-    return book.fold(start, log[start:], now_ms)
+def _read(log, claims, now_ms, first=0):
+    start = max(first, claims.next_offset)
+    return claims.fold(start, log[start:], now_ms)
 
 
 # The book alone.
@@ -49,7 +49,7 @@
 
 @then("the first claim in the log holds the key, whichever daemon reads first")
 def step_first(context):
-    log, one, two = [], _book("vm-1"), _book("vm-2")
+    log, one, two = [], _claim_table("vm-1"), _claim_table("vm-2")
     two.claim("k", "second", 0)
     one.claim("k", "first", 5)
     _append(log, one, 5)
@@ -60,7 +60,7 @@
 
 @then("a claim that lands twice, or after its own release, never holds a key again")
 def step_doubled(context):
-    log, one, two = [], _book("vm-1"), _book("vm-2")
+    log, one, two = [], _claim_table("vm-1"), _claim_table("vm-2")
     one.claim("k", "a", 0)
     batch = _append(log, one, 0)
     assert _read(log, one, 1) == (Granted("a"),)
@@ -70,13 +70,13 @@
     two.claim("k", "b", 3)
     _append(log, two, 3)
     assert _read(log, two, 4) == (Granted("b"),)
-    late, given_up = [], _book("vm-3")
+    late, given_up = [], _claim_table("vm-3")
     given_up.claim("k", "late", 0)
     lost = given_up.take_batch(0)
     given_up.release("k", "late")
     _append(late, given_up, 1)
     late.append(lost.to_document())
-    two = _book("vm-2")
+    two = _claim_table("vm-2")
     two.claim("k", "c", 2)
     _append(late, two, 2)
     assert _read(late, two, 3) == (Granted("c"),)
@@ -84,7 +84,7 @@
 
 @then("a claim whose append was not answered is asked for again and counts once")
 def step_lost(context):
-    log, one = [], _book()
+    log, one = [], _claim_table()
     one.claim("k", "a", 0)
     batch = _append(log, one, 0)
     one.append_failed(batch)
@@ -101,7 +101,7 @@
 
 @then("a key is free again after its release or its window, by the times in the log")
 def step_window(context):
-    log, one, two = [], _book("vm-1"), _book("vm-2")
+    log, one, two = [], _claim_table("vm-1"), _claim_table("vm-2")
     one.claim("k", "a", 0)
     _append(log, one, 0)
     two.claim("k", "b", WINDOW_MS)
@@ -114,7 +114,7 @@
 
 @then("what has run is known to every daemon")
 def step_known(context):
-    log, one, two = [], _book("vm-1"), _book("vm-2")
+    log, one, two = [], _claim_table("vm-1"), _claim_table("vm-2")
     one.claim("k", "a", 0)
     _append(log, one, 0)
     _read(log, one, 0)
@@ -127,7 +127,7 @@
 
 @then("a daemon that missed records grants nothing until a window has passed")
 def step_missed(context):
-    log, one, two = [], _book("vm-1"), _book("vm-2")
+    log, one, two = [], _claim_table("vm-1"), _claim_table("vm-2")
     one.claim("k", "a", 0)
     _append(log, one, 0)
     two.claim("k", "b", 1)
@@ -141,12 +141,12 @@
 
 @then("records that are no claims change nothing")
 def step_invalid(context):
-    book = _book()
-    book.claim("k", "a", 0)
-    good = book.take_batch(0).to_document()
+    claims = _claim_table()
+    claims.claim("k", "a", 0)
+    good = claims.take_batch(0).to_document()
     bad = [{}, {**good, "claims": [["k"]]}, {**good, "vm": 1}, {**good, "released": None}]
-    assert book.fold(0, [*bad, good], 0) == (Granted("a"),)
-    assert book.next_offset == len(bad) + 1
+    assert claims.fold(0, [*bad, good], 0) == (Granted("a"),)
+    assert claims.next_offset == len(bad) + 1
 
 
 @then("no key runs twice while appends are lost, late and doubled and daemons start over")
@@ -160,43 +160,43 @@
 def _random_run(source):
     """Let three daemons work on a few keys; return how many requests ran."""
     log, delayed, held, ran = [], [], {}, {}
-    books = {f"vm-{index}": _book(f"vm-{index}") for index in range(3)}
+    claim_tables = {f"vm-{index}": _claim_table(f"vm-{index}") for index in range(3)}
     for step in range(STEPS):
-        vm = source.choice(sorted(books))
-        book, claim_id, key = books[vm], f"c{step}", f"k{source.randrange(KEYS)}"
+        vm = source.choice(sorted(claim_tables))
+        claims, claim_id, key = claim_tables[vm], f"c{step}", f"k{source.randrange(KEYS)}"
         match source.randrange(8):
             case 0 | 1:
-                book.claim(key, claim_id, step)
+                claims.claim(key, claim_id, step)
                 held[claim_id] = (vm, key)
-            case 2 | 3 if book.has_batch:
-                batch = book.take_batch(step)
+            case 2 | 3 if claims.has_batch:
+                batch = claims.take_batch(step)
                 if source.random() < 0.6:
                     log.append(batch.to_document())
                 elif source.random() < 0.7:
                     delayed.append(batch.to_document())
                 if source.random() < 0.4:
-                    book.append_failed(batch)
+                    claims.append_failed(batch)
             case 4 | 5:
-                for decision in _read(log, book, step):
-                    _follow(source, book, held, ran, decision)
+                for decision in _read(log, claims, step):
+                    _follow(source, claims, held, ran, decision)
             case 6 if delayed:
                 log.append(delayed[source.randrange(len(delayed))])
             case 7 if source.random() < 0.1:
-                books[vm] = _book(vm)
+                claim_tables[vm] = _claim_table(vm)
                 held = {name: item for name, item in held.items() if item[0] != vm}
     assert all(count == 1 for count in ran.values()), ran
     return len(ran)
 
 
-def _follow(source, book, held, ran, decision):
+def _follow(source, claims, held, ran, decision):
     vm, key = held.pop(decision.claim_id, (None, None))
     if vm is None:
         return
     if isinstance(decision, Granted) and source.random() < 0.4:
         ran[key] = ran.get(key, 0) + 1
-        book.mark_ran(key, decision.claim_id)
+        claims.mark_ran(key, decision.claim_id)
     else:
-        book.release(key, decision.claim_id)
+        claims.release(key, decision.claim_id)
 
 
 # The way to the log, over a platform in this process.
@@ -219,8 +219,8 @@
 @given("a way to a log that loses one append and refuses the next")
 def step_claim_log(context):
     context.platform = _FailingPlatform()
-    book = ClaimTable("vm-0", WINDOW_MS)
-    context.claims = ClaimLog(context.platform, book, _now_ms, WAIT_MS, appends_per_s=10)
+    claim_table = ClaimTable("vm-0", WINDOW_MS)
+    context.claims = ClaimLog(context.platform, claim_table, _now_ms, WAIT_MS, appends_per_s=10)
 
 
 @then("{count:d} claims at once are all granted, with {appends:d} appends at most")
--- a/features/steps/control_cost_steps.py
+++ b/features/steps/control_cost_steps.py
@@ -336,12 +336,12 @@
 
 @given("a listener that has answered a request")
 def step_listener(context):
-    looks = context.stack.enter_context(
+    checks = context.stack.enter_context(
         mock.patch.object(
             uvicorn.Server, "on_tick", autospec=True, side_effect=uvicorn.Server.on_tick
         )
     )
-    context.looks = looks
+    context.checks = checks
 
     async def start():
         context.listener = Listener(_answer, "127.0.0.1:0")
@@ -357,7 +357,7 @@
 @then("it has looked once at whether to stop after half a second")
 def step_looked_once(context):
     run(context, asyncio.sleep(LOOK_AFTER_S))
-    assert context.looks.call_count == 1, context.looks.call_count
+    assert context.checks.call_count == 1, context.checks.call_count
 
 
 @then("it stops when it is told to")
--- a/features/steps/dispatch_steps.py
+++ b/features/steps/dispatch_steps.py
@@ -147,8 +147,8 @@
 
 @then("a load that grows to 80 percent is told in few steps, each a second apart")
 def step_told(context):
-    for look in range(200):
+    for check in range(200):
         context.limit.observe(0.0, busy=0.8)
-        context.watch.report_if_changed(1_000.0 + 50.0 * look)
+        context.watch.report_if_changed(1_000.0 + 50.0 * check)
     assert context.told[-1] == 8, context.told
     assert len(context.told) <= 3, context.told
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -315,13 +315,13 @@
             message = decode(altered_data)
         except MessageError:
             return
-        knowledge = GatewayState()
+        gateway_state = GatewayState()
         match message:
             case ServerChanges():
-                knowledge.registry.adopt(message.document, 0.0)
+                gateway_state.registry.adopt(message.document, 0.0)
             case LoadReports():
                 for incarnation, figure, age_ms in message.reports:
-                    knowledge.load_table.get_or_create(incarnation).update_from_probe(
+                    gateway_state.load_table.get_or_create(incarnation).update_from_probe(
                         figure, -age_ms
                     )
             case CrashRecords():
@@ -329,7 +329,7 @@
                     Quarantine("vm-own").apply_update(message.vm, row, 0.0)
             case InFlightCounts():
                 for incarnation, number in message.counts.items():
-                    knowledge.load_table.get_or_create(incarnation).set_peer_in_flight(
+                    gateway_state.load_table.get_or_create(incarnation).set_peer_in_flight(
                         message.vm, number, 0.0
                     )
 
@@ -404,17 +404,17 @@
     )
 
 
-def tell(knowledge, offset, server, now_ms=1_000.0):
+def tell(gateway_state, offset, server, now_ms=1_000.0):
     """Tell a gateway what the store says under the endpoint's name."""
-    return knowledge.apply_server_record(ServerRecord(NAME, offset, server), now_ms)
+    return gateway_state.apply_server_record(ServerRecord(NAME, offset, server), now_ms)
 
 
 @given("a gateway's knowledge of an endpoint that is loaded, slow, failing and warm")
 def step_known(context):
-    context.knowledge = knowledge = GatewayState()
+    context.gateway_state = gateway_state = GatewayState()
     context.first, context.second = life(BORN_MS, 7), life(BORN_MS + 9, 1, warm_at_ms=4_000.0)
-    tell(knowledge, 3, context.first)
-    load = knowledge.load_table.get_or_create(context.first.incarnation)
+    tell(gateway_state, 3, context.first)
+    load = gateway_state.load_table.get_or_create(context.first.incarnation)
     load.update(LoadReport(2, 1, 4.0), 900.0)
     load.in_flight = 2
     load.set_peer_in_flight("vm-2", 3, 900.0)
@@ -424,57 +424,57 @@
 
 @when("the endpoint starts again under its name")
 def step_reborn(context):
-    assert tell(context.knowledge, 4, context.second)
+    assert tell(context.gateway_state, 4, context.second)
 
 
 @when("the endpoint drains, leaves, and starts again under its name")
 def step_left_and_reborn(context):
-    tell(context.knowledge, 4, life(BORN_MS, 8, draining=True))
-    tell(context.knowledge, 5, None)
-    assert not context.knowledge.registry.of_service("orders")
-    assert tell(context.knowledge, 6, context.second)
+    tell(context.gateway_state, 4, life(BORN_MS, 8, draining=True))
+    tell(context.gateway_state, 5, None)
+    assert not context.gateway_state.registry.of_service("orders")
+    assert tell(context.gateway_state, 6, context.second)
 
 
 @then("the new incarnation is cold and nothing of before counts for it")
 def step_new(context):
-    knowledge = context.knowledge
-    (server,) = knowledge.registry.of_service("orders")
+    gateway_state = context.gateway_state
+    (server,) = gateway_state.registry.of_service("orders")
     assert server == context.second and server.warm_at_ms == 4_000.0 and not server.draining
-    load = knowledge.load_table.get_or_create(server.incarnation)
+    load = gateway_state.load_table.get_or_create(server.incarnation)
     assert load.load(1_000.0) == 0 and load.slowdown(1_000.0) == 1.0
     assert load.failure_share(1_000.0) == 0.0 and load.latest_report is None
-    assert context.first.incarnation in knowledge.expire(1_000.0)
+    assert context.first.incarnation in gateway_state.expire(1_000.0)
     assert server.name == NAME
 
 
 @then("what was told of the earlier one changes nothing")
 def step_no_change(context):
-    board = context.knowledge.load_table
-    board.get_or_create(context.first.incarnation).update_from_probe(LoadReport(2, 4, 9.0), 1_100.0)
-    board.get_or_create(context.first.incarnation).set_peer_in_flight("vm-2", 3, 1_100.0)
-    assert board.get_or_create(context.second.incarnation).load(1_100.0) == 0
-    board.get_or_create(context.first.incarnation).in_flight = 0
-    board.remove_unknown(context.knowledge.registry.get)
-    assert context.second.incarnation not in board.in_flight()
+    table = context.gateway_state.load_table
+    table.get_or_create(context.first.incarnation).update_from_probe(LoadReport(2, 4, 9.0), 1_100.0)
+    table.get_or_create(context.first.incarnation).set_peer_in_flight("vm-2", 3, 1_100.0)
+    assert table.get_or_create(context.second.incarnation).load(1_100.0) == 0
+    table.get_or_create(context.first.incarnation).in_flight = 0
+    table.remove_unknown(context.gateway_state.registry.get)
+    assert context.second.incarnation not in table.in_flight()
 
 
 @when("the store tells a report of the earlier start, and one of the same start that was overtaken")
 def step_late(context):
     newer = life(BORN_MS + 9, 5, draining=True)
-    tell(context.knowledge, 5, newer)
-    assert not tell(context.knowledge, 6, life(BORN_MS, 8))
-    assert not tell(context.knowledge, 7, life(BORN_MS + 9, 4))
+    tell(context.gateway_state, 5, newer)
+    assert not tell(context.gateway_state, 6, life(BORN_MS, 8))
+    assert not tell(context.gateway_state, 7, life(BORN_MS + 9, 4))
 
 
 @then("the newer one stays as it is")
 def step_stays(context):
-    (server,) = context.knowledge.registry.of_service("orders")
+    (server,) = context.gateway_state.registry.of_service("orders")
     assert server.born_ms == BORN_MS + 9 and server.draining
 
 
 @then("a peer that was told the same in another order has the same")
 def step_peer(context):
-    known = context.knowledge.registry.to_document(1_000.0)
+    known = context.gateway_state.registry.to_document(1_000.0)
     peer = GatewayState()
     tell(peer, 8, life(BORN_MS, 8))
     peer.registry.adopt({**known, "version": 9}, 1_000.0)
@@ -490,7 +490,7 @@
         context.store.put_server(context.backend.entry(born_ms=BORN_MS, sequence=1))
         gateway, settings = context.gateways[0]
         context.address = settings.caller_address
-        registry = gateway._knowledge.registry
+        registry = gateway._gateway_state.registry
         await fleet.until(lambda: registry.of_service(fleet.SERVICE)[0].born_ms == BORN_MS)
         assert (await fleet.call(context.address)).status == 200
 
@@ -522,11 +522,11 @@
 def step_served(context):
     async def serve():
         gateway, _ = context.gateways[0]
-        registry = gateway._knowledge.registry
+        registry = gateway._gateway_state.registry
         await fleet.until(lambda: registry.of_service(fleet.SERVICE)[0].born_ms == BORN_MS + 5)
         (server,) = registry.of_service(fleet.SERVICE)
         assert server.warm_at_ms > monotonic_ms()
-        load = gateway._knowledge.load_table.get_or_create(server.incarnation)
+        load = gateway._gateway_state.load_table.get_or_create(server.incarnation)
         assert load.in_flight == 0 and load.failure_share(monotonic_ms()) == 0.0
         answer = await fleet.call(context.address)
         assert answer.status == 200 and len(context.reborn.ran) == 1
--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -47,7 +47,7 @@
     context.gateways[0][0]._log.flush()
 
 
-def story(context, request_id=REQUEST_ID):
+def explanation(context, request_id=REQUEST_ID):
     """Return the story, from lines in another order and with a collector's words before them."""
     lines = [f"2026-01-01 vm-x {line}" for line in context.log.decode().splitlines()]
     random.Random(3).shuffle(lines)
@@ -58,14 +58,14 @@
 
 @then("its story names the cause {cause}")
 def step_cause(context, cause):
-    found = story(context)
+    found = explanation(context)
     assert found.cause.startswith(f"{cause} ({context.answer.status})"), found.to_text()
     assert REQUEST_ID in found.to_text()
 
 
 @then("it names each backend server that was asked, its load, the age of that and the outcome")
 def step_attempts(context):
-    attempts = [line for line in story(context).lines if line.kind == "attempt"]
+    attempts = [line for line in explanation(context).lines if line.kind == "attempt"]
     assert {line.fields["address"] for line in attempts} == {x.address for x in context.asked}
     for line in attempts:
         assert {"load", "pace", "figure_age_ms", "outcome", "latency_ms"} <= line.fields.keys()
@@ -73,13 +73,13 @@
 
 @then("it says what the gateway had learned before")
 def step_beliefs(context):
-    kinds = {line.kind for line in story(context).state_changes}
+    kinds = {line.kind for line in explanation(context).state_changes}
     assert {"started", "config", "server"} <= kinds, kinds
 
 
 @then("the story of an unknown identifier says that nothing names it")
 def step_unknown(context):
-    assert "no line names it" in story(context, "r-unknown").to_text()
+    assert "no line names it" in explanation(context, "r-unknown").to_text()
 
 
 def tool(*arguments):
--- a/features/steps/gateway_broadcast_steps.py
+++ b/features/steps/gateway_broadcast_steps.py
@@ -25,7 +25,7 @@
 from cloverhook.gateway.registry import Registry
 from cloverhook.gateway.state_fetch import build_state_reply
 from features import gateway_fleet as fleet
-from features.gateway_crowd import FAR, NEAR, Wire, heartbeat, members_of, peering_of
+from features.gateway_crowd import LOCAL, REMOTE, Wire, heartbeat, members_of, peering_of
 from features.shared import run
 
 PROBE_MS = 50
@@ -35,12 +35,14 @@
 def step_two_data_centers(context):
     async def start():
         await fleet.start_fleet(context, 0, 0)
-        for index, name in enumerate((NEAR, FAR)):
+        for index, name in enumerate((LOCAL, REMOTE)):
             backend = await fleet.Backend(f"i-{index}").start(context)
             context.backends.append(backend)
             context.store.put_server(backend.entry(data_center=name))
         context.gateways = [
-            await fleet.start_gateway(context, f"vm-{index}", data_center=(NEAR, FAR)[index % 2])
+            await fleet.start_gateway(
+                context, f"vm-{index}", data_center=(LOCAL, REMOTE)[index % 2]
+            )
             for index in range(6)
         ]
         addresses = [settings.peer_address for _, settings in context.gateways]
@@ -69,7 +71,7 @@
     async def watch():
         await fleet.until(lambda: sum(item._follower.active for item, _ in context.gateways) == 2)
         gateway, settings = next(item for item in context.gateways if not item[0]._follower.active)
-        far = {
+        remote = {
             other.peer_address
             for _, other in context.gateways
             if other.data_center != settings.data_center
@@ -78,11 +80,11 @@
 
         def record(address, data):
             message = decode(data)
-            if address in far and isinstance(message, Relay):
+            if address in remote and isinstance(message, Relay):
                 heartbeats.extend(
                     item for item in (decode(message.data),) if isinstance(item, Heartbeat)
                 )
-            assert address not in far or isinstance(message, Relay | Heartbeat), message
+            assert address not in remote or isinstance(message, Relay | Heartbeat), message
             send(address, data)
 
         gateway._peering.link.send_encoded = record
@@ -100,20 +102,20 @@
 
 @then("all gateways know that pace")
 def step_all_know_pace(context):
-    def paces():
+    def slowdowns():
         figures = [
-            gateway._knowledge.load_table.get_or_create("i-0").latest_report
+            gateway._gateway_state.load_table.get_or_create("i-0").latest_report
             for gateway, _ in context.gateways
         ]
-        return {figure.slowdown if figure else 0 for figure in figures}
+        return {load_report.slowdown if load_report else 0 for load_report in figures}
 
-    run(context, fleet.until(lambda: paces() == {7.0}))
+    run(context, fleet.until(lambda: slowdowns() == {7.0}))
 
 
 @when("it has learned of a change from a peer and reads the next one in the store")
 def step_learned(context):
     gateway, _ = context.gateways[0]
-    registry = gateway._knowledge.registry
+    registry = gateway._gateway_state.registry
     context.told = []
 
     async def change():
@@ -121,7 +123,7 @@
         context.backends.append(late)
         peer = Registry()
         peer.adopt(registry.to_document(0.0), 0.0)
-        entry = BackendServer("i-peer", fleet.SERVICE, "127.0.0.1:1", NEAR)
+        entry = BackendServer("i-peer", fleet.SERVICE, "127.0.0.1:1", LOCAL)
         context.peer_version = registry.version + 1
         peer.apply(ServerRecord("i-peer", context.peer_version, entry), 0.0, False)
         registry.adopt(peer.to_document(0.0), 0.0)
@@ -151,7 +153,7 @@
 @given("a VM with 3 VMs in another data centre")
 def step_far_vms(context):
     context.wire = Wire()
-    members = members_of("vm-0", ("vm-1", "vm-2", "vm-3"), data_center=FAR)
+    members = members_of("vm-0", ("vm-1", "vm-2", "vm-3"), data_center=REMOTE)
     context.broadcast = Broadcast("vm-0", context.wire, members)
 
 
@@ -214,7 +216,7 @@
     async def tell():
         for name in context.names:
             peering = peering_of(name, context.names)
-            peering._knowledge.load_table.get_or_create("i-0").in_flight = 1
+            peering._gateway_state.load_table.get_or_create("i-0").in_flight = 1
             peering.count_updates.count_changed("i-0")
             await asyncio.sleep(0.005)
             sent = peering.link.sent
@@ -274,7 +276,7 @@
     context.wire = Wire()
     heard_ms = monotonic_ms() + 600_000.0  # They stay alive, however long this process stalls.
     members = members_of("vm-0", ("vm-1", "vm-2"), heard_ms)
-    members.record_heartbeat(heartbeat("vm-far", FAR), heard_ms)
+    members.record_heartbeat(heartbeat("vm-far", REMOTE), heard_ms)
     context.updates = LoadUpdates("vm-0", Broadcast("vm-0", context.wire, members))
     context.figures = {f"i-{number}": LoadReport(0, 0, 1.0) for number in range(count)}
 
@@ -284,8 +286,8 @@
     context.wire.sent.clear()
 
     async def hand_over():
-        for name, figure in context.figures.items():
-            context.updates.add(name, figure, at_ms)
+        for name, load_report in context.figures.items():
+            context.updates.add(name, load_report, at_ms)
         await asyncio.sleep(0.05)
 
     run(context, hand_over())
@@ -343,7 +345,7 @@
         await fleet.until(lambda: sum(item._follower.active for item, _ in context.gateways) == 2)
         context.store.put_config(fleet.config(5))
         await fleet.until(
-            lambda: {item._knowledge.config_version for item, _ in context.gateways} == {5}
+            lambda: {item._gateway_state.config_version for item, _ in context.gateways} == {5}
         )
 
     try:
@@ -354,16 +356,16 @@
 
 @then("every gateway has it, and it has crossed {most:d} times at most")
 def step_crossings(context, most):
-    assert {item._knowledge.config_version for item, _ in context.gateways} == {5}
+    assert {item._gateway_state.config_version for item, _ in context.gateways} == {5}
     assert len(context.crossed) <= most, context.crossed
 
 
 @when("it tells a change of the registry while the next relay is dead")
 def step_change_told(context):
     names = ["vm-0", "vm-1", "vm-2", "vm-3"]
-    peering = peering_of("vm-0", names, data_center=FAR)
-    entry = BackendServer("i-1", fleet.SERVICE, "127.0.0.1:1", NEAR, draining=True)
-    peering._knowledge.registry.apply(ServerRecord("i-1", 4, entry), 0.0, False)
+    peering = peering_of("vm-0", names, data_center=REMOTE)
+    entry = BackendServer("i-1", fleet.SERVICE, "127.0.0.1:1", LOCAL, draining=True)
+    peering._gateway_state.registry.apply(ServerRecord("i-1", 4, entry), 0.0, False)
     peering.broadcast_registry_changes(3, ("i-1",))
     context.sent = peering.link.sent
     context.dead = context.sent[0][0]
@@ -378,7 +380,7 @@
 @given("{count:d} VMs of one data centre, to each of which callers send {rate:d} requests a second")
 def step_requests(context, count, rate):
     names = [f"vm-{number}" for number in range(count)]
-    context.members = Members(names[0], NEAR, 0.0)
+    context.members = Members(names[0], LOCAL, 0.0)
     for name in names[1:]:
         context.members.record_heartbeat(replace(heartbeat(name), requests_per_s=rate), 0.0)
 
@@ -417,7 +419,7 @@
 def put(context, number, **fields):
     """Let an endpoint report to the first registry."""
     name = f"i-{number}"
-    server = BackendServer(name, "s", f"10.0.0.{number}:1", NEAR, **fields)
+    server = BackendServer(name, "s", f"10.0.0.{number}:1", LOCAL, **fields)
     context.first.apply(ServerRecord(name, context.offset, server), 0.0, False)
     context.offset += 1
 
@@ -430,10 +432,10 @@
 
 def ask(context):
     """Let the second registry ask the first; return how many rows it was told."""
-    knowledge = GatewayState()
-    knowledge.registry = context.first
+    gateway_state = GatewayState()
+    gateway_state.registry = context.first
     asked = {"registry": context.second.version}
-    state = build_state_reply(asked, knowledge, Members("vm-0", NEAR, 0.0), 0.0)
+    state = build_state_reply(asked, gateway_state, Members("vm-0", LOCAL, 0.0), 0.0)
     if "registry" not in state:
         return 0
     context.second.adopt(state["registry"], 0.0)
--- a/features/steps/gateway_changes_steps.py
+++ b/features/steps/gateway_changes_steps.py
@@ -11,7 +11,7 @@
 from cloverhook.gateway.state_fetch import build_state_reply
 from cloverhook.gateway.transfer_queue import Refer, Requester, Send, TransferQueue
 from features import gateway_fleet as fleet
-from features.gateway_crowd import FAR, NEAR, peering_of
+from features.gateway_crowd import LOCAL, REMOTE, peering_of
 from features.registry_replay import RegistryReplay
 from features.shared import run
 from features.transfer_replay import TransferReplay
@@ -38,8 +38,8 @@
 
 @when("one of them leaves and a gateway that starts then reads the whole list")
 def step_newcomer(context):
-    context.newcomer = GatewayState()
-    context.newcomer.apply_server_list(records_of({0: 0, 2: 2, 3: 6}), 7, 0.0)
+    context.new_vm = GatewayState()
+    context.new_vm.apply_server_list(records_of({0: 0, 2: 2, 3: 6}), 7, 0.0)
 
 
 @then("the first one has dropped that server once it has the other's state")
@@ -47,16 +47,16 @@
     behind = context.behind
     context.known_as_of = behind.registry.as_of
     asked = {"registry": behind.registry.as_of}
-    state = build_state_reply(asked, context.newcomer, None, 100.0)
+    state = build_state_reply(asked, context.new_vm, None, 100.0)
     assert behind.registry.adopt(state["registry"], 100.0)
     behind.expire(100.0 + behind.drain_ms)
     assert behind.registry.get("i-1") is None
-    assert behind.registry.digest() == context.newcomer.registry.digest()
+    assert behind.registry.digest() == context.new_vm.registry.digest()
 
 
 @then("changes that the other one tells build on more than the first knew")
 def step_build_on(context):
-    assert context.newcomer.registry.version > context.known_as_of
+    assert context.new_vm.registry.version > context.known_as_of
 
 
 @given(
@@ -109,31 +109,31 @@
 
 @then("at most {count:d} copies cross to each other data centre")
 def step_few_crossings(context, count):
-    crossings = [replay.crossings for replay in context.replays]
+    remote_transfers = [replay.remote_transfers for replay in context.replays]
     others = len({*context.replays[0].data_centers.values()}) - 1
-    assert max(crossings) <= others * count, crossings
+    assert max(remote_transfers) <= others * count, remote_transfers
 
 
 @given("a VM that has sent a configuration to {count:d} VMs of another data centre")
 def step_sent_far(context, count):
-    context.queue = TransferQueue(NEAR)
-    context.receivers = [Requester(f"vm-{number}:2", FAR) for number in range(count)]
+    context.queue = TransferQueue(LOCAL)
+    context.receivers = [Requester(f"vm-{number}:2", REMOTE) for number in range(count)]
     for receiver in context.receivers:
         assert context.queue.request_transfer(receiver) == [Send(receiver)]
         context.queue.transfer_ended(receiver, received=True)
-    context.asker = Requester("vm-late:2", FAR)
+    context.requester = Requester("vm-late:2", REMOTE)
 
 
 @then("another one of there is referred to one of the {count:d}")
 def step_referred(context, count):
-    (action,) = context.queue.request_transfer(context.asker)
+    (action,) = context.queue.request_transfer(context.requester)
     assert isinstance(action, Refer), action
     assert action.peer_address in {item.peer_address for item in context.receivers[:count]}
 
 
 @then("is sent the configuration when it asks once more")
 def step_sent_again(context):
-    assert context.queue.request_transfer(context.asker) == [Send(context.asker)]
+    assert context.queue.request_transfer(context.requester) == [Send(context.requester)]
 
 
 @given("{gateways:d} gateways and a configuration of {routes:d} routes")
@@ -156,7 +156,7 @@
 async def until_in_force(context, version):
     """Wait until every gateway serves by a version."""
     await fleet.until(
-        lambda: {item._knowledge.config_version for item, _ in context.gateways} == {version}
+        lambda: {item._gateway_state.config_version for item, _ in context.gateways} == {version}
     )
 
 
@@ -204,13 +204,13 @@
 
 @when("it hears that a backend server has left")
 def step_hears_of_leaving(context):
-    async def hear():
+    async def receive():
         context.asked.clear()
         context.peering._members.get("vm-1").registry_version = 40
         context.peering._state_fetch.schedule_fetch("vm-1", immediately=True)
         await fleet.until(lambda: context.asked)
 
-    run(context, hear())
+    run(context, receive())
 
 
 @then("it has asked for that before the configuration has come")
--- a/features/steps/gateway_choice_steps.py
+++ b/features/steps/gateway_choice_steps.py
@@ -21,27 +21,29 @@
 def step_service(context, count):
     context.now_ms = 0.0
     context.names = [f"i-{number}" for number in range(count)]
-    registry, context.board = Registry(), LoadTable()
+    registry, context.load_table = Registry(), LoadTable()
     for number, name in enumerate(context.names):
         entry = BackendServer(name, SERVICE, "10.0.0.1:80", f"dc-{number % 5}", SLOTS)
         registry.apply(ServerRecord(name, number, entry), 0.0, False)
-        pace = 5.0 if number % 4 == 0 else 1.0
-        context.board.get_or_create(name).update(LoadReport(0, 0, pace), 0.0)
-    context.balancer = Balancer(registry, context.board, WorkEstimates(), "dc-0", random.Random(7))
+        slowdown = 5.0 if number % 4 == 0 else 1.0
+        context.load_table.get_or_create(name).update(LoadReport(0, 0, slowdown), 0.0)
+    context.balancer = Balancer(
+        registry, context.load_table, WorkEstimates(), "dc-0", random.Random(7)
+    )
 
 
-class Looks:
+class LoadChecks:
     """Counts how many endpoints' loads are looked at."""
 
     def __init__(self):
         self.count = 0
 
     def __enter__(self):
-        look = ServerLoad.load
+        original = ServerLoad.load
 
         def load(item, now_ms):
             self.count += 1
-            return look(item, now_ms)
+            return original(item, now_ms)
 
         self._patch = mock.patch.object(ServerLoad, "load", load)
         self._patch.start()
@@ -53,17 +55,19 @@
 
 @then("a choice weighs at most {limit:d} of them and finds one at its usual pace")
 def step_bounded(context, limit):
-    for room in (CapacityRequirement.NO_SLOWDOWN, CapacityRequirement.FREE_SLOT):
-        with Looks() as looks:
-            choice = context.balancer.choose(SERVICE, WORK_MS, context.now_ms, (), room)
-        assert looks.count <= limit + 1, looks.count
+    for required_capacity in (CapacityRequirement.NO_SLOWDOWN, CapacityRequirement.FREE_SLOT):
+        with LoadChecks() as checks:
+            choice = context.balancer.choose(
+                SERVICE, WORK_MS, context.now_ms, (), required_capacity
+            )
+        assert checks.count <= limit + 1, checks.count
         assert choice.slowdown == 1.0
 
 
 @when("all of them are full")
 def step_fill(context):
     for name in context.names:
-        context.board.get_or_create(name).update(LoadReport(SLOTS, 0, 1.0), context.now_ms)
+        context.load_table.get_or_create(name).update(LoadReport(SLOTS, 0, 1.0), context.now_ms)
 
 
 @then(
@@ -74,31 +78,31 @@
     for _ in range(count):
         context.line.add(QueuedRequest(SERVICE, 1, WORK_MS, context.now_ms, 10_000.0, 20_000.0))
     assert context.line.next(SERVICE, context.now_ms) is None
-    with Looks() as looks:
+    with LoadChecks() as checks:
         for _ in range(10):
             assert context.line.next(SERVICE, context.now_ms) is None
-    assert looks.count == 0, looks.count
+    assert checks.count == 0, checks.count
 
 
 @when("one of them has room again")
 def step_room(context):
     context.now_ms += 1.0
     context.freed = context.names[-1]
-    context.board.get_or_create(context.freed).update(LoadReport(1, 0, 1.0), context.now_ms)
+    context.load_table.get_or_create(context.freed).update(LoadReport(1, 0, 1.0), context.now_ms)
 
 
 @then("a request that waits starts there")
 def step_starts(context):
-    with Looks() as looks:
+    with LoadChecks() as checks:
         decision = context.line.next(SERVICE, context.now_ms)
     assert decision.choice.server.incarnation == context.freed, decision
-    assert looks.count <= 2, looks.count
+    assert checks.count <= 2, checks.count
 
 
 @when("all of them are full by what a peer said that is silent since")
 def step_fill_by_peer(context):
     for name in context.names:
-        context.board.get_or_create(name).set_peer_in_flight("vm-9", SLOTS, context.now_ms)
+        context.load_table.get_or_create(name).set_peer_in_flight("vm-9", SLOTS, context.now_ms)
     assert (
         context.balancer.choose(SERVICE, WORK_MS, context.now_ms, (), CapacityRequirement.FREE_SLOT)
         is None
--- a/features/steps/gateway_cold_steps.py
+++ b/features/steps/gateway_cold_steps.py
@@ -108,28 +108,28 @@
     balancers = []
     for name in names:
         limit = ColdLimit(name, lambda *_: names, lambda _: RATE_PER_S, BOUND)
-        board = LoadTable()
+        load_table = LoadTable()
         balancer = Balancer(
             registry,
-            board,
+            load_table,
             WorkEstimates(),
             DATA_CENTER,
             source,
             cold_limit=limit if limited else None,
         )
-        balancers.append((balancer, board))
+        balancers.append((balancer, load_table))
     sent_ms, ends, now_ms = defaultdict(list), [], 0.0
     while now_ms < LENGTH_MS:
         now_ms += source.expovariate(rate) * 1_000
         while ends and ends[0][0] <= now_ms:
             _, _, load = heapq.heappop(ends)
             load.in_flight -= 1
-        balancer, board = source.choice(balancers)
+        balancer, load_table = source.choice(balancers)
         choice = balancer.choose(SERVICE, WORK_MS, now_ms, (), CapacityRequirement.FREE_SLOT)
         if choice is None:
             continue
         balancer.record_placement(choice.server, now_ms)
-        load = board.get_or_create(choice.server.incarnation)
+        load = load_table.get_or_create(choice.server.incarnation)
         load.in_flight += 1
         heapq.heappush(ends, (now_ms + 2 * WORK_MS, id(load) + source.random(), load))
         sent_ms[choice.server.incarnation].append(now_ms)
@@ -182,10 +182,10 @@
 
 @given("a load figure of a probe that says cold for {cold:d} ms")
 def step_figure(context, cold):
-    figure = LoadReport(0, 0, 1.0, cold_for_ms=float(cold))
+    load_report = LoadReport(0, 0, 1.0, cold_for_ms=float(cold))
     context.here, context.peer = LoadTable().get_or_create("i-1"), LoadTable().get_or_create("i-1")
-    context.here.update_from_probe(figure, 0.0)
-    told = decode(encode(LoadReports("vm-1", (("i-1", figure, 0.0),))))
+    context.here.update_from_probe(load_report, 0.0)
+    told = decode(encode(LoadReports("vm-1", (("i-1", load_report, 0.0),))))
     context.peer.update_from_probe(told.reports[0][1], 0.0)
 
 
--- a/features/steps/gateway_crossing_steps.py
+++ b/features/steps/gateway_crossing_steps.py
@@ -17,7 +17,7 @@
 from cloverhook.gateway.load_updates import LoadUpdates
 from cloverhook.gateway.members import Members
 from cloverhook.gateway.peer_messages import InFlightCountChanges, InFlightCounts, Relay, decode
-from features.gateway_crowd import NEAR, Wire, heartbeat
+from features.gateway_crowd import LOCAL, Wire, heartbeat
 from features.shared import run
 
 OTHERS = ("halfway-tree", "new-kingston")
@@ -27,39 +27,41 @@
 def start_vm(context):
     """Know a VM in each other data centre, and 4 endpoints in each data centre."""
     now_ms = monotonic_ms()
-    context.knowledge = knowledge = GatewayState()
-    context.members = Members("vm-0", NEAR, now_ms)
+    context.gateway_state = gateway_state = GatewayState()
+    context.members = Members("vm-0", LOCAL, now_ms)
     for place in OTHERS:
         context.members.record_heartbeat(heartbeat(f"vm-{place}", place), now_ms)
     offset = 0
-    for name, place in (("here", NEAR), *zip(("lost", "else"), OTHERS, strict=True)):
+    for name, place in (("here", LOCAL), *zip(("lost", "else"), OTHERS, strict=True)):
         for number in range(4):
             server = BackendServer(f"{name}-{number}", "s", "10.0.0.1:1", place, 3)
-            knowledge.registry.apply(ServerRecord(server.name, offset, server), now_ms, False)
+            gateway_state.registry.apply(ServerRecord(server.name, offset, server), now_ms, False)
             offset += 1
     context.wire = Wire()
     context.updates = CountUpdates(
         "vm-0",
         Broadcast("vm-0", context.wire, context.members),
         context.members,
-        knowledge,
+        gateway_state,
         lambda: None,
     )
 
 
 def lose(context, count, how):
     """Take that many endpoints of another data centre away."""
-    knowledge, now_ms = context.knowledge, monotonic_ms()
+    gateway_state, now_ms = context.gateway_state, monotonic_ms()
     for name in [f"lost-{number}" for number in range(count)]:
         if how == "can't be reached":
-            knowledge.load_table.get_or_create(name).update_from_probe(UNREACHABLE_REPORT, now_ms)
+            gateway_state.load_table.get_or_create(name).update_from_probe(
+                UNREACHABLE_REPORT, now_ms
+            )
         elif how == "have vanished":
-            knowledge.registry.apply(ServerRecord(name, 50, None), now_ms, False)
+            gateway_state.registry.apply(ServerRecord(name, 50, None), now_ms, False)
     if how == "are evacuated" and count:
-        knowledge.apply_evacuations(Evacuations(60, frozenset(OTHERS[:1])), 0.0)
+        gateway_state.apply_evacuations(Evacuations(60, frozenset(OTHERS[:1])), 0.0)
 
 
-def told_far(context, kind):
+def sent_to_remote(context, kind):
     """Return the messages of a kind that went to other data centres, with their addresses."""
     relayed = [(place, decode(data)) for place, data in context.wire.sent]
     inner = [(at, decode(item.data)) for at, item in relayed if isinstance(item, Relay)]
@@ -75,7 +77,7 @@
 @when("the count at an endpoint changes")
 def step_change(context):
     async def change():
-        context.knowledge.load_table.get_or_create(ENDPOINT).in_flight += 1
+        context.gateway_state.load_table.get_or_create(ENDPOINT).in_flight += 1
         context.updates.count_changed(ENDPOINT)
         await asyncio.sleep(0.05)
 
@@ -84,7 +86,7 @@
 
 @then("a VM of each other data centre is {told} of it")
 def step_told(context, told):
-    found = told_far(context, InFlightCountChanges)
+    found = sent_to_remote(context, InFlightCountChanges)
     assert len({at for at, _ in found}) == (2 if told == "told" else 0), found
     assert all(message.counts == {ENDPOINT: 1} for _, message in found)
 
@@ -93,7 +95,7 @@
 def step_told_again(context, told):
     context.wire.sent.clear()
     context.updates.resend_all(monotonic_ms() + 300.0)
-    found = told_far(context, InFlightCounts)
+    found = sent_to_remote(context, InFlightCounts)
     assert len({at for at, _ in found}) == (2 if told == "told" else 0), found
     assert all(message.counts == {ENDPOINT: 1} for _, message in found)
 
@@ -110,7 +112,7 @@
 def step_changes(context, count):
     async def change():
         for _ in range(count):
-            context.knowledge.load_table.get_or_create(ENDPOINT).in_flight += 1
+            context.gateway_state.load_table.get_or_create(ENDPOINT).in_flight += 1
             context.updates.count_changed(ENDPOINT)
             await asyncio.sleep(0.004)
         await asyncio.sleep(0.3)
@@ -121,7 +123,7 @@
 
 @then("it tells other data centres at most {most:d} times, and of the last change too")
 def step_bounded(context, most):
-    found = [message for _, message in told_far(context, InFlightCountChanges)]
+    found = [message for _, message in sent_to_remote(context, InFlightCountChanges)]
     # Each is sent to two data centres; the last one may come after the second.
     assert len(found) <= 2 * (most + 1), len(found)
     assert found[-1].counts == {ENDPOINT: context.changes}
@@ -151,7 +153,7 @@
 @then("it knows of {count:d}")
 def step_knows(context, count):
     assert (
-        context.knowledge.load_table.get_or_create(ENDPOINT).known_in_flight(monotonic_ms())
+        context.gateway_state.load_table.get_or_create(ENDPOINT).known_in_flight(monotonic_ms())
         == count
     )
 
@@ -163,18 +165,18 @@
 
 @then("another data centre hears of it within 100 ms if requests have to cross, and not else")
 def step_far_figures(context):
-    async def measure(crossing):
+    async def measure(needs_remote_capacity):
         wire = Wire()
         broadcast = Broadcast("vm-0", wire, context.members)
-        news = LoadUpdates("vm-0", broadcast, lambda: True, lambda now_ms: crossing)
+        news = LoadUpdates("vm-0", broadcast, lambda: True, lambda now_ms: needs_remote_capacity)
         begun_ms = monotonic_ms()
         news.add(ENDPOINT, LoadReport(1, 0, 1.0), begun_ms)
         await asyncio.sleep(0.3)
         before = len(wire.sent)
         news.add(ENDPOINT, LoadReport(2, 0, 1.0), begun_ms + 300.0)
         await asyncio.sleep(0.1)
-        far = [decode(data) for _, data in wire.sent[before:]]
-        return any(isinstance(item, Relay) for item in far)
+        relayed = [decode(data) for _, data in wire.sent[before:]]
+        return any(isinstance(item, Relay) for item in relayed)
 
     assert run(context, measure(True))
     assert not run(context, measure(False))
@@ -184,13 +186,13 @@
 def step_waits(context, cost):
     class Line:
         def __init__(self):
-            self.looks = []
+            self.checks = []
 
         def __len__(self):
             return 1
 
         def services(self):
-            self.looks.append(monotonic_ms())
+            self.checks.append(monotonic_ms())
             time.sleep(cost / 1_000)
             return ()
 
@@ -200,21 +202,21 @@
 
 @when("news of others comes {count:d} times within {span:d} ms")
 def step_news(context, count, span):
-    async def hear():
+    async def receive():
         for _ in range(count):
             context.last_ms = monotonic_ms()
             context.admission.schedule_admission()
             await asyncio.sleep(span / count / 1_000)
         await asyncio.sleep(0.1)
 
-    context.line.looks.clear()
-    run(context, hear())
+    context.line.checks.clear()
+    run(context, receive())
 
 
 @then("it has looked at most {most:d} times, and once after the last news")
 def step_looked(context, most):
-    looks = context.line.looks
-    span_ms = context.last_ms - looks[0]
+    checks = context.line.checks
+    span_ms = context.last_ms - checks[0]
     # A slow machine takes longer for the news, and has time for more looks meanwhile.
-    assert len(looks) <= max(most, 2 + span_ms / 12.0), looks
-    assert looks[-1] >= context.last_ms, looks
+    assert len(checks) <= max(most, 2 + span_ms / 12.0), checks
+    assert checks[-1] >= context.last_ms, checks
--- a/features/steps/gateway_crowd_steps.py
+++ b/features/steps/gateway_crowd_steps.py
@@ -11,45 +11,45 @@
 from cloverhook.gateway.members import Members
 from cloverhook.gateway.peer_messages import LoadReports, Relay, encode
 from features.gateway_crowd import (
-    FAR,
-    FAR_HOSTS,
-    NEAR,
-    NEAR_HOSTS,
+    LOCAL,
+    LOCAL_HOSTS,
+    REMOTE,
+    REMOTE_HOSTS,
     heartbeat,
     members_of,
     named_to_callers,
-    pass_crowd_time,
+    pass_time_in_large_data_centers,
     peering_of,
-    start_crowd,
+    start_large_data_centers,
 )
 from features.shared import run
 
 
 @given("{count:d} VMs in each of two data centres that know each other")
 def step_crowd(context, count):
-    start_crowd(context, count)
+    start_large_data_centers(context, count)
 
 
 @then("each hears at most {limit:d} heartbeats in a second")
 def step_few_beats(context, limit):
-    pass_crowd_time(context, 3_000)
-    got = pass_crowd_time(context, 3_000)
+    pass_time_in_large_data_centers(context, 3_000)
+    got = pass_time_in_large_data_centers(context, 3_000)
     assert max(got.values()) <= 3 * limit, max(got.values())
 
 
 @then("after {time_s:d} seconds each knows all neighbours and {count:d} VMs elsewhere to be alive")
 def step_crowd_alive(context, time_s, count):
-    pass_crowd_time(context, time_s * 1_000)
-    for peering in context.crowd.values():
+    pass_time_in_large_data_centers(context, time_s * 1_000)
+    for peering in context.peerings.values():
         alive = peering._members.alive(context.now_ms)
         near = [item for item in alive if item.data_center == peering._identity.data_center]
-        assert len(near) == len(context.crowd) // 2 - 1, len(near)
+        assert len(near) == len(context.peerings) // 2 - 1, len(near)
         assert len(alive) - len(near) == count, len(alive) - len(near)
 
 
 @then("all of a data centre name the same {count:d} of its VMs to callers")
 def step_names_near(context, count):
-    for place, hosts in ((NEAR, NEAR_HOSTS), (FAR, FAR_HOSTS)):
+    for place, hosts in ((LOCAL, LOCAL_HOSTS), (REMOTE, REMOTE_HOSTS)):
         found = named_to_callers(context)
         (named,) = {answer for (where, _), answer in found.items() if where == place}
         assert len(named) == count and all(item.startswith(hosts) for item in named), named
@@ -57,15 +57,17 @@
 
 @when("one that callers are sent to falls silent")
 def step_serving_silent(context):
-    pass_crowd_time(context, 3_000)
+    pass_time_in_large_data_centers(context, 3_000)
     context.before = named_to_callers(context)
-    context.silent_vm = next(iter(context.crowd.values()))._members.serving_vms(context.now_ms)[0]
-    del context.crowd[f"{context.silent_vm}:2"]
+    context.silent_vm = next(iter(context.peerings.values()))._members.serving_vms(context.now_ms)[
+        0
+    ]
+    del context.peerings[f"{context.silent_vm}:2"]
 
 
 @then("{time_s:d} seconds later another one is named in its place, and no other has changed")
 def step_replaced(context, time_s):
-    pass_crowd_time(context, time_s * 1_000)
+    pass_time_in_large_data_centers(context, time_s * 1_000)
     after = named_to_callers(context)
     for key, named in after.items():
         gone, new = context.before[key] - named, named - context.before[key]
@@ -82,27 +84,27 @@
 
 @when("all others but one are killed")
 def step_others_dead(context):
-    pass_crowd_time(context, 3_000)
-    context.alone = next(iter(context.crowd.values()))
+    pass_time_in_large_data_centers(context, 3_000)
+    context.alone = next(iter(context.peerings.values()))
     context.before = named_to_callers(context)
-    context.crowd = {context.alone._identity.peer_address: context.alone}
+    context.peerings = {context.alone._identity.peer_address: context.alone}
 
 
 @then("{time_s:d} seconds later it names the same {count:d}")
 def step_names_same(context, time_s, count):
-    pass_crowd_time(context, time_s * 1_000)
+    pass_time_in_large_data_centers(context, time_s * 1_000)
     ((key, named),) = named_to_callers(context).items()
     assert named == context.before[key] and len(named) == count, named
 
 
 @then("{time_s:d} seconds later it names itself alone")
 def step_names_itself(context, time_s):
-    pass_crowd_time(context, time_s * 1_000)
+    pass_time_in_large_data_centers(context, time_s * 1_000)
     (named,) = named_to_callers(context).values()
     assert named == {context.alone._identity.caller_address}, named
 
 
-def told_figures(context, peering, relayed):
+def load_report_receivers(context, peering, relayed):
     """Return which VMs one of a crowd sends a load figure of its own, or a relayed one."""
 
     async def tell():
@@ -122,37 +124,37 @@
 
 @then("{count:d} of a data centre are told load figures, of which callers are sent to {serving:d}")
 def step_audience(context, count, serving):
-    pass_crowd_time(context, 1_000)
-    for peering in list(context.crowd.values())[:5]:
+    pass_time_in_large_data_centers(context, 1_000)
+    for peering in list(context.peerings.values())[:5]:
         peering._on_load_report = lambda incarnation: None
         informed = peering._members.load_subscribers(context.now_ms)
         assert informed[:serving] == peering._members.serving_vms(context.now_ms)
         expected = {f"{vm}:2" for vm in informed} - {peering._identity.peer_address}
         assert len(informed) == count
         for relayed in (False, True):
-            assert told_figures(context, peering, relayed) == expected
+            assert load_report_receivers(context, peering, relayed) == expected
 
 
 @then("one that has requests all the same is told load figures too")
 def step_teller(context):
-    pass_crowd_time(context, 1_000)
-    peering = next(iter(context.crowd.values()))
+    pass_time_in_large_data_centers(context, 1_000)
+    peering = next(iter(context.peerings.values()))
     members = peering._members
     standby = next(
         item
         for item in members.local_members()
         if item.vm not in members.load_subscribers(context.now_ms)
     )
-    assert standby.peer_address not in told_figures(context, peering, False)
+    assert standby.peer_address not in load_report_receivers(context, peering, False)
     members.record_count_sender(standby.vm, context.now_ms)
-    assert standby.peer_address in told_figures(context, peering, False)
+    assert standby.peer_address in load_report_receivers(context, peering, False)
 
 
 @given("a VM that hears {heard:d} of {total:d} VMs of another data centre and {near:d} neighbours")
 def step_unheard(context, heard, total, near):
     context.members = members_of("vm-own", [f"vm-{number}" for number in range(near)])
     for number in range(heard):
-        told = replace(heartbeat(f"far-{number}", FAR), near_vms=total)
+        told = replace(heartbeat(f"far-{number}", REMOTE), near_vms=total)
         context.members.record_heartbeat(told, 0.0)
     context.members.forget(0.0)
 
@@ -169,12 +171,12 @@
     ), context.members.estimated_fleet_size()
 
 
-def hears_within_ms(context, chosen):
+def receives_within_ms(context, chosen):
     """Return within what times the VMs of a crowd hear whose `Members` are chosen."""
     now_ms = monotonic_ms()
     found = {
         peering._receive_batch_ms()
-        for peering in context.crowd.values()
+        for peering in context.peerings.values()
         if chosen(peering._members, now_ms)
     }
     assert found
@@ -183,7 +185,7 @@
 
 @then("one that callers are sent to hears at once")
 def step_serving_hears(context):
-    assert hears_within_ms(context, Members.serves_callers) == {0.0}
+    assert receives_within_ms(context, Members.serves_callers) == {0.0}
 
 
 @then("one that would be next hears within 10 ms, and any other one within 100 ms")
@@ -194,15 +196,15 @@
     def is_other(members, now_ms):
         return not members.is_load_subscriber(now_ms)
 
-    assert hears_within_ms(context, is_next) == {10.0}
-    assert hears_within_ms(context, is_other) == {100.0}
+    assert receives_within_ms(context, is_next) == {10.0}
+    assert receives_within_ms(context, is_other) == {100.0}
 
 
 @then("one that has a request hears at once")
 def step_busy_hears(context):
-    for peering in context.crowd.values():
-        peering._knowledge.load_table.get_or_create("i-0").in_flight = 1
-    assert hears_within_ms(context, lambda members, now_ms: True) == {0.0}
+    for peering in context.peerings.values():
+        peering._gateway_state.load_table.get_or_create("i-0").in_flight = 1
+    assert receives_within_ms(context, lambda members, now_ms: True) == {0.0}
 
 
 @then("each of these few hears at once")
@@ -213,18 +215,18 @@
 
 @when("a third of the other data centre dies without a sign")
 def step_far_deaths(context):
-    pass_crowd_time(context, 8_000)
-    far = [address for address in context.crowd if address.startswith(FAR_HOSTS)]
+    pass_time_in_large_data_centers(context, 8_000)
+    far = [address for address in context.peerings if address.startswith(REMOTE_HOSTS)]
     context.dead = set(far[::3])
     for address in context.dead:
-        del context.crowd[address]
+        del context.peerings[address]
 
 
 @then("{time_s:d} seconds later nothing is sent to the dead ones to be relayed")
 def step_no_dead_relay(context, time_s):
-    pass_crowd_time(context, time_s * 1_000)
-    for address, peering in context.crowd.items():
-        if address.startswith(NEAR_HOSTS):
-            relays = peering._members.relay_candidates(context.now_ms)[FAR]
+    pass_time_in_large_data_centers(context, time_s * 1_000)
+    for address, peering in context.peerings.items():
+        if address.startswith(LOCAL_HOSTS):
+            relays = peering._members.relay_candidates(context.now_ms)[REMOTE]
             assert len(relays) >= 10
             assert context.dead.isdisjoint(item.peer_address for item in relays)
--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -28,15 +28,15 @@
 from cloverhook.gateway.waiting_line import QueuedRequest, RequestQueue
 from features import gateway_fleet as fleet
 
-NEAR = "papine"
-FAR = "halfway-tree"
+LOCAL = "papine"
+REMOTE = "halfway-tree"
 SLOTS = 4
 WORK_MS = 50.0
 TIMEOUT_MS = 1_000
-AIM_MS = 400.0
+OBJECTIVE_MS = 400.0
 
 
-def server(name, data_center=NEAR, **fields):
+def server(name, data_center=LOCAL, **fields):
     """Return a backend server that is warm at 20 s on the scenario's clock."""
     fields = {"warm_at_ms": 20_000.0, **fields}
     return BackendServer(name, fleet.SERVICE, "10.0.0.1:9000", data_center, SLOTS, **fields)
@@ -45,7 +45,7 @@
 def fill(context, *names):
     """Report that backend servers have all their slots in use."""
     for name in names:
-        context.board.get_or_create(name).update(LoadReport(SLOTS, 0, 1.0), context.now_ms)
+        context.load_table.get_or_create(name).update(LoadReport(SLOTS, 0, 1.0), context.now_ms)
 
 
 def chosen(context, count=100):
@@ -183,8 +183,8 @@
 def step_list_without(context):
     entries = tuple(ServerRecord(f"i-{x}", x, server(f"i-{x}")) for x in range(4))
     context.both = GatewayState(), GatewayState()
-    for knowledge in context.both:
-        knowledge.apply_server_list(entries, 4, context.now_ms)
+    for gateway_state in context.both:
+        gateway_state.apply_server_list(entries, 4, context.now_ms)
     context.list = (*entries[1:], ServerRecord("i-9", 5, server("i-9")))
     reader, peer = context.both
     touched = reader.apply_server_list(context.list, 6, context.now_ms)
@@ -194,9 +194,9 @@
 @then("both drop that one, also when the peer reads the same list")
 def step_both_drop(context):
     context.both[1].apply_server_list(context.list, 6, context.now_ms)
-    for knowledge in context.both:
-        knowledge.expire(context.now_ms + 3_000)
-        names = {item.incarnation for item in knowledge.registry.servers()}
+    for gateway_state in context.both:
+        gateway_state.expire(context.now_ms + 3_000)
+        names = {item.incarnation for item in gateway_state.registry.servers()}
         assert names == {"i-1", "i-2", "i-3", "i-9"}, names
 
 
@@ -205,8 +205,8 @@
     context.now_ms = 10_000.0
     entries = tuple(ServerRecord(f"i-{x}", x, server(f"i-{x}")) for x in range(4))
     context.both = GatewayState(), GatewayState()
-    for knowledge in context.both:
-        knowledge.apply_server_list(entries, 4, context.now_ms)
+    for gateway_state in context.both:
+        gateway_state.apply_server_list(entries, 4, context.now_ms)
     report = ServerRecord("i-0", 5, server("i-0", sequence=1))
     assert not context.both[1].apply_server_record(report, context.now_ms)
 
@@ -221,9 +221,9 @@
 
 @then("neither uses the first 3 s later")
 def step_neither(context):
-    for knowledge in context.both:
-        knowledge.expire(context.now_ms + 3_000)
-        assert knowledge.registry.get("i-0") is None
+    for gateway_state in context.both:
+        gateway_state.expire(context.now_ms + 3_000)
+        assert gateway_state.registry.get("i-0") is None
 
 
 @given("a registry with 4 backend servers and a copy of it from before a change")
@@ -269,28 +269,28 @@
 @given("a balancer over 6 backend servers, 3 of them in another data centre")
 def step_balancer(context):
     step_registry(context)
-    context.board = LoadTable()
+    context.load_table = LoadTable()
     for offset in range(6):
         name = f"{'near' if offset < 3 else 'far'}-{offset % 3}"
-        entry = server(name, NEAR if offset < 3 else FAR)
+        entry = server(name, LOCAL if offset < 3 else REMOTE)
         context.registry.apply(ServerRecord(name, offset, entry), context.now_ms, False)
     context.balancer = Balancer(
-        context.registry, context.board, WorkEstimates(), NEAR, random.Random(1)
+        context.registry, context.load_table, WorkEstimates(), LOCAL, random.Random(1)
     )
 
 
 @when("one of the own data centre works 7 times as long and one is full")
 def step_slow(context):
-    context.board.get_or_create("near-0").update(LoadReport(0, 0, 7.0), context.now_ms)
+    context.load_table.get_or_create("near-0").update(LoadReport(0, 0, 7.0), context.now_ms)
     fill(context, "near-1")
 
 
 @when("a peer tells that it can't reach two of the own data centre")
 def step_peer_unreachable(context):
     nobody = LoadReport(0, 0, 1.0, reachable=False)
-    told = LoadReports("vm-2", (("near-0", nobody, 0.0), ("near-1", nobody, 0.0)))
-    for name, figure, age_ms in decode(encode(told)).reports:
-        context.board.get_or_create(name).update(figure, context.now_ms - age_ms)
+    load_reports = LoadReports("vm-2", (("near-0", nobody, 0.0), ("near-1", nobody, 0.0)))
+    for name, load_report, age_ms in decode(encode(load_reports)).reports:
+        context.load_table.get_or_create(name).update(load_report, context.now_ms - age_ms)
 
 
 @then("all requests go to the third of them")
@@ -306,7 +306,7 @@
 
 @when("a figure that says 7 times as long is 1600 ms old")
 def step_stale(context):
-    context.board.get_or_create("near-0").update(LoadReport(0, 0, 7.0), context.now_ms)
+    context.load_table.get_or_create("near-0").update(LoadReport(0, 0, 7.0), context.now_ms)
     assert "near-0" not in chosen(context)
     context.now_ms += 1_600
 
@@ -315,14 +315,14 @@
 def step_believed(context):
     assert "near-0" not in chosen(context)
     for name in ("near-1", "near-2", "far-0", "far-1", "far-2"):
-        context.board.get_or_create(name).update(LoadReport(0, 0, 7.0), context.now_ms)
+        context.load_table.get_or_create(name).update(LoadReport(0, 0, 7.0), context.now_ms)
     assert chosen(context) == {"near-0"}
 
 
 @when("one of them fails 5 requests")
 def step_fail(context):
     for _ in range(5):
-        context.board.get_or_create("near-0").record_failure(context.now_ms)
+        context.load_table.get_or_create("near-0").record_failure(context.now_ms)
 
 
 @then("it gets none of the next 100 requests")
@@ -365,7 +365,7 @@
 @given("{vms:d} VMs with an allowance of {ratio:g} of the requests and {extra:d} more in 10 s")
 def step_allowance(context, vms, ratio, extra):
     context.ratio, context.extra = ratio, extra
-    context.allowances = [RetryBudget(ratio, extra, 10_000) for _ in range(vms)]
+    context.retry_budgets = [RetryBudget(ratio, extra, 10_000) for _ in range(vms)]
 
 
 @when("each repeats as much as it may over {windows:d} windows of {count:d} requests")
@@ -373,10 +373,10 @@
     context.requests, context.repeats = [], []
     for step in range(windows * count):
         now_ms = step * 10_000 / count
-        for allowance in context.allowances:
-            allowance.count_request(fleet.SERVICE, now_ms)
+        for retry_budget in context.retry_budgets:
+            retry_budget.count_request(fleet.SERVICE, now_ms)
             context.requests.append(now_ms)
-            while allowance.try_take(fleet.SERVICE, now_ms, len(context.allowances)):
+            while retry_budget.try_take(fleet.SERVICE, now_ms, len(context.retry_budgets)):
                 context.repeats.append(now_ms)
 
 
@@ -392,33 +392,35 @@
 @given("a waiting line before {count:d} backend servers that are full")
 def step_line(context, count):
     step_registry(context)
-    context.board = LoadTable()
+    context.load_table = LoadTable()
     for offset in range(count):
         name = f"i-{offset}"
         context.registry.apply(ServerRecord(name, offset, server(name)), context.now_ms, False)
         fill(context, name)
-    balancer = Balancer(context.registry, context.board, WorkEstimates(), NEAR, random.Random(1))
+    balancer = Balancer(
+        context.registry, context.load_table, WorkEstimates(), LOCAL, random.Random(1)
+    )
     context.line = RequestQueue(balancer)
     context.left = []
 
 
-def wait(context, priority, urgent):
+def wait(context, priority, top_priority):
     """Let a request wait."""
-    waiter = QueuedRequest(
+    queued = QueuedRequest(
         fleet.SERVICE,
         priority,
         WORK_MS,
         context.now_ms,
-        AIM_MS,
+        OBJECTIVE_MS,
         context.now_ms + TIMEOUT_MS,
-        is_top_priority=urgent,
+        is_top_priority=top_priority,
     )
-    context.line.add(waiter)
-    look(context)
-    return waiter
+    context.line.add(queued)
+    check_queue(context)
+    return queued
 
 
-def look(context, later_ms=0.0):
+def check_queue(context, later_ms=0.0):
     """Keep the decisions that are due."""
     context.now_ms += later_ms
     while (decision := context.line.next(fleet.SERVICE, context.now_ms)) is not None:
@@ -427,43 +429,46 @@
 
 @when("two requests that can be put off and an urgent one want it")
 def step_wait(context):
-    context.waiters = [wait(context, 2, False), wait(context, 2, False)]
+    context.queued_requests = [wait(context, 2, False), wait(context, 2, False)]
 
 
 @then("those that can be put off are refused after a 25th of their objective")
 def step_refused_early(context):
     assert not context.left
-    look(context, AIM_MS / 25 - 1)
+    check_queue(context, OBJECTIVE_MS / 25 - 1)
     assert not context.left
-    look(context, 2)
-    assert [item.waiter for item in context.left] == context.waiters
+    check_queue(context, 2)
+    assert [item.request for item in context.left] == context.queued_requests
     assert all(item.choice is None for item in context.left)
 
 
 @then("the urgent one starts as soon as there is room")
 def step_starts(context):
-    context.waiters.append(wait(context, 1, True))
+    context.queued_requests.append(wait(context, 1, True))
     assert len(context.left) == 2
     context.now_ms += 10
-    context.board.get_or_create("i-0").update(LoadReport(SLOTS - 1, 0, 1.0), context.now_ms)
-    look(context)
-    assert context.left[-1].waiter is context.waiters[2] and context.left[-1].choice is not None
+    context.load_table.get_or_create("i-0").update(LoadReport(SLOTS - 1, 0, 1.0), context.now_ms)
+    check_queue(context)
+    assert (
+        context.left[-1].request is context.queued_requests[2]
+        and context.left[-1].choice is not None
+    )
 
 
 @when("a request of priority 1 waits past its objective and for half of its time")
 def step_overdue(context):
-    context.waiters = [wait(context, 1, True)]
+    context.queued_requests = [wait(context, 1, True)]
     assert not context.left
     for _ in range(5):
         fill(context, "i-0")
-        look(context, TIMEOUT_MS / 10 - 1)
+        check_queue(context, TIMEOUT_MS / 10 - 1)
     assert not context.left
-    look(context, 6)
+    check_queue(context, 6)
 
 
 @then("it is started or refused, and not held to its deadline")
 def step_not_held(context):
-    assert [item.waiter for item in context.left] == context.waiters
+    assert [item.request for item in context.left] == context.queued_requests
 
 
 class Fleet:
@@ -474,7 +479,7 @@
         self.silent = set()
         self.members = {}
         for name in (f"vm-{index}" for index in range(count)):
-            self.members[name] = Members(name, NEAR, 0.0)
+            self.members[name] = Members(name, LOCAL, 0.0)
         self.reading = dict.fromkeys(self.members, False)
         for own, members in self.members.items():
             for name in self.members.keys() - {own}:
@@ -483,7 +488,7 @@
     def heartbeat(self, name):
         """Return a VM's sign of life."""
         reading = self.reading[name]
-        return Heartbeat(name, 1, NEAR, f"{name}:1", f"{name}:2", True, reading, False, 1, 1)
+        return Heartbeat(name, 1, LOCAL, f"{name}:1", f"{name}:2", True, reading, False, 1, 1)
 
     def pass_time(self, duration_ms):
         """Let time pass."""
@@ -565,7 +570,7 @@
     source = random.Random(5)
     messages = (
         Heartbeat(
-            "vm", 1, NEAR, "10.0.0.1:1", "10.0.0.2:2", True, False, False, 1, 1, 3_000.0, True
+            "vm", 1, LOCAL, "10.0.0.1:1", "10.0.0.2:2", True, False, False, 1, 1, 3_000.0, True
         ),
         Relay("vm", b"inner"),
         LoadReports("vm", (("i", LoadReport(1, 2, 7.0), 3.0),)),
@@ -619,8 +624,8 @@
 @given("a load figure of pace 1 at 0 ms, 7 at 100 ms and 2 at 800 ms")
 def step_figures(context):
     context.load = LoadTable().get_or_create("i-0")
-    for at_ms, pace in ((0.0, 1.0), (100.0, 7.0), (800.0, 2.0)):
-        context.load.update(LoadReport(0, 0, pace), at_ms)
+    for at_ms, slowdown in ((0.0, 1.0), (100.0, 7.0), (800.0, 2.0)):
+        context.load.update(LoadReport(0, 0, slowdown), at_ms)
 
 
 @then("at {at_ms:d} ms it should have done {work_ms:d} ms of work at the usual pace")
@@ -654,13 +659,13 @@
 @given("an allowance that counts over 10 s")
 def step_rate_allowance(context):
     context.now_ms = 0.0
-    context.allowance = RetryBudget(0.2, 10, 10_000)
+    context.retry_budget = RetryBudget(0.2, 10, 10_000)
 
 
 @when("50 requests have come in 5 s")
 def step_rate_requests(context):
     for _ in range(50):
-        context.allowance.count_request("s", context.now_ms)
+        context.retry_budget.count_request("s", context.now_ms)
         context.now_ms += 100.0
 
 
@@ -671,4 +676,4 @@
 
 @then("their rate is {rate:d} a second")
 def step_rate(context, rate):
-    assert abs(context.allowance.requests_per_s("s", context.now_ms) - rate) < 0.5
+    assert abs(context.retry_budget.requests_per_s("s", context.now_ms) - rate) < 0.5
--- a/features/steps/gateway_discovery_steps.py
+++ b/features/steps/gateway_discovery_steps.py
@@ -5,7 +5,7 @@
 from cloverhook.clock import monotonic_ms
 from cloverhook.gateway.discovery import Discovery
 from features import gateway_fleet as fleet
-from features.gateway_crowd import FAR, NEAR, heartbeat, members_of, peering_of
+from features.gateway_crowd import LOCAL, REMOTE, heartbeat, members_of, peering_of
 from features.shared import run
 
 
@@ -42,7 +42,7 @@
     async def start():
         for index in range(3):
             host = f"127.0.0.{index + 3}"
-            await start_at(context, f"vm-{index}", host, context.seeds, data_center=FAR)
+            await start_at(context, f"vm-{index}", host, context.seeds, data_center=REMOTE)
 
     run(context, start())
 
@@ -116,7 +116,7 @@
 def step_addresses(context):
     context.peering = peering_of("vm-0", ())
     context.peering.add_address("seed:2")
-    context.peering.add_address("replaced:2", NEAR)
+    context.peering.add_address("replaced:2", LOCAL)
     context.now_ms = monotonic_ms()
 
 
--- a/features/steps/gateway_evacuation_steps.py
+++ b/features/steps/gateway_evacuation_steps.py
@@ -21,11 +21,11 @@
 from features import gateway_fleet as fleet
 from features.shared import run
 
-AWAY = "new-kingston"
+REMOTE = "new-kingston"
 REQUESTS = 60
 
 
-def endpoints_away(context):
+def remote_endpoints(context):
     """Return the endpoints of the data centre that is evacuated."""
     return [item for item in context.backends if item.incarnation.startswith("away")]
 
@@ -46,7 +46,7 @@
 
 def evacuated_by(context):
     """Return what each gateway takes for evacuated."""
-    return [gateway._knowledge.evacuated() for gateway, _ in context.gateways]
+    return [gateway._gateway_state.evacuated() for gateway, _ in context.gateways]
 
 
 @given("3 gateways and backend servers in two data centres")
@@ -56,7 +56,7 @@
         context.store = MemoryStore()
         context.store.put_config(fleet.config())
         context.backends = []
-        for name, data_center in (("here", fleet.DATA_CENTER), ("away", AWAY)):
+        for name, data_center in (("here", fleet.DATA_CENTER), ("away", REMOTE)):
             for number in range(2):
                 backend = await fleet.Backend(f"{name}-{number}").start(context)
                 context.backends.append(backend)
@@ -68,39 +68,39 @@
 
         # Their own data centre is the one that is evacuated: its endpoints are preferred before.
         context.gateways = [
-            await fleet.start_gateway(context, f"vm-{n}", write_log=write, data_center=AWAY)
+            await fleet.start_gateway(context, f"vm-{n}", write_log=write, data_center=REMOTE)
             for n in range(3)
         ]
         for gateway, _ in context.gateways:
-            known = gateway._knowledge
+            known = gateway._gateway_state
             await fleet.until(lambda item=gateway: len(item._members.all()) == 2)
             await fleet.until(lambda item=known: len(item.registry) == 4 and item.can_serve)
         await serve(context, REQUESTS)
-        assert any(item.ran for item in endpoints_away(context))
+        assert any(item.ran for item in remote_endpoints(context))
 
     run(context, start())
 
 
 @when("one data centre is evacuated")
 def step_evacuate(context):
-    context.store.evacuate(AWAY)
+    context.store.evacuate(REMOTE)
 
 
 @when("both data centres are evacuated")
 def step_evacuate_all(context):
-    context.store.evacuate(AWAY)
+    context.store.evacuate(REMOTE)
     context.store.evacuate(fleet.DATA_CENTER)
     run(context, fleet.until(lambda: all(len(item) == 2 for item in evacuated_by(context))))
 
 
 @then("all gateways know of it and say so in their logs")
 def step_known(context):
-    run(context, fleet.until(lambda: all(item == {AWAY} for item in evacuated_by(context))))
+    run(context, fleet.until(lambda: all(item == {REMOTE} for item in evacuated_by(context))))
 
     def told():
         lines = (json.loads(line) for line in bytes(context.log).splitlines())
         found = [item for item in lines if item["kind"] == "evacuation"]
-        return {item["vm"] for item in found if item["data_centers"] == [AWAY]}
+        return {item["vm"] for item in found if item["data_centers"] == [REMOTE]}
 
     run(context, fleet.until(lambda: told() == {"vm-0", "vm-1", "vm-2"}))
 
@@ -109,23 +109,23 @@
 def step_none_there(context):
     async def check():
         await asyncio.sleep(0.5)  # Probes under way end, and the order of measuring is drawn anew.
-        away = endpoints_away(context)
-        ran, probed = [len(item.seen) for item in away], probes_of(away)
+        remote = remote_endpoints(context)
+        ran, probed = [len(item.seen) for item in remote], probes_of(remote)
         await serve(context, REQUESTS)
-        assert [len(item.seen) for item in away] == ran
-        assert probes_of(away) == probed
+        assert [len(item.seen) for item in remote] == ran
+        assert probes_of(remote) == probed
 
     run(context, check())
 
 
 @when("the data centre is taken back")
 def step_taken_back(context):
-    context.store.evacuate(AWAY, wanted=False)
+    context.store.evacuate(REMOTE, wanted=False)
 
 
 @when("the data centre is taken back and the store forgets its history")
 def step_forgotten(context):
-    context.store.evacuate(AWAY, wanted=False)
+    context.store.evacuate(REMOTE, wanted=False)
     context.store.put_config(fleet.config(2))
     context.store.compact()
 
@@ -134,10 +134,10 @@
 def step_used_again(context):
     async def check():
         await fleet.until(lambda: not any(evacuated_by(context)))
-        away = endpoints_away(context)
-        before = sum(len(item.ran) for item in away)
+        remote = remote_endpoints(context)
+        before = sum(len(item.ran) for item in remote)
         await serve(context, REQUESTS)
-        assert sum(len(item.ran) for item in away) > before
+        assert sum(len(item.ran) for item in remote) > before
 
     run(context, check())
 
@@ -156,7 +156,7 @@
 def step_late(context):
     async def start():
         context.store.failure = PlatformSilentError("away")
-        context.late, _ = await fleet.start_gateway(context, "vm-late", data_center=AWAY)
+        context.late, _ = await fleet.start_gateway(context, "vm-late", data_center=REMOTE)
         context.late._peering.add_address(context.gateways[0][1].peer_address)
 
     run(context, start())
@@ -164,7 +164,7 @@
 
 @then("the late gateway knows of it too")
 def step_late_knows(context):
-    run(context, fleet.until(lambda: context.late._knowledge.evacuated() == {AWAY}))
+    run(context, fleet.until(lambda: context.late._gateway_state.evacuated() == {REMOTE}))
 
 
 @given("an attempt at an endpoint whose data centre is evacuated before it is sent")
@@ -259,10 +259,10 @@
 def step_kept_to(context, count, region, state):
     if state == "evacuated":
         context.known.apply_evacuations(Evacuations(1, frozenset({"papine"})), 0.0)
-    for room in (CapacityRequirement.FREE_SLOT, CapacityRequirement.NO_SLOWDOWN):
+    for required_capacity in (CapacityRequirement.FREE_SLOT, CapacityRequirement.NO_SLOWDOWN):
         for number in range(count):
             choice = context.balancer.choose(
-                fleet.SERVICE, 10.0, number, (), room, regions=(region,)
+                fleet.SERVICE, 10.0, number, (), required_capacity, regions=(region,)
             )
             if state == "evacuated":
                 assert choice is None, choice
--- a/features/steps/gateway_limits_steps.py
+++ b/features/steps/gateway_limits_steps.py
@@ -207,8 +207,8 @@
     kind = MESSAGE_TYPES.index(RateLimitUpdate)
     sound = ["i-1", 2.5, 10.0]
     assert decode(cbor2.dumps([kind, "vm-1", [sound]])).rows[0].per_s == 2.5
-    unsound = (["i-1", -1, 0], ["i-1", "2", 0], [7, 2.5, 0], ["i-1", 2.5, -1], ["i-1", 2.5])
-    for row in (*unsound, ["i-1", float("nan"), 0], ["i-1", True, 0]):
+    invalid = (["i-1", -1, 0], ["i-1", "2", 0], [7, 2.5, 0], ["i-1", 2.5, -1], ["i-1", 2.5])
+    for row in (*invalid, ["i-1", float("nan"), 0], ["i-1", True, 0]):
         with contextlib.suppress(MessageError):
             decode(cbor2.dumps([kind, "vm-1", [row]]))
             raise AssertionError(row)
--- a/features/steps/gateway_measuring_steps.py
+++ b/features/steps/gateway_measuring_steps.py
@@ -9,7 +9,7 @@
 from cloverhook.gateway.measuring import ProbeSchedule
 from cloverhook.gateway.registry import Registry
 from features import gateway_fleet as fleet
-from features.gateway_crowd import FAR, NEAR, heartbeat, members_of
+from features.gateway_crowd import LOCAL, REMOTE, heartbeat, members_of
 
 PROBE_MS = 50
 
@@ -24,7 +24,7 @@
         self.dead = set()
         self.cut_off = set()
         self.servers = [f"i-{number}" for number in range(servers)]
-        self.boards = {name: LoadTable() for name in self.names}
+        self.load_tables = {name: LoadTable() for name in self.names}
         self.members = {name: members_of(name, self.names) for name in self.names}
         self.measuring = {}
         for name in self.names:
@@ -36,7 +36,7 @@
                 name,
                 self.members[name],
                 registry,
-                self.boards[name],
+                self.load_tables[name],
                 20.0,
                 lambda service, now_ms: self.requests_per_s,
             )
@@ -51,34 +51,36 @@
                 found[server.incarnation].append(name)
         for server, by in found.items():
             for name in alive:
-                if any(self.hears(name, other) for other in by):
-                    self.boards[name].get_or_create(server).update_from_probe(
+                if any(self.receives_from(name, other) for other in by):
+                    self.load_tables[name].get_or_create(server).update_from_probe(
                         LoadReport(0, 0, 1.0), self.now_ms
                     )
         for name in alive:
             for other in alive:
-                if other != name and self.hears(name, other):
+                if other != name and self.receives_from(name, other):
                     self.members[name].record_heartbeat(heartbeat(other), self.now_ms)
         return found
 
-    def hears(self, name, other):
+    def receives_from(self, name, other):
         """Return whether a VM hears another one, or itself."""
         return name == other or self.cut_off.isdisjoint((name, other))
 
     def ages_ms(self, name):
         """Return the ages of a VM's figures, the least one first."""
-        board = self.boards[name]
-        return sorted(board.get_or_create(server).age_ms(self.now_ms) for server in self.servers)
+        load_table = self.load_tables[name]
+        return sorted(
+            load_table.get_or_create(server).age_ms(self.now_ms) for server in self.servers
+        )
 
 
 @given("{vms:d} VMs of one data centre and {count:d} backend servers in it")
 def step_measuring(context, vms, count):
-    context.vms = MeasuringFleet(vms, count, NEAR)
+    context.vms = MeasuringFleet(vms, count, LOCAL)
 
 
 @given("{vms:d} VMs of one data centre and {count:d} backend servers in another one")
 def step_measuring_far(context, vms, count):
-    context.vms = MeasuringFleet(vms, count, FAR)
+    context.vms = MeasuringFleet(vms, count, REMOTE)
 
 
 @then("in a second each backend server is measured by one VM alone, {limit:d} measure at most")
@@ -140,7 +142,7 @@
 def step_serving_cut_off(context, count, time_ms):
     vms = context.vms
     vms.alone = vms.members["vm-0"].serving_vms(vms.now_ms)[0]
-    vms.boards[vms.alone].get_or_create("i-0").in_flight = count
+    vms.load_tables[vms.alone].get_or_create("i-0").in_flight = count
     vms.requests_per_s = 0.0
     vms.cut_off = {vms.alone}
     for _ in range(time_ms // PROBE_MS):
@@ -173,7 +175,7 @@
 @then("without requests it measures nothing while it is cut off")
 def step_measures_nothing(context):
     vms = context.vms
-    vms.boards[vms.alone].get_or_create("i-0").in_flight = 0
+    vms.load_tables[vms.alone].get_or_create("i-0").in_flight = 0
     vms.step()
     for _ in range(500 // PROBE_MS):
         assert all(vms.alone not in by for by in vms.step().values())
@@ -182,7 +184,7 @@
 @then("it measures for itself no more")
 def step_measures_no_more(context):
     vms = context.vms
-    vms.boards[vms.alone].get_or_create("i-0").in_flight = 1
+    vms.load_tables[vms.alone].get_or_create("i-0").in_flight = 1
     vms.cut_off = set()
     for _ in range(500 // PROBE_MS):
         vms.step()
--- a/features/steps/gateway_peer_steps.py
+++ b/features/steps/gateway_peer_steps.py
@@ -15,7 +15,7 @@
 
 def known(context):
     """Return what each gateway knows."""
-    return [gateway._knowledge for gateway, _ in context.gateways]
+    return [gateway._gateway_state for gateway, _ in context.gateways]
 
 
 def reads(context):
@@ -205,12 +205,12 @@
 
 @when("the backend server works 7 times as long")
 def step_slow(context):
-    context.backends[0].pace = 700
+    context.backends[0].slowdown_percent = 700
 
 
 @then("both gateways know that pace")
 def step_pace(context):
-    def paces():
+    def slowdowns():
         return {
             (
                 item.load_table.get_or_create("i-0").latest_report.slowdown
@@ -220,7 +220,7 @@
             for item in known(context)
         }
 
-    run(context, fleet.until(lambda: paces() == {7.0}))
+    run(context, fleet.until(lambda: slowdowns() == {7.0}))
 
 
 @then("each backend server comes to be measured over one connection")
@@ -256,7 +256,7 @@
         store = MemoryStore()
         store.put_config(fleet.config(NEW_VERSION + 1))
         store.put_server((await fleet.Backend("i-other").start(context)).entry())
-        other, context.stranger = await fleet.start_gateway(
+        other, context.unknown_vm = await fleet.start_gateway(
             context,
             "vm-other",
             store,
@@ -275,9 +275,9 @@
 @then("the one that is left neither names it nor takes its configuration")
 def step_stranger(context):
     gateway, settings = context.gateways[0]
-    assert context.stranger.caller_address not in run(context, named_by(settings))
-    assert gateway._knowledge.config_version == 1
-    assert gateway._knowledge.registry.get("i-other") is None
+    assert context.unknown_vm.caller_address not in run(context, named_by(settings))
+    assert gateway._gateway_state.config_version == 1
+    assert gateway._gateway_state.registry.get("i-other") is None
 
 
 @when("a call for backend servers gets no answer, and one for the configuration is given up")
--- a/features/steps/gateway_quarantine_steps.py
+++ b/features/steps/gateway_quarantine_steps.py
@@ -299,9 +299,11 @@
 @then("its story says that it is in quarantine, and where endpoints crashed")
 def step_story(context):
     lines = bytes(context.log).decode().splitlines()
-    story = explain_request("fatal-later", read_lines(lines))
-    assert story.cause.startswith("quarantined (503)"), story.to_text()
-    held = [line for line in story.state_changes if line.kind == "quarantine"]
-    assert max(line.fields["crashes"] for line in held) == 2, story.to_text()
+    explanation = explain_request("fatal-later", read_lines(lines))
+    assert explanation.cause.startswith("quarantined (503)"), explanation.to_text()
+    quarantined = [line for line in explanation.state_changes if line.kind == "quarantine"]
+    assert max(line.fields["crashes"] for line in quarantined) == 2, explanation.to_text()
     ended = {line["server"] for line in log_lines(context, "attempt") if line["crashed"]}
-    assert ended and ended == {line.fields.get("server") for line in held} - {None}, story.to_text()
+    assert ended and ended == {line.fields.get("server") for line in quarantined} - {
+        None
+    }, explanation.to_text()
--- a/features/steps/gateway_start_steps.py
+++ b/features/steps/gateway_start_steps.py
@@ -96,17 +96,17 @@
     gateway, settings = context.gateways[0]
     members = gateway._members
 
-    async def hear():
+    async def receive():
         names = [f"vm-near-{number}" for number in range(count)]
         context.heartbeats = asyncio.create_task(
-            _hear_on(members, [heartbeat(name, settings.data_center) for name in names])
+            _receive_until(members, [heartbeat(name, settings.data_center) for name in names])
         )
         await asyncio.sleep(0.1)
 
-    run(context, hear())
+    run(context, receive())
 
 
-async def _hear_on(members, heartbeats):
+async def _receive_until(members, heartbeats):
     while True:
         for item in heartbeats:
             members.record_heartbeat(item, monotonic_ms())
@@ -134,8 +134,8 @@
 
     def said():
         lines = [json.loads(line) for line in context.stores[0].log.splitlines()]
-        told = [line["cut_off"] for line in lines if line["kind"] == "cut-off"]
-        return told[-1] if told else False
+        reported = [line["cut_off"] for line in lines if line["kind"] == "cut-off"]
+        return reported[-1] if reported else False
 
     def is_cut_off():
         # After a stall between two steps of the scenario, nobody has been heard for a moment.
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -48,12 +48,12 @@
 def step_some_full(context, count, full):
     async def start():
         await fleet.start_fleet(context, count)
-        board = context.gateways[0][0]._knowledge.load_table
+        table = context.gateways[0][0]._gateway_state.load_table
         for backend in context.backends[:full]:
             backend.running = fleet.SLOTS
         await fleet.until(
             lambda: all(
-                board.get_or_create(item.incarnation).load(monotonic_ms()) == fleet.SLOTS
+                table.get_or_create(item.incarnation).load(monotonic_ms()) == fleet.SLOTS
                 for item in context.backends[:full]
             )
         )
@@ -101,8 +101,8 @@
     step_silent(context)
     short = fleet.route("short", "/short/", False, timeout_ms=float(timeout_ms))
     context.store.put_config(fleet.config(2, short))
-    knowledge = context.gateways[0][0]._knowledge
-    run(context, fleet.until(lambda: knowledge.config_version == 2))
+    gateway_state = context.gateways[0][0]._gateway_state
+    run(context, fleet.until(lambda: gateway_state.config_version == 2))
 
 
 @given("its address belongs to another incarnation now")
@@ -216,8 +216,8 @@
     async def change():
         added = fleet.route("added", "/added/", True)
         context.store.put_config(fleet.config(7, added))
-        knowledge = context.gateways[0][0]._knowledge
-        await fleet.until(lambda: knowledge.config_version == 7)
+        gateway_state = context.gateways[0][0]._gateway_state
+        await fleet.until(lambda: gateway_state.config_version == 7)
         context.store.put_config(fleet.config(5))
         calls = context.store.calls
         await fleet.until(lambda: context.store.calls > calls + 1)
@@ -248,7 +248,7 @@
     async def drain():
         backend = context.backends[0]
         context.store.put_server(replace(backend.entry(), draining=True))
-        registry = context.gateways[0][0]._knowledge.registry
+        registry = context.gateways[0][0]._gateway_state.registry
         await fleet.until(lambda: registry.get(backend.incarnation).draining)
 
     run(context, drain())
@@ -332,7 +332,7 @@
     for backend in context.backends:
         backend.work_ms = 10.0
     read_from_all(context)
-    context.backends[0].pace = 700
+    context.backends[0].slowdown_percent = 700
     context.backends[0].ran.clear()
 
 
@@ -398,18 +398,18 @@
 @when("the pace of its backend server falls {after_ms:d} ms after a read has begun")
 def step_pace_falls(context, after_ms):
     gateway = context.gateways[0][0]
-    board = gateway._knowledge.load_table
+    table = gateway._gateway_state.load_table
 
     async def read():
         for backend in context.backends:
             backend.seen.clear()
-            board.get_or_create(backend.incarnation).update(LoadReport(0, 0, 1.0), monotonic_ms())
+            table.get_or_create(backend.incarnation).update(LoadReport(0, 0, 1.0), monotonic_ms())
         answer = asyncio.ensure_future(fleet.call(caller_address(context), fleet.SAFE))
         await fleet.until(lambda: any(backend.seen for backend in context.backends))
         busy = next(backend for backend in context.backends if backend.seen)
         (began,) = gateway._forwarder._running[busy.incarnation]
         began.attempts[-1].began_ms = monotonic_ms() - after_ms  # A stall must not count.
-        server = gateway._knowledge.registry.get(busy.incarnation)
+        server = gateway._gateway_state.registry.get(busy.incarnation)
         gateway._on_load_report(server, LoadReport(1, 0, 7.0), monotonic_ms())
         assert (await answer).status == 200
 
--- a/features/steps/gateway_store_era_steps.py
+++ b/features/steps/gateway_store_era_steps.py
@@ -11,7 +11,7 @@
 from cloverhook.gateway.store import Feed, FeedSlice
 from cloverhook.gateway.store_follower import offsets_to_versions
 from features import gateway_fleet as fleet
-from features.era_replay import HOLD_MS, EraReplay, usable
+from features.era_replay import GRACE_MS, EraReplay, usable
 from features.shared import run
 
 ELSEWHERE = "new-kingston"
@@ -22,7 +22,7 @@
 def names_known(context):
     """Return the names of the backend servers that each gateway knows."""
     return [
-        {server.name for server in gateway._knowledge.registry.servers()}
+        {server.name for server in gateway._gateway_state.registry.servers()}
         for gateway, _ in context.gateways
     ]
 
@@ -97,8 +97,8 @@
 def step_knows(context):
     def all_known():
         return all(
-            gateway._knowledge.config_version == 9
-            and gateway._knowledge.evacuated() == {ELSEWHERE}
+            gateway._gateway_state.config_version == 9
+            and gateway._gateway_state.evacuated() == {ELSEWHERE}
             and context.come.incarnation in names
             for (gateway, _), names in zip(context.gateways, names_known(context), strict=True)
         )
@@ -160,7 +160,7 @@
 @then("it gets none of {count:d} requests")
 def step_gets_none(context, count):
     async def call():
-        await asyncio.sleep(2 * HOLD_MS / 1000)
+        await asyncio.sleep(2 * GRACE_MS / 1000)
         seen = len(context.odd.seen)
         for number in range(count):
             _, settings = context.gateways[number % len(context.gateways)]
@@ -201,7 +201,9 @@
 
 def evacuated(context):
     """Return whether each gateway takes the data centre for evacuated."""
-    return [fleet.DATA_CENTER in gateway._knowledge.evacuated() for gateway, _ in context.gateways]
+    return [
+        fleet.DATA_CENTER in gateway._gateway_state.evacuated() for gateway, _ in context.gateways
+    ]
 
 
 @when("the store comes back from a copy in which it is not")
@@ -241,7 +243,7 @@
 
 def config_versions(context):
     """Return the versions of the configuration that are in force."""
-    return {gateway._knowledge.config_version for gateway, _ in context.gateways}
+    return {gateway._gateway_state.config_version for gateway, _ in context.gateways}
 
 
 @when("the store comes back from a copy with the configuration before")
@@ -271,7 +273,7 @@
 @given("the registries of a gateway that saw an era, and of one that was cut off in the era before")
 def step_two_eras(context):
     context.now, context.before = GatewayState(), GatewayState()
-    for knowledge, era in ((context.now, 1), (context.before, 1), (context.now, 2)):
+    for gateway_state, era in ((context.now, 1), (context.before, 1), (context.now, 2)):
         names = ("i-1", "i-2") if era == 1 else ("i-1", "i-3")
         offset = 900 if era == 1 else 20
         servers = tuple(
@@ -279,7 +281,7 @@
             for name in names
         )
         found = offsets_to_versions(FeedSlice((), servers, offset + 1, era=era), era)
-        knowledge.apply_server_list(found.servers, found.end_offset, 0.0)
+        gateway_state.apply_server_list(found.servers, found.end_offset, 0.0)
 
 
 @then("what the latter tells changes nothing for the former")
@@ -315,7 +317,7 @@
 @then("the gateway knows {count:d} of them, and its log names the era as {state}")
 def step_era_named(context, count, state):
     (gateway, _), *_ = context.gateways
-    assert len(gateway._knowledge.registry.of_service(fleet.SERVICE)) == count
+    assert len(gateway._gateway_state.registry.of_service(fleet.SERVICE)) == count
     lines = [json.loads(line) for line in bytes(context.log).splitlines()]
     assert any(line["kind"] == "store" and line["state"] == state for line in lines)
 
@@ -325,17 +327,17 @@
     def all_told():
         reading = {item._settings.vm for item, _ in context.gateways if item._follower.reading}
         lines = [json.loads(line) for line in bytes(context.log).splitlines()]
-        told_by = {line["vm"] for line in lines if line.get("state") == "new-era"}
-        return reading and reading <= told_by
+        reported_by = {line["vm"] for line in lines if line.get("state") == "new-era"}
+        return reading and reading <= reported_by
 
-    async def told():
+    async def reported():
         await fleet.until(all_told)
         for gateway, _ in context.gateways:
-            await fleet.until(lambda item=gateway: item._knowledge.store_era == 2)
+            await fleet.until(lambda item=gateway: item._gateway_state.store_era == 2)
             page = (await gateway._serve_metrics(None)).body
             assert b"cloverhook_gateway_store_era 2" in page
 
-    run(context, told())
+    run(context, reported())
 
 
 @given("{count:d} replays of {vms:d} gateways that read the store or hear of it from others")
@@ -358,8 +360,8 @@
 @then("all end with what the store holds")
 def step_all_end(context):
     for seed, replay in enumerate(context.replays):
-        for knowledge in replay.vms:
-            found = knowledge.registry.of_service(fleet.SERVICE)
+        for gateway_state in replay.vms:
+            found = gateway_state.registry.of_service(fleet.SERVICE)
             names = {item.name for item in found if not item.draining}
             live = set(replay.live())
             assert names - replay.left == live, (seed, names ^ live)
--- a/features/steps/gateway_trust_steps.py
+++ b/features/steps/gateway_trust_steps.py
@@ -77,11 +77,11 @@
         statuses = statuses + context.statuses
     context.statuses = statuses
     incarnation = context.backends[0].entry().incarnation
-    trusts = [
-        item._knowledge.load_table.get_or_create(incarnation).circuit_breaker
+    breakers = [
+        item._gateway_state.load_table.get_or_create(incarnation).circuit_breaker
         for item, _ in context.gateways
     ]
-    run(context, fleet.until(lambda: all(trust.needs_check for trust in trusts)))
+    run(context, fleet.until(lambda: all(breaker.needs_check for breaker in breakers)))
 
 
 @when("callers write {count:d} times")
@@ -107,20 +107,20 @@
 def start_endpoints(context, count):
     """Know so many endpoints of one service, on a clock of the scenario's own."""
     context.now_ms = 0.0
-    context.knowledge = GatewayState()
-    registry = context.knowledge.registry
+    context.gateway_state = GatewayState()
+    registry = context.gateway_state.registry
     for number in range(count):
         entry = BackendServer(f"i-{number}", fleet.SERVICE, "10.0.0.1:80", "here", fleet.SLOTS)
         registry.apply(ServerRecord(entry.name, number, entry), 0.0, False)
     context.balancer = Balancer(
-        registry, context.knowledge.load_table, WorkEstimates(), "here", random.Random(3)
+        registry, context.gateway_state.load_table, WorkEstimates(), "here", random.Random(3)
     )
 
 
-def chosen(context, repeatable):
+def chosen(context, retryable):
     """Return the endpoint that a request would go to, or None."""
     choice = context.balancer.choose(
-        fleet.SERVICE, WORK_MS, context.now_ms, (), CapacityRequirement.FREE_SLOT, repeatable
+        fleet.SERVICE, WORK_MS, context.now_ms, (), CapacityRequirement.FREE_SLOT, retryable
     )
     return None if choice is None else choice.server.incarnation
 
@@ -129,15 +129,15 @@
 def step_suspended(context):
     # Nothing is suspended where that leaves nobody: the others of its service are full.
     start_endpoints(context, 4)
-    context.board = context.knowledge.load_table
+    context.endpoint_loads = context.gateway_state.load_table
     for number in range(1, 4):
-        context.board.get_or_create(f"i-{number}").in_flight = fleet.SLOTS
-    context.trust = context.board.get_or_create("i-0").circuit_breaker
-    assert not context.trust.record_failure(0.0, -5.0)
-    assert not context.trust.record_failure(
+        context.endpoint_loads.get_or_create(f"i-{number}").in_flight = fleet.SLOTS
+    context.breaker = context.endpoint_loads.get_or_create("i-0").circuit_breaker
+    assert not context.breaker.record_failure(0.0, -5.0)
+    assert not context.breaker.record_failure(
         1.0, -5.0
     )  # It was under way when the first one failed.
-    assert context.trust.record_failure(10.0, 5.0)
+    assert context.breaker.record_failure(10.0, 5.0)
 
 
 @then("it gets nothing for a second, and then one request that can be repeated")
@@ -147,14 +147,14 @@
     context.now_ms = 1_200.0
     assert chosen(context, False) is None
     assert chosen(context, True) == "i-0"
-    context.board.get_or_create("i-0").in_flight = 1
+    context.endpoint_loads.get_or_create("i-0").in_flight = 1
     assert chosen(context, True) is None
 
 
 @when("that one is answered well")
 def step_answered(context):
-    context.board.get_or_create("i-0").in_flight = 0
-    context.trust.record_answer(context.now_ms)
+    context.endpoint_loads.get_or_create("i-0").in_flight = 0
+    context.breaker.record_answer(context.now_ms)
 
 
 @then("it gets any request")
@@ -168,7 +168,7 @@
     for context.now_ms in range(10, 60_000, 20):
         if chosen(context, True) is not None:
             context.trials += 1
-            context.trust.record_failure(context.now_ms + 5.0, context.now_ms)
+            context.breaker.record_failure(context.now_ms + 5.0, context.now_ms)
 
 
 @then("it was tried {low:d} to {high:d} times")
@@ -179,7 +179,7 @@
 @given("{count:d} endpoints that one VM says have all failed twice")
 def step_accused(context, count):
     start_endpoints(context, count)
-    news = FailureUpdates("vm-0", None, context.knowledge, EventLog("vm-0", len))
+    news = FailureUpdates("vm-0", None, context.gateway_state, EventLog("vm-0", len))
     for number in range(count):
         for now_ms in (10.0, 20.0):
             news.received(Failures("vm-1", [[f"i-{number}", 5.0, False]]), now_ms)
@@ -188,9 +188,9 @@
 
 @then("at most {count:d} of them are suspended")
 def step_few_suspended(context, count):
-    board, servers = context.knowledge.load_table, context.knowledge.registry.servers()
-    trusts = [board.get_or_create(server.incarnation).circuit_breaker for server in servers]
-    suspended = sum(1 for trust in trusts if trust.is_suspended(context.now_ms))
+    table, servers = context.gateway_state.load_table, context.gateway_state.registry.servers()
+    breakers = [table.get_or_create(server.incarnation).circuit_breaker for server in servers]
+    suspended = sum(1 for breaker in breakers if breaker.is_suspended(context.now_ms))
     assert 1 <= suspended <= count, suspended
 
 
@@ -198,11 +198,11 @@
 def step_many_suspended(context, count, suspended):
     start_endpoints(context, count)
     for number in range(suspended):
-        trust: CircuitBreaker = context.knowledge.load_table.get_or_create(
+        breaker: CircuitBreaker = context.gateway_state.load_table.get_or_create(
             f"i-{number}"
         ).circuit_breaker
-        trust.record_failure(0.0, -5.0)
-        trust.record_failure(5.0, 1.0)
+        breaker.record_failure(0.0, -5.0)
+        breaker.record_failure(5.0, 1.0)
     context.now_ms = 10.0
 
 
@@ -223,13 +223,13 @@
 def step_hardly_suspended(context, limit):
     vms, rate, lost = context.lossy
     source = random.Random(11)
-    trusts = [CircuitBreaker() for _ in range(vms)]
+    breakers = [CircuitBreaker() for _ in range(vms)]
     now_ms, suspended_ms = 0.0, 0.0
     while now_ms < 600_000.0:
         step_ms = source.expovariate(rate) * 1_000
         now_ms += step_ms
-        suspended_ms += step_ms if trusts[0].is_suspended(now_ms) else 0.0
-        own = source.choice(trusts)
+        suspended_ms += step_ms if breakers[0].is_suspended(now_ms) else 0.0
+        own = source.choice(breakers)
         if own.is_suspended(now_ms):
             continue
         if source.random() >= lost:
@@ -237,9 +237,9 @@
             continue
         answered = own.answered_since(now_ms - RECENT_ANSWER_MS)
         own.record_failure(now_ms, now_ms - 1.0)
-        for trust in trusts:
-            if trust is not own:
-                trust.record_peer_failure(now_ms, now_ms - 1.0, answered)
+        for breaker in breakers:
+            if breaker is not own:
+                breaker.record_peer_failure(now_ms, now_ms - 1.0, answered)
     assert suspended_ms <= limit * now_ms, suspended_ms / now_ms
 
 
@@ -275,9 +275,9 @@
 @then("both gateways know that it turns away between {least:g} and {most:g} of what it gets")
 def step_refusal_share(context, least, most):
     def shares():
-        boards = [gateway._knowledge.load_table for gateway, _ in context.gateways]
+        load_tables = [gateway._gateway_state.load_table for gateway, _ in context.gateways]
         name = context.shedding.incarnation
-        return [board.get_or_create(name).refusal_share(monotonic_ms()) for board in boards]
+        return [table.get_or_create(name).refusal_share(monotonic_ms()) for table in load_tables]
 
     run(context, fleet.until(lambda: all(least <= share <= most for share in shares())))
 
@@ -285,10 +285,10 @@
 @then("it is not suspended")
 def step_not_suspended(context):
     for gateway, _ in context.gateways:
-        trust = gateway._knowledge.load_table.get_or_create(
+        breaker = gateway._gateway_state.load_table.get_or_create(
             context.shedding.incarnation
         ).circuit_breaker
-        assert not trust.is_suspended(monotonic_ms())
+        assert not breaker.is_suspended(monotonic_ms())
 
 
 @given(
@@ -299,10 +299,10 @@
         await fleet.start_fleet(context, backends=2, gateways=1)
         context.shedding, context.slow = context.backends
         context.shedding.default = "reject"
-        context.slow.pace = 6_000
-        board = context.gateways[0][0]._knowledge.load_table
+        context.slow.slowdown_percent = 6_000
+        table = context.gateways[0][0]._gateway_state.load_table
         await fleet.until(
-            lambda: board.get_or_create(context.slow.incarnation).slowdown(monotonic_ms()) == 60.0
+            lambda: table.get_or_create(context.slow.incarnation).slowdown(monotonic_ms()) == 60.0
         )
 
     run(context, start())
--- a/features/steps/home_steps.py
+++ b/features/steps/home_steps.py
@@ -65,7 +65,7 @@
             told, driver.told = driver.told, []
             for tell in told:
                 if tell.vm in drivers:
-                    drivers[tell.vm].hear(name, tell.message)
+                    drivers[tell.vm].receive(name, tell.message)
 
 
 @given("an owner and a VM that owns nothing")
@@ -112,15 +112,15 @@
 @when("the owner lends 2 slots to each of two VMs and one slot is returned twice")
 def step_returned_twice(context):
     for vm in ("vm-8", "vm-9"):
-        context.owner.hear(vm, SlotRequest("brathwaite/booking", 1, 2, 5))
+        context.owner.receive(vm, SlotRequest("brathwaite/booking", 1, 2, 5))
     grants = [tell.message for tell in context.owner.told]
     assert [len(grant.addresses) for grant in grants] == [2, 2]
     assert set(grants[0].addresses) == set(grants[1].addresses)
     assert free_slots(context.owner) == 4
     context.lent = grants[1].addresses[:1]
     message = SlotReturn("brathwaite/booking", context.lent, (0,))
-    context.owner.hear("vm-9", message)
-    context.owner.hear("vm-9", message)
+    context.owner.receive("vm-9", message)
+    context.owner.receive("vm-9", message)
 
 
 @then("the owner has {count:d} slots")
@@ -137,8 +137,8 @@
 @then("a return that comes late changes nothing")
 def step_late_return(context):
     message = SlotReturn("brathwaite/booking", context.lent, (0,))
-    context.owner.hear("vm-9", message)
-    context.owner.hear("vm-9", message)
+    context.owner.receive("vm-9", message)
+    context.owner.receive("vm-9", message)
     assert free_slots(context.owner) == 8
 
 
@@ -172,7 +172,7 @@
 @then("it hands them back when the other home speaks again")
 def step_handed_back(context):
     driver = context.driver
-    driver.hear("vm-1", SlotGrant("brathwaite/booking", ()))
+    driver.receive("vm-1", SlotGrant("brathwaite/booking", ()))
     before = driver.starts.copy()
     driver.now_ms += 20
     for request_id in tuple(driver.open):
@@ -196,7 +196,7 @@
         for tell in told:
             assert isinstance(tell, SendMessage)
             context.sent_bytes += len(encode(tell.message))
-            driver.hear(tell.vm, SlotGrant("brathwaite/booking", ()))
+            driver.receive(tell.vm, SlotGrant("brathwaite/booking", ()))
         for request_id in tuple(driver.open):
             driver.end(request_id, latency_ms=20.0)
 
--- a/features/steps/load_replay_steps.py
+++ b/features/steps/load_replay_steps.py
@@ -15,7 +15,7 @@
 WITHOUT = {
     "the last slot at the last moment": (waiting_line, "LAST_SLACK", -math.inf),
     "leaving the last slot at first": (waiting_line, "LAST_SLACK", math.inf),
-    "putting off soon": (waiting_line, "PUT_OFF_SHARE", math.inf),
+    "putting off soon": (waiting_line, "DEFERRAL_SHARE", math.inf),
     "returning soon": (gateway_replay, "RETRY_AFTER_RANGE_MS", (150.0, 450.0)),
     "weighing refusals that all meet": (balancer, "REFUSAL_WEIGHT", 0.0),
     "leaving out whom nobody reaches": (load.ServerLoad, "unreachable", lambda *_: False),
--- a/features/steps/membership_fleet_steps.py
+++ b/features/steps/membership_fleet_steps.py
@@ -174,8 +174,8 @@
         async with connect(f"ws://{address}/", proxy=None) as link:
             nonce = Handshake.new_nonce()
             await link.send(nonce)
-            greeting = Handshake.from_nonces(b"wrong", Role.CLIENT, nonce, await link.recv())
-            await link.send(encode(greeting.prove(hello)))
+            handshake = Handshake.from_nonces(b"wrong", Role.CLIENT, nonce, await link.recv())
+            await link.send(encode(handshake.prove(hello)))
             await link.wait_closed()
 
     run(context, greet())
--- a/features/steps/peer_links_steps.py
+++ b/features/steps/peer_links_steps.py
@@ -22,9 +22,9 @@
     """A daemon's links and what they told."""
 
     def __init__(self, vm, key):
-        self.heard = []
+        self.received = []
         self.lost = []
-        self.strangers = 0
+        self.unauthenticated_peers = 0
         self.now_ms = 1_000.0
         hello = Hello(vm, "papine", "127.0.0.1:80", "", 1)
         self.links = PeerLinks(lambda: hello, key, self, lambda: self.now_ms)
@@ -38,11 +38,11 @@
 
     def message_received(self, vm, message):
         """Keep the message."""
-        self.heard.append((vm, message))
+        self.received.append((vm, message))
 
     def authentication_failed(self):
         """Count."""
-        self.strangers += 1
+        self.unauthenticated_peers += 1
 
 
 async def _start(context, first, second, keys):
@@ -98,7 +98,7 @@
         await eventually(refused)
 
     async def refused():
-        return context.b.strangers == 1
+        return context.b.unauthenticated_peers == 1
 
     run(context, tried())
 
@@ -118,7 +118,7 @@
         await eventually(refused)
 
     async def refused():
-        return context.a.strangers == 1
+        return context.a.unauthenticated_peers == 1
 
     run(context, reflect())
 
@@ -144,7 +144,7 @@
 @when("it carries only pings for long")
 def step_idle(context):
     async def arrived():
-        return context.a.heard and context.b.heard
+        return context.a.received and context.b.received
 
     for side, peer in ((context.a, "vm-b"), (context.b, "vm-a")):
         side.now_ms += LINK_IDLE_TIMEOUT_MS + 1
@@ -161,10 +161,10 @@
         await eventually(arrived)
 
     async def arrived():
-        return ("vm-a", RecordsRequest(3)) in context.b.heard and (
+        return ("vm-a", RecordsRequest(3)) in context.b.received and (
             "vm-b",
             RecordsRequest(4),
-        ) in context.a.heard
+        ) in context.a.received
 
     run(context, exchange())
 
@@ -209,7 +209,7 @@
     assert server.check(proved, "vm-b") == proved
     replayed = Handshake.from_nonces(KEY, Role.SERVER, Handshake.new_nonce(), one)
     changed = replace(proved, caller_address="127.0.0.1:81")
-    for greeting, vm, found in (
+    for handshake, vm, found in (
         (client, "vm-b", proved),
         (replayed, "vm-b", proved),
         (server, "vm-c", proved),
@@ -217,7 +217,7 @@
         (server, "vm-b", changed),
     ):
         try:
-            greeting.check(found, vm)
+            handshake.check(found, vm)
         except AuthenticationError:
             continue
-        raise AssertionError((greeting, vm, found))
+        raise AssertionError((handshake, vm, found))
