--- a/features/transfer_replay.py
+++ b/features/transfer_replay.py
@@ -33,7 +33,7 @@
         self.asks = 0
         self.sending = dict.fromkeys(self.data_centers, 0)
         self.most_sending = 0
-        self.crossings = 0
+        self.remote_transfers = 0
         self._events = []
         self._order = itertools.count()
         for vm in others:
@@ -49,7 +49,7 @@
     def _at(self, time_ms, action, *arguments):
         heapq.heappush(self._events, (time_ms, next(self._order), action, arguments))
 
-    def _asker(self, vm):
+    def _requester(self, vm):
         return Requester(vm, self.data_centers[vm])
 
     def _ask(self, now_ms, vm, holder):
@@ -64,7 +64,7 @@
         else:
             data_center = self.data_centers[holder]
             queue = self.queues.setdefault(holder, TransferQueue(data_center))
-            self._act(now_ms, holder, queue.request_transfer(self._asker(vm)))
+            self._act(now_ms, holder, queue.request_transfer(self._requester(vm)))
 
     def _any_holder(self):
         return self.random.choice(list(self.known_ms))
@@ -79,7 +79,7 @@
                 continue
             self.sending[holder] += 1
             self.most_sending = max(self.most_sending, self.sending[holder])
-            self.crossings += self.data_centers[holder] != self.data_centers[vm]
+            self.remote_transfers += self.data_centers[holder] != self.data_centers[vm]
             rate = min(self.links[holder] / self.sending[holder], self.links[vm])
             took_ms = ROUND_TRIP_MS + self.size_kb * KBIT_PER_KB / rate
             if vm in self.killed:
@@ -91,4 +91,4 @@
         self.sending[holder] -= 1
         if received:
             self.known_ms.setdefault(vm, now_ms + PASS_ON_MS)
-        self._act(now_ms, holder, self.queues[holder].transfer_ended(self._asker(vm), received))
+        self._act(now_ms, holder, self.queues[holder].transfer_ended(self._requester(vm), received))
