--- a/bench/gateway_replay.py
+++ b/bench/gateway_replay.py
@@ -182,11 +182,11 @@
 
     def _admit_ready(self, vm: _Vm) -> None:
         while (decision := vm.queue.next(SERVICE, self.now_ms)) is not None:
-            request = vm.requests.pop(decision.waiter)
+            offered = vm.requests.pop(decision.request)
             if decision.choice is None:
-                self._reject(request, vm)
+                self._reject(offered, vm)
             else:
-                self._start(request, vm, decision.choice, decision.waiter.deadline_ms)
+                self._start(offered, vm, decision.choice, decision.request.deadline_ms)
 
     def _reject(self, request: _Request, vm: _Vm) -> None:
         retry_after_ms = self.source.uniform(*RETRY_AFTER_RANGE_MS)
--- a/features/era_replay.py
+++ b/features/era_replay.py
@@ -98,23 +98,23 @@
                 self.store.remove_server(name)
 
     def _update_gateways(self, all_gateways):
-        for index, knowledge in enumerate(self.vms):
+        for index, gateway_state in enumerate(self.vms):
             if all_gateways or self.random.random() < 0.5:
                 if index < 2:
                     self._read_store(index)
                 else:
                     other = self.vms[self.random.randrange(len(self.vms))]
-                    asked = {"registry": knowledge.registry.version}
+                    asked = {"registry": gateway_state.registry.version}
                     state = build_state_reply(asked, other, None, self.now_ms)
                     if "registry" in state:
-                        knowledge.registry.adopt(state["registry"], self.now_ms)
-            knowledge.expire(self.now_ms)
+                        gateway_state.registry.adopt(state["registry"], self.now_ms)
+            gateway_state.expire(self.now_ms)
 
     def _read_store(self, index):
-        knowledge, store = self.vms[index], self.store
+        gateway_state, store = self.vms[index], self.store
         if self.eras[index] != store.era:
             self.eras[index], self.positions[index] = store.era, None
-            knowledge.begin_store_era(store.era, self.now_ms)
+            gateway_state.begin_store_era(store.era, self.now_ms)
         log, start = store.log[Feed.SERVERS], self.positions[index]
         if start is None:
             newest = {record.name: record for record in log}
@@ -123,21 +123,21 @@
             records = tuple(log[start:])
         found = offsets_to_versions(FeedSlice((), records, len(log), era=store.era), store.era)
         if start is None:
-            knowledge.apply_server_list(found.servers, found.end_offset, self.now_ms)
+            gateway_state.apply_server_list(found.servers, found.end_offset, self.now_ms)
         else:
             for record in found.servers:
-                knowledge.apply_server_record(record, self.now_ms)
+                gateway_state.apply_server_record(record, self.now_ms)
         self.positions[index] = len(log)
 
     def _check(self):
-        for index, knowledge in enumerate(self.vms):
+        for index, gateway_state in enumerate(self.vms):
             for name in self.left:
-                used = usable(knowledge.registry, name) and not self._in_grace_period(
-                    knowledge, name
+                used = usable(gateway_state.registry, name) and not self._in_grace_period(
+                    gateway_state, name
                 )
-                if not used and name in {item.name for item in knowledge.registry.servers()}:
+                if not used and name in {item.name for item in gateway_state.registry.servers()}:
                     self.removal_seen_ms.setdefault((index, name), self.now_ms)
-                if usable(knowledge.registry, name):
+                if usable(gateway_state.registry, name):
                     since_ms = self.removal_seen_ms.get((index, name))
                     if (
                         since_ms is not None
@@ -146,8 +146,8 @@
                         self.violations.append((index, name, since_ms, self.now_ms))
 
     @staticmethod
-    def _in_grace_period(knowledge: GatewayState, name):
-        registry: Registry = knowledge.registry
+    def _in_grace_period(gateway_state: GatewayState, name):
+        registry: Registry = gateway_state.registry
         return any(
             item.name == name and registry.in_grace_period(item) for item in registry.servers()
         )
--- a/features/quarantine_fleet.py
+++ b/features/quarantine_fleet.py
@@ -66,7 +66,7 @@
     def send_suspicions(self, vm):
         """Send a VM that is reachable again the crash records of another one."""
         other = next(name for name in self.vms if name != vm and name in self.reachable)
-        for record in self.vms[other].suspicions(self.now_ms):
+        for record in self.vms[other].crash_records(self.now_ms):
             self._send(other, vm, record)
 
     def _try_send(self, vm, keys, give_up_ms, attempt):
--- a/features/steps/gateway_broadcast_steps.py
+++ b/features/steps/gateway_broadcast_steps.py
@@ -106,7 +106,7 @@
 def step_all_know_slowdown(context):
     def slowdowns():
         latest_reports = [
-            gateway._knowledge.load_table.get_or_create("i-0").latest_report
+            gateway._gateway_state.load_table.get_or_create("i-0").latest_report
             for gateway, _ in context.gateways
         ]
         return {report.slowdown if report else 0 for report in latest_reports}
@@ -117,7 +117,7 @@
 @when("it has learned of a change from a peer and reads the next one in the store")
 def step_learned(context):
     gateway, _ = context.gateways[0]
-    registry = gateway._knowledge.registry
+    registry = gateway._gateway_state.registry
     context.registry_broadcasts = []
 
     async def change():
@@ -218,7 +218,7 @@
     async def send_counts():
         for name in context.names:
             peering = peering_of(name, context.names)
-            peering._knowledge.load_table.get_or_create("i-0").in_flight = 1
+            peering._gateway_state.load_table.get_or_create("i-0").in_flight = 1
             peering.count_updates.count_changed("i-0")
             await asyncio.sleep(0.005)
             sent = peering.link.sent
@@ -352,7 +352,7 @@
         await fleet.until(lambda: sum(item._follower.active for item, _ in context.gateways) == 2)
         context.store.put_config(fleet.config(5))
         await fleet.until(
-            lambda: {item._knowledge.config_version for item, _ in context.gateways} == {5}
+            lambda: {item._gateway_state.config_version for item, _ in context.gateways} == {5}
         )
 
     try:
@@ -363,7 +363,7 @@
 
 @then("every gateway has it, and it has crossed {most:d} times at most")
 def step_crossings(context, most):
-    assert {item._knowledge.config_version for item, _ in context.gateways} == {5}
+    assert {item._gateway_state.config_version for item, _ in context.gateways} == {5}
     assert len(context.remote_fetches) <= most, context.remote_fetches
 
 
@@ -372,7 +372,7 @@
     names = ["vm-0", "vm-1", "vm-2", "vm-3"]
     peering = peering_of("vm-0", names, data_center=REMOTE)
     entry = BackendServer("i-1", fleet.SERVICE, "127.0.0.1:1", LOCAL, draining=True)
-    peering._knowledge.registry.apply(ServerRecord("i-1", 4, entry), 0.0, False)
+    peering._gateway_state.registry.apply(ServerRecord("i-1", 4, entry), 0.0, False)
     peering.broadcast_registry_changes(3, ("i-1",))
     context.sent = peering.link.sent
     context.dead = context.sent[0][0]
@@ -439,10 +439,10 @@
 
 def update_second_registry(context):
     """Update the second registry from the first, and return the number of records sent."""
-    knowledge = GatewayState()
-    knowledge.registry = context.first
+    gateway_state = GatewayState()
+    gateway_state.registry = context.first
     request = {"registry": context.second.version}
-    state = build_state_reply(request, knowledge, Members("vm-0", LOCAL, 0.0), 0.0)
+    state = build_state_reply(request, gateway_state, Members("vm-0", LOCAL, 0.0), 0.0)
     if "registry" not in state:
         return 0
     context.second.adopt(state["registry"], 0.0)
--- a/features/steps/gateway_changes_steps.py
+++ b/features/steps/gateway_changes_steps.py
@@ -38,8 +38,8 @@
 
 @when("one of them leaves and a gateway that starts then reads the whole list")
 def step_newcomer(context):
-    context.newcomer = GatewayState()
-    context.newcomer.apply_server_list(records_of({0: 0, 2: 2, 3: 6}), 7, 0.0)
+    context.new_vm = GatewayState()
+    context.new_vm.apply_server_list(records_of({0: 0, 2: 2, 3: 6}), 7, 0.0)
 
 
 @then("the first one has dropped that server once it has the other's state")
@@ -47,16 +47,16 @@
     behind = context.behind
     context.known_as_of = behind.registry.as_of
     request = {"registry": behind.registry.as_of}
-    state = build_state_reply(request, context.newcomer, None, 100.0)
+    state = build_state_reply(request, context.new_vm, None, 100.0)
     assert behind.registry.adopt(state["registry"], 100.0)
     behind.expire(100.0 + behind.drain_ms)
     assert behind.registry.get("i-1") is None
-    assert behind.registry.digest() == context.newcomer.registry.digest()
+    assert behind.registry.digest() == context.new_vm.registry.digest()
 
 
 @then("changes that the other one tells build on more than the first knew")
 def step_build_on(context):
-    assert context.newcomer.registry.version > context.known_as_of
+    assert context.new_vm.registry.version > context.known_as_of
 
 
 @given(
@@ -109,9 +109,9 @@
 
 @then("at most {count:d} copies cross to each other data centre")
 def step_few_crossings(context, count):
-    crossings = [replay.remote_transfers for replay in context.replays]
+    remote_transfers = [replay.remote_transfers for replay in context.replays]
     others = len({*context.replays[0].data_centers.values()}) - 1
-    assert max(crossings) <= others * count, crossings
+    assert max(remote_transfers) <= others * count, remote_transfers
 
 
 @given("a VM that has sent a configuration to {count:d} VMs of another data centre")
@@ -121,19 +121,19 @@
     for receiver in context.receivers:
         assert context.queue.request_transfer(receiver) == [Send(receiver)]
         context.queue.transfer_ended(receiver, received=True)
-    context.asker = Requester("vm-late:2", REMOTE)
+    context.requester = Requester("vm-late:2", REMOTE)
 
 
 @then("another one of there is referred to one of the {count:d}")
 def step_referred(context, count):
-    (action,) = context.queue.request_transfer(context.asker)
+    (action,) = context.queue.request_transfer(context.requester)
     assert isinstance(action, Refer), action
     assert action.peer_address in {item.peer_address for item in context.receivers[:count]}
 
 
 @then("is sent the configuration when it asks once more")
 def step_sent_again(context):
-    assert context.queue.request_transfer(context.asker) == [Send(context.asker)]
+    assert context.queue.request_transfer(context.requester) == [Send(context.requester)]
 
 
 @given("{gateways:d} gateways and a configuration of {routes:d} routes")
@@ -156,7 +156,7 @@
 async def until_all_use_version(context, version):
     """Wait until every gateway uses the given configuration version."""
     await fleet.until(
-        lambda: {item._knowledge.config_version for item, _ in context.gateways} == {version}
+        lambda: {item._gateway_state.config_version for item, _ in context.gateways} == {version}
     )
 
 
--- a/features/steps/gateway_crossing_steps.py
+++ b/features/steps/gateway_crossing_steps.py
@@ -27,7 +27,7 @@
 def start_vm(context):
     """Set up a VM that knows a VM in each other data centre and 4 endpoints in each data centre."""
     now_ms = monotonic_ms()
-    context.knowledge = knowledge = GatewayState()
+    context.gateway_state = gateway_state = GatewayState()
     context.members = Members("vm-0", LOCAL, now_ms)
     for data_center in OTHERS:
         context.members.record_heartbeat(heartbeat(f"vm-{data_center}", data_center), now_ms)
@@ -35,28 +35,28 @@
     for name, data_center in (("here", LOCAL), *zip(("lost", "else"), OTHERS, strict=True)):
         for number in range(4):
             server = BackendServer(f"{name}-{number}", "s", "10.0.0.1:1", data_center, 3)
-            knowledge.registry.apply(ServerRecord(server.name, offset, server), now_ms, False)
+            gateway_state.registry.apply(ServerRecord(server.name, offset, server), now_ms, False)
             offset += 1
     context.wire = RecordingLink()
     context.updates = CountUpdates(
         "vm-0",
         Broadcast("vm-0", context.wire, context.members),
         context.members,
-        knowledge,
+        gateway_state,
         lambda: None,
     )
 
 
 def make_unavailable(context, count, how):
     """Make `count` endpoints of another data centre unavailable in the given way."""
-    knowledge, now_ms = context.knowledge, monotonic_ms()
+    gateway_state, now_ms = context.gateway_state, monotonic_ms()
     for name in [f"lost-{number}" for number in range(count)]:
         if how == "can't be reached":
-            knowledge.load_table.get_or_create(name).update_from_probe(UNREACHABLE_REPORT, now_ms)
+            gateway_state.load_table.get_or_create(name).update_from_probe(UNREACHABLE_REPORT, now_ms)
         elif how == "have vanished":
-            knowledge.registry.apply(ServerRecord(name, 50, None), now_ms, False)
+            gateway_state.registry.apply(ServerRecord(name, 50, None), now_ms, False)
     if how == "are evacuated" and count:
-        knowledge.apply_evacuations(Evacuations(60, frozenset(OTHERS[:1])), 0.0)
+        gateway_state.apply_evacuations(Evacuations(60, frozenset(OTHERS[:1])), 0.0)
 
 
 def remote_messages(context, kind):
@@ -77,7 +77,7 @@
 @when("the count at an endpoint changes")
 def step_change(context):
     async def change():
-        context.knowledge.load_table.get_or_create(ENDPOINT).in_flight += 1
+        context.gateway_state.load_table.get_or_create(ENDPOINT).in_flight += 1
         context.updates.count_changed(ENDPOINT)
         await asyncio.sleep(0.05)
 
@@ -112,7 +112,7 @@
 def step_changes(context, count):
     async def change():
         for _ in range(count):
-            context.knowledge.load_table.get_or_create(ENDPOINT).in_flight += 1
+            context.gateway_state.load_table.get_or_create(ENDPOINT).in_flight += 1
             context.updates.count_changed(ENDPOINT)
             await asyncio.sleep(0.004)
         await asyncio.sleep(0.3)
@@ -153,7 +153,7 @@
 @then("it knows of {count:d}")
 def step_knows(context, count):
     assert (
-        context.knowledge.load_table.get_or_create(ENDPOINT).known_in_flight(monotonic_ms())
+        context.gateway_state.load_table.get_or_create(ENDPOINT).known_in_flight(monotonic_ms())
         == count
     )
 
--- a/features/steps/gateway_crowd_steps.py
+++ b/features/steps/gateway_crowd_steps.py
@@ -203,7 +203,7 @@
 @then("one that has a request hears at once")
 def step_busy_receives(context):
     for peering in context.peerings.values():
-        peering._knowledge.load_table.get_or_create("i-0").in_flight = 1
+        peering._gateway_state.load_table.get_or_create("i-0").in_flight = 1
     assert receive_batch_times_ms(context, lambda members, now_ms: True) == {0.0}
 
 
--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -28,15 +28,15 @@
 from cloverhook.gateway.waiting_line import QueuedRequest, RequestQueue
 from features import gateway_fleet as fleet
 
-NEAR = "papine"
-FAR = "halfway-tree"
+LOCAL = "papine"
+REMOTE = "halfway-tree"
 SLOTS = 4
 WORK_MS = 50.0
 TIMEOUT_MS = 1_000
 OBJECTIVE_MS = 400.0
 
 
-def server(name, data_center=NEAR, **fields):
+def server(name, data_center=LOCAL, **fields):
     """Return a backend server that is warm from 20 s on the scenario's clock."""
     fields = {"warm_at_ms": 20_000.0, **fields}
     return BackendServer(name, fleet.SERVICE, "10.0.0.1:9000", data_center, SLOTS, **fields)
@@ -275,10 +275,10 @@
     context.load_table = LoadTable()
     for offset in range(6):
         name = f"{'near' if offset < 3 else 'far'}-{offset % 3}"
-        entry = server(name, NEAR if offset < 3 else FAR)
+        entry = server(name, LOCAL if offset < 3 else REMOTE)
         context.registry.apply(ServerRecord(name, offset, entry), context.now_ms, False)
     context.balancer = Balancer(
-        context.registry, context.load_table, WorkEstimates(), NEAR, random.Random(1)
+        context.registry, context.load_table, WorkEstimates(), LOCAL, random.Random(1)
     )
 
 
@@ -405,7 +405,7 @@
         context.registry.apply(ServerRecord(name, offset, server(name)), context.now_ms, False)
         fill_servers(context, name)
     balancer = Balancer(
-        context.registry, context.load_table, WorkEstimates(), NEAR, random.Random(1)
+        context.registry, context.load_table, WorkEstimates(), LOCAL, random.Random(1)
     )
     context.queue = RequestQueue(balancer)
     context.decisions = []
@@ -445,7 +445,7 @@
     collect_decisions(context, OBJECTIVE_MS / 25 - 1)
     assert not context.decisions
     collect_decisions(context, 2)
-    assert [item.waiter for item in context.decisions] == context.queued_requests
+    assert [item.request for item in context.decisions] == context.queued_requests
     assert all(item.choice is None for item in context.decisions)
 
 
@@ -457,7 +457,7 @@
     context.load_table.get_or_create("i-0").update(LoadReport(SLOTS - 1, 0, 1.0), context.now_ms)
     collect_decisions(context)
     assert (
-        context.decisions[-1].waiter is context.queued_requests[2]
+        context.decisions[-1].request is context.queued_requests[2]
         and context.decisions[-1].choice is not None
     )
 
@@ -475,7 +475,7 @@
 
 @then("it is started or refused, and not held to its deadline")
 def step_decided(context):
-    assert [item.waiter for item in context.decisions] == context.queued_requests
+    assert [item.request for item in context.decisions] == context.queued_requests
 
 
 class Fleet:
@@ -486,7 +486,7 @@
         self.silent = set()
         self.members = {}
         for name in (f"vm-{index}" for index in range(count)):
-            self.members[name] = Members(name, NEAR, 0.0)
+            self.members[name] = Members(name, LOCAL, 0.0)
         self.reading = dict.fromkeys(self.members, False)
         for own, members in self.members.items():
             for name in self.members.keys() - {own}:
@@ -495,7 +495,7 @@
     def heartbeat(self, name):
         """Return a heartbeat of a VM."""
         reading = self.reading[name]
-        return Heartbeat(name, 1, NEAR, f"{name}:1", f"{name}:2", True, reading, False, 1, 1)
+        return Heartbeat(name, 1, LOCAL, f"{name}:1", f"{name}:2", True, reading, False, 1, 1)
 
     def pass_time(self, duration_ms):
         """Advance the clock in steps of 100 ms; VMs that aren't silent send heartbeats in each."""
@@ -577,7 +577,7 @@
     source = random.Random(5)
     messages = (
         Heartbeat(
-            "vm", 1, NEAR, "10.0.0.1:1", "10.0.0.2:2", True, False, False, 1, 1, 3_000.0, True
+            "vm", 1, LOCAL, "10.0.0.1:1", "10.0.0.2:2", True, False, False, 1, 1, 3_000.0, True
         ),
         Relay("vm", b"inner"),
         LoadReports("vm", (("i", LoadReport(1, 2, 7.0), 3.0),)),
--- a/features/steps/gateway_evacuation_steps.py
+++ b/features/steps/gateway_evacuation_steps.py
@@ -46,7 +46,7 @@
 
 def evacuated_by_gateway(context):
     """Return, for each gateway, the data centres that it considers evacuated."""
-    return [gateway._knowledge.evacuated() for gateway, _ in context.gateways]
+    return [gateway._gateway_state.evacuated() for gateway, _ in context.gateways]
 
 
 @given("3 gateways and backend servers in two data centres")
@@ -74,7 +74,7 @@
             for n in range(3)
         ]
         for gateway, _ in context.gateways:
-            knowledge = gateway._knowledge
+            knowledge = gateway._gateway_state
             await fleet.until(lambda item=gateway: len(item._members.all()) == 2)
             await fleet.until(lambda item=knowledge: len(item.registry) == 4 and item.can_serve)
         await serve(context, REQUESTS)
@@ -174,7 +174,7 @@
 @then("the late gateway knows of it too")
 def step_late_knows(context):
     run(
-        context, fleet.until(lambda: context.late._knowledge.evacuated() == {EVACUATED_DATA_CENTER})
+        context, fleet.until(lambda: context.late._gateway_state.evacuated() == {EVACUATED_DATA_CENTER})
     )
 
 
--- a/features/steps/gateway_store_era_steps.py
+++ b/features/steps/gateway_store_era_steps.py
@@ -22,7 +22,7 @@
 def registered_names(context):
     """Return, for each gateway, the names of the backend servers in its registry."""
     return [
-        {server.name for server in gateway._knowledge.registry.servers()}
+        {server.name for server in gateway._gateway_state.registry.servers()}
         for gateway, _ in context.gateways
     ]
 
@@ -97,8 +97,8 @@
 def step_knows(context):
     def all_known():
         return all(
-            gateway._knowledge.config_version == 9
-            and gateway._knowledge.evacuated() == {OTHER_DATA_CENTER}
+            gateway._gateway_state.config_version == 9
+            and gateway._gateway_state.evacuated() == {OTHER_DATA_CENTER}
             and context.come.incarnation in names
             for (gateway, _), names in zip(context.gateways, registered_names(context), strict=True)
         )
@@ -203,7 +203,7 @@
 
 def evacuated(context):
     """Return, for each gateway, whether it considers the data centre evacuated."""
-    return [fleet.DATA_CENTER in gateway._knowledge.evacuated() for gateway, _ in context.gateways]
+    return [fleet.DATA_CENTER in gateway._gateway_state.evacuated() for gateway, _ in context.gateways]
 
 
 @when("the store comes back from a copy in which it is not")
@@ -243,7 +243,7 @@
 
 def config_versions(context):
     """Return the configuration versions in force at the gateways."""
-    return {gateway._knowledge.config_version for gateway, _ in context.gateways}
+    return {gateway._gateway_state.config_version for gateway, _ in context.gateways}
 
 
 @when("the store comes back from a copy with the configuration before")
@@ -275,7 +275,7 @@
 @given("the registries of a gateway that saw an era, and of one that was cut off in the era before")
 def step_two_eras(context):
     context.now, context.before = GatewayState(), GatewayState()
-    for knowledge, era in ((context.now, 1), (context.before, 1), (context.now, 2)):
+    for gateway_state, era in ((context.now, 1), (context.before, 1), (context.now, 2)):
         names = ("i-1", "i-2") if era == 1 else ("i-1", "i-3")
         offset = 900 if era == 1 else 20
         servers = tuple(
@@ -283,7 +283,7 @@
             for name in names
         )
         found = offsets_to_versions(FeedSlice((), servers, offset + 1, era=era), era)
-        knowledge.apply_server_list(found.servers, found.end_offset, 0.0)
+        gateway_state.apply_server_list(found.servers, found.end_offset, 0.0)
 
 
 @then("what the latter tells changes nothing for the former")
@@ -321,7 +321,7 @@
 @then("the gateway knows {count:d} of them, and its log names the era as {state}")
 def step_era_named(context, count, state):
     (gateway, _), *_ = context.gateways
-    assert len(gateway._knowledge.registry.of_service(fleet.SERVICE)) == count
+    assert len(gateway._gateway_state.registry.of_service(fleet.SERVICE)) == count
     lines = [json.loads(line) for line in bytes(context.log).splitlines()]
     assert any(line["kind"] == "store" and line["state"] == state for line in lines)
 
@@ -337,7 +337,7 @@
     async def check_reports():
         await fleet.until(all_logged)
         for gateway, _ in context.gateways:
-            await fleet.until(lambda item=gateway: item._knowledge.store_era == 2)
+            await fleet.until(lambda item=gateway: item._gateway_state.store_era == 2)
             page = (await gateway._serve_metrics(None)).body
             assert b"cloverhook_gateway_store_era 2" in page
 
@@ -366,8 +366,8 @@
 @then("all end with what the store holds")
 def step_all_end(context):
     for seed, replay in enumerate(context.replays):
-        for knowledge in replay.vms:
-            found = knowledge.registry.of_service(fleet.SERVICE)
+        for gateway_state in replay.vms:
+            found = gateway_state.registry.of_service(fleet.SERVICE)
             names = {item.name for item in found if not item.draining}
             live = set(replay.live())
             assert names - replay.left == live, (seed, names ^ live)
--- a/features/steps/gateway_trust_steps.py
+++ b/features/steps/gateway_trust_steps.py
@@ -78,7 +78,7 @@
     context.statuses = statuses
     incarnation = context.backends[0].entry().incarnation
     breakers = [
-        item._knowledge.load_table.get_or_create(incarnation).circuit_breaker
+        item._gateway_state.load_table.get_or_create(incarnation).circuit_breaker
         for item, _ in context.gateways
     ]
     run(context, fleet.until(lambda: all(breaker.needs_check for breaker in breakers)))
@@ -107,13 +107,13 @@
 def start_endpoints(context, count):
     """Register a number of endpoints of one service; the scenario sets the clock itself."""
     context.now_ms = 0.0
-    context.knowledge = GatewayState()
-    registry = context.knowledge.registry
+    context.gateway_state = GatewayState()
+    registry = context.gateway_state.registry
     for number in range(count):
         entry = BackendServer(f"i-{number}", fleet.SERVICE, "10.0.0.1:80", "here", fleet.SLOTS)
         registry.apply(ServerRecord(entry.name, number, entry), 0.0, False)
     context.balancer = Balancer(
-        registry, context.knowledge.load_table, WorkEstimates(), "here", random.Random(3)
+        registry, context.gateway_state.load_table, WorkEstimates(), "here", random.Random(3)
     )
 
 
@@ -130,7 +130,7 @@
     # If nearly all endpoints of a service are suspended, all are used as if none were.  The three
     # others keep their circuit breakers closed, and are full so that none of them is chosen.
     start_endpoints(context, 4)
-    context.loads = context.knowledge.load_table
+    context.loads = context.gateway_state.load_table
     for number in range(1, 4):
         context.loads.get_or_create(f"i-{number}").in_flight = fleet.SLOTS
     context.breaker = context.loads.get_or_create("i-0").circuit_breaker
@@ -179,7 +179,7 @@
 @given("{count:d} endpoints that one VM says have all failed twice")
 def step_accused(context, count):
     start_endpoints(context, count)
-    updates = FailureUpdates("vm-0", None, context.knowledge, EventLog("vm-0", len))
+    updates = FailureUpdates("vm-0", None, context.gateway_state, EventLog("vm-0", len))
     for number in range(count):
         for now_ms in (10.0, 20.0):
             updates.received(Failures("vm-1", [[f"i-{number}", 5.0, False]]), now_ms)
@@ -188,7 +188,7 @@
 
 @then("at most {count:d} of them are suspended")
 def step_few_suspended(context, count):
-    loads, servers = context.knowledge.load_table, context.knowledge.registry.servers()
+    loads, servers = context.gateway_state.load_table, context.gateway_state.registry.servers()
     breakers = [loads.get_or_create(server.incarnation).circuit_breaker for server in servers]
     suspended = sum(1 for breaker in breakers if breaker.is_suspended(context.now_ms))
     assert 1 <= suspended <= count, suspended
@@ -198,7 +198,7 @@
 def step_many_suspended(context, count, suspended):
     start_endpoints(context, count)
     for number in range(suspended):
-        breaker: CircuitBreaker = context.knowledge.load_table.get_or_create(
+        breaker: CircuitBreaker = context.gateway_state.load_table.get_or_create(
             f"i-{number}"
         ).circuit_breaker
         breaker.record_failure(0.0, -5.0)
@@ -275,7 +275,7 @@
 @then("both gateways know that it turns away between {least:g} and {most:g} of what it gets")
 def step_refusal_share(context, least, most):
     def shares():
-        load_tables = [gateway._knowledge.load_table for gateway, _ in context.gateways]
+        load_tables = [gateway._gateway_state.load_table for gateway, _ in context.gateways]
         name = context.shedding.incarnation
         return [loads.get_or_create(name).refusal_share(monotonic_ms()) for loads in load_tables]
 
@@ -285,7 +285,7 @@
 @then("it is not suspended")
 def step_not_suspended(context):
     for gateway, _ in context.gateways:
-        breaker = gateway._knowledge.load_table.get_or_create(
+        breaker = gateway._gateway_state.load_table.get_or_create(
             context.shedding.incarnation
         ).circuit_breaker
         assert not breaker.is_suspended(monotonic_ms())
@@ -299,8 +299,8 @@
         await fleet.start_fleet(context, backends=2, gateways=1)
         context.shedding, context.slow = context.backends
         context.shedding.default = "reject"
-        context.slow.pace = 6_000
-        loads = context.gateways[0][0]._knowledge.load_table
+        context.slow.slowdown_percent = 6_000
+        loads = context.gateways[0][0]._gateway_state.load_table
         await fleet.until(
             lambda: loads.get_or_create(context.slow.incarnation).slowdown(monotonic_ms()) == 60.0
         )
