--- a/features/steps/gateway_crossing_steps.py
+++ b/features/steps/gateway_crossing_steps.py
@@ -52,7 +52,9 @@
     gateway_state, now_ms = context.gateway_state, monotonic_ms()
     for name in [f"lost-{number}" for number in range(count)]:
         if how == "can't be reached":
-            gateway_state.load_table.get_or_create(name).update_from_probe(UNREACHABLE_REPORT, now_ms)
+            gateway_state.load_table.get_or_create(name).update_from_probe(
+                UNREACHABLE_REPORT, now_ms
+            )
         elif how == "have vanished":
             gateway_state.registry.apply(ServerRecord(name, 50, None), now_ms, False)
     if how == "are evacuated" and count:
--- a/features/steps/gateway_evacuation_steps.py
+++ b/features/steps/gateway_evacuation_steps.py
@@ -174,7 +174,8 @@
 @then("the late gateway knows of it too")
 def step_late_knows(context):
     run(
-        context, fleet.until(lambda: context.late._gateway_state.evacuated() == {EVACUATED_DATA_CENTER})
+        context,
+        fleet.until(lambda: context.late._gateway_state.evacuated() == {EVACUATED_DATA_CENTER}),
     )
 
 
--- a/features/steps/gateway_store_era_steps.py
+++ b/features/steps/gateway_store_era_steps.py
@@ -203,7 +203,9 @@
 
 def evacuated(context):
     """Return, for each gateway, whether it considers the data centre evacuated."""
-    return [fleet.DATA_CENTER in gateway._gateway_state.evacuated() for gateway, _ in context.gateways]
+    return [
+        fleet.DATA_CENTER in gateway._gateway_state.evacuated() for gateway, _ in context.gateways
+    ]
 
 
 @when("the store comes back from a copy in which it is not")
