--- a/bench/capacity_roles.py
+++ b/bench/capacity_roles.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from bench.slope import Slope
-from cloverhook.measuring import PROBES_PER_S
+from cloverhook.probe_schedule import PROBES_PER_S
 
 __all__ = ["BUDGET", "SIZE", "Budget", "Size", "role_rows", "serving_rows"]
 
--- a/bench/choice_cost.py
+++ b/bench/choice_cost.py
@@ -10,9 +10,9 @@
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
 from cloverhook.gateway.balancer import Balancer
 from cloverhook.gateway.choice import CapacityRequirement, WorkEstimates
-from cloverhook.gateway.load import LoadReport, LoadTable
 from cloverhook.gateway.registry import Registry
-from cloverhook.gateway.waiting_line import QueuedRequest, RequestQueue
+from cloverhook.gateway.request_queue import QueuedRequest, RequestQueue
+from cloverhook.gateway.server_load import LoadReport, LoadTable
 
 __all__ = ["measure_choices"]
 
--- a/bench/gateway_replay.py
+++ b/bench/gateway_replay.py
@@ -25,11 +25,11 @@
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
 from cloverhook.gateway.balancer import Balancer
 from cloverhook.gateway.choice import CapacityRequirement, Choice, WorkEstimates
+from cloverhook.gateway.circuit_breaker import RECENT_ANSWER_MS, CircuitBreaker
 from cloverhook.gateway.final_answer import RETRY_AFTER_RANGE_MS
-from cloverhook.gateway.load import LoadReport, LoadTable
 from cloverhook.gateway.registry import Registry
-from cloverhook.gateway.trust import RECENT_ANSWER_MS, CircuitBreaker
-from cloverhook.gateway.waiting_line import QueuedRequest, RequestQueue
+from cloverhook.gateway.request_queue import QueuedRequest, RequestQueue
+from cloverhook.gateway.server_load import LoadReport, LoadTable
 
 __all__ = ["Deployment", "Kind", "Load", "Outcome", "play"]
 
--- a/cloverhook/config_commands.py
+++ b/cloverhook/config_commands.py
@@ -14,7 +14,7 @@
 from cloverhook.errors import PlatformError
 from cloverhook.fleet import Preset
 from cloverhook.fold import BrandState
-from cloverhook.log_reading import ChangeOutcome
+from cloverhook.log_reader import ChangeOutcome
 from cloverhook.operator_client import fetch_statuses, wait_applied
 from cloverhook.platform_api import VmPhase
 from cloverhook.porcelain import ChangeResult, Operator, Settlement
--- a/cloverhook/daemon.py
+++ b/cloverhook/daemon.py
@@ -25,7 +25,7 @@
 from cloverhook.errors import SettingsError
 from cloverhook.fold import FoldResult, Verdict
 from cloverhook.follower import Follower
-from cloverhook.load_watch import LoadMonitor
+from cloverhook.load_monitor import LoadMonitor
 from cloverhook.logs import configure_logs
 from cloverhook.messages import Message
 from cloverhook.metrics import Metric, Sample
--- a/cloverhook/dispatch.py
+++ b/cloverhook/dispatch.py
@@ -14,9 +14,9 @@
 from cloverhook.clock import monotonic_ms
 from cloverhook.errors import ErrorKind, RequestError
 from cloverhook.fleet import Endpoint, Policy, Service
-from cloverhook.measuring import ProbeSpacing
+from cloverhook.load_shedder import LoadShedder
 from cloverhook.messages import Message
-from cloverhook.own_limit import LoadShedder
+from cloverhook.probe_schedule import ProbeSpacing
 from cloverhook.retry_after import RetryAfterTimes
 from cloverhook.routing import PEER_BYTES_PER_S, ServiceRouter
 from cloverhook.routing_events import (
--- a/cloverhook/gateway/admission.py
+++ b/cloverhook/gateway/admission.py
@@ -9,7 +9,7 @@
 
 from cloverhook.clock import monotonic_ms
 from cloverhook.gateway.choice import Choice
-from cloverhook.gateway.waiting_line import QueuedRequest, RequestQueue
+from cloverhook.gateway.request_queue import QueuedRequest, RequestQueue
 
 __all__ = ["Admission"]
 
--- a/cloverhook/gateway/attempt.py
+++ b/cloverhook/gateway/attempt.py
@@ -27,8 +27,8 @@
 )
 from cloverhook.gateway.calls import CallerAnswer, CallerRequest
 from cloverhook.gateway.choice import Choice
-from cloverhook.gateway.load import SLOW_FACTOR, LoadTable, ServerLoad
 from cloverhook.gateway.load_probe import probe_load
+from cloverhook.gateway.server_load import SLOW_FACTOR, LoadTable, ServerLoad
 from cloverhook.upstream_connection import AnswerHead, RequestHead, UpstreamConnection
 
 __all__ = ["Attempt", "AttemptResult", "Outcome"]
--- a/cloverhook/gateway/balancer.py
+++ b/cloverhook/gateway/balancer.py
@@ -18,9 +18,9 @@
 from cloverhook.gateway.candidates import Candidates
 from cloverhook.gateway.choice import CapacityRequirement, Choice, WorkEstimates, nearly_full
 from cloverhook.gateway.cold_limit import ColdLimit
-from cloverhook.gateway.load import LoadTable, ServerLoad
 from cloverhook.gateway.rate_limits import RateLimits
 from cloverhook.gateway.registry import Registry
+from cloverhook.gateway.server_load import LoadTable, ServerLoad
 
 __all__ = ["Balancer"]
 
--- a/cloverhook/gateway/call_headers.py
+++ b/cloverhook/gateway/call_headers.py
@@ -7,7 +7,7 @@
 import re
 from dataclasses import dataclass
 
-from cloverhook.gateway.load import LoadReport
+from cloverhook.gateway.server_load import LoadReport
 from cloverhook.hop_by_hop import ALWAYS_FORWARDED, HOP_BY_HOP, find
 
 __all__ = [
--- a/cloverhook/gateway/candidates.py
+++ b/cloverhook/gateway/candidates.py
@@ -18,7 +18,7 @@
 from functools import partial
 
 from cloverhook.gateway.backend_server import BackendServer
-from cloverhook.gateway.load import ServerLoad
+from cloverhook.gateway.server_load import ServerLoad
 
 __all__ = ["Candidates"]
 
--- a/cloverhook/gateway/cold_limit.py
+++ b/cloverhook/gateway/cold_limit.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 
 from cloverhook.gateway.backend_server import BackendServer
-from cloverhook.gateway.ranking import rendezvous_rank
+from cloverhook.gateway.rendezvous_hash import rendezvous_rank
 
 __all__ = ["ColdLimit", "ColdRateBound"]
 
--- a/cloverhook/gateway/count_updates.py
+++ b/cloverhook/gateway/count_updates.py
@@ -13,7 +13,7 @@
 
 from cloverhook.clock import monotonic_ms
 from cloverhook.gateway.broadcast import Broadcast
-from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.gateway_state import GatewayState
 from cloverhook.gateway.members import Members
 from cloverhook.gateway.peer_messages import InFlightCountChanges, InFlightCounts, encode
 
--- a/cloverhook/gateway/daemon.py
+++ b/cloverhook/gateway/daemon.py
@@ -13,7 +13,7 @@
 
 from cloverhook.clock import PauseDetector, monotonic_ms
 from cloverhook.errors import SettingsError
-from cloverhook.gateway.announcing import Announcer
+from cloverhook.gateway.announcer import Announcer
 from cloverhook.gateway.backend_pool import BackendPool
 from cloverhook.gateway.backend_server import BackendServer
 from cloverhook.gateway.balancer import Balancer
@@ -25,18 +25,18 @@
 from cloverhook.gateway.discovery import Discovery
 from cloverhook.gateway.event_log import EventKind, EventLog
 from cloverhook.gateway.forwarding import Forwarder
+from cloverhook.gateway.gateway_state import GatewayState
 from cloverhook.gateway.ingress import Ingress
-from cloverhook.gateway.knowledge import GatewayState
-from cloverhook.gateway.load import LoadReport
-from cloverhook.gateway.measuring import GROUP_SIZE, STARTUP_DELAY_MS, ProbeSchedule
 from cloverhook.gateway.members import READERS, Members
 from cloverhook.gateway.peer_messages import Identity
 from cloverhook.gateway.peering import Peering
+from cloverhook.gateway.probe_schedule import GROUP_SIZE, STARTUP_DELAY_MS, ProbeSchedule
 from cloverhook.gateway.prober import Prober
-from cloverhook.gateway.quarantine_keeper import QuarantinePersistence
+from cloverhook.gateway.quarantine_persistence import QuarantinePersistence
 from cloverhook.gateway.request_report import RequestReport
-from cloverhook.gateway.retry_allowance import RetryBudget
+from cloverhook.gateway.retry_budget import RetryBudget
 from cloverhook.gateway.routes import IngressLimits
+from cloverhook.gateway.server_load import LoadReport
 from cloverhook.gateway.settings import GatewaySettings
 from cloverhook.gateway.store import MemberRecord, Store
 from cloverhook.gateway.store_follower import StoreFollower
--- a/cloverhook/gateway/discovery.py
+++ b/cloverhook/gateway/discovery.py
@@ -7,7 +7,7 @@
 """
 
 from cloverhook.gateway.members import Members
-from cloverhook.gateway.ranking import rendezvous_rank
+from cloverhook.gateway.rendezvous_hash import rendezvous_rank
 
 __all__ = ["Discovery"]
 
--- a/cloverhook/gateway/failure_updates.py
+++ b/cloverhook/gateway/failure_updates.py
@@ -9,10 +9,10 @@
 
 from cloverhook.clock import monotonic_ms
 from cloverhook.gateway.broadcast import Broadcast
+from cloverhook.gateway.circuit_breaker import RECENT_ANSWER_MS, FailureReportFilter
 from cloverhook.gateway.event_log import EventKind, EventLog
-from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.gateway_state import GatewayState
 from cloverhook.gateway.peer_messages import Failures, encode
-from cloverhook.gateway.trust import RECENT_ANSWER_MS, FailureReportFilter
 
 __all__ = ["FailureUpdates"]
 
--- a/cloverhook/gateway/final_answer.py
+++ b/cloverhook/gateway/final_answer.py
@@ -9,7 +9,7 @@
 from cloverhook.errors import ErrorKind, answer_for
 from cloverhook.gateway.attempt import Outcome
 from cloverhook.gateway.calls import CallerAnswer
-from cloverhook.gateway.request_run import RequestState
+from cloverhook.gateway.request_state import RequestState
 
 __all__ = ["error_answer", "final_error_kind"]
 
--- a/cloverhook/gateway/forwarding.py
+++ b/cloverhook/gateway/forwarding.py
@@ -20,15 +20,15 @@
 from cloverhook.gateway.calls import CallerAnswer, CallerRequest
 from cloverhook.gateway.choice import CapacityRequirement, Choice, WorkEstimates
 from cloverhook.gateway.final_answer import error_answer, final_error_kind
-from cloverhook.gateway.knowledge import GatewayState
-from cloverhook.gateway.load import SLOW_FACTOR
+from cloverhook.gateway.gateway_state import GatewayState
 from cloverhook.gateway.quarantine_updates import QuarantineUpdates
 from cloverhook.gateway.rate_limit_updates import RateLimitUpdates
+from cloverhook.gateway.request_queue import QueuedRequest, RequestQueue
 from cloverhook.gateway.request_report import RequestReport
-from cloverhook.gateway.request_run import RequestState
-from cloverhook.gateway.retry_allowance import RetryBudget
-from cloverhook.gateway.splits import WeightedRoundRobin
-from cloverhook.gateway.waiting_line import QueuedRequest, RequestQueue
+from cloverhook.gateway.request_state import RequestState
+from cloverhook.gateway.retry_budget import RetryBudget
+from cloverhook.gateway.server_load import SLOW_FACTOR
+from cloverhook.gateway.weighted_round_robin import WeightedRoundRobin
 
 __all__ = ["Forwarder"]
 
--- a/cloverhook/gateway/knowledge.py
+++ b/cloverhook/gateway/gateway_state.py
@@ -10,9 +10,9 @@
 from cloverhook.gateway.backend_server import ServerRecord
 from cloverhook.gateway.config_codec import EncodedConfig
 from cloverhook.gateway.evacuation import Evacuations
-from cloverhook.gateway.load import LoadTable
 from cloverhook.gateway.registry import DRAIN_MS, Registry
 from cloverhook.gateway.routes import GatewayConfig
+from cloverhook.gateway.server_load import LoadTable
 from cloverhook.gateway.versions import era_of
 
 __all__ = ["GatewayState"]
--- a/cloverhook/gateway/load_probe.py
+++ b/cloverhook/gateway/load_probe.py
@@ -7,7 +7,7 @@
 
 from cloverhook.gateway.backend_server import BackendServer
 from cloverhook.gateway.call_headers import CallHeaders, find, parse_cold_ms, parse_load
-from cloverhook.gateway.load import LoadReport
+from cloverhook.gateway.server_load import LoadReport
 from cloverhook.upstream_connection import AnswerHead, RequestHead, UpstreamConnection
 
 __all__ = ["UNREACHABLE_REPORT", "probe_load"]
--- a/cloverhook/gateway/load_updates.py
+++ b/cloverhook/gateway/load_updates.py
@@ -12,8 +12,8 @@
 
 from cloverhook.clock import monotonic_ms
 from cloverhook.gateway.broadcast import Broadcast
-from cloverhook.gateway.load import LoadReport
 from cloverhook.gateway.peer_messages import LoadReports, encode
+from cloverhook.gateway.server_load import LoadReport
 
 __all__ = ["LoadUpdates"]
 
--- a/cloverhook/gateway/members.py
+++ b/cloverhook/gateway/members.py
@@ -17,7 +17,7 @@
 from typing import Protocol
 
 from cloverhook.gateway.peer_messages import Heartbeat
-from cloverhook.gateway.ranking import rendezvous_rank, rendezvous_weight
+from cloverhook.gateway.rendezvous_hash import rendezvous_rank, rendezvous_weight
 
 __all__ = ["READERS", "KnownVersions", "Member", "Members"]
 
--- a/cloverhook/gateway/peer_messages.py
+++ b/cloverhook/gateway/peer_messages.py
@@ -17,8 +17,8 @@
 
 from cloverhook.checking import Address, Flag, Integer, Number, compile_check, kind_field, table_of
 from cloverhook.errors import MessageError
-from cloverhook.gateway.load import LoadReport
 from cloverhook.gateway.registry import REGISTRY_DOCUMENT
+from cloverhook.gateway.server_load import LoadReport
 
 __all__ = [
     "Heartbeat",
--- a/cloverhook/gateway/peering.py
+++ b/cloverhook/gateway/peering.py
@@ -22,8 +22,8 @@
 from cloverhook.gateway.counters import Counters
 from cloverhook.gateway.event_log import EventKind, EventLog
 from cloverhook.gateway.failure_updates import FailureUpdates
-from cloverhook.gateway.heartbeat_pace import HeartbeatIntervals
-from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.gateway_state import GatewayState
+from cloverhook.gateway.heartbeat_intervals import HeartbeatIntervals
 from cloverhook.gateway.load_updates import LoadUpdates
 from cloverhook.gateway.members import Member, Members
 from cloverhook.gateway.peer_link import PeerLink, StateReply
--- a/cloverhook/gateway/measuring.py
+++ b/cloverhook/gateway/probe_schedule.py
@@ -14,10 +14,10 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from cloverhook.gateway.backend_server import BackendServer
-from cloverhook.gateway.load import LoadTable
 from cloverhook.gateway.members import Members
-from cloverhook.gateway.ranking import rendezvous_rank, rendezvous_weight
 from cloverhook.gateway.registry import Registry
+from cloverhook.gateway.rendezvous_hash import rendezvous_rank, rendezvous_weight
+from cloverhook.gateway.server_load import LoadTable
 
 __all__ = ["GROUP_SIZE", "STARTUP_DELAY_MS", "ProbeSchedule"]
 
--- a/cloverhook/gateway/prober.py
+++ b/cloverhook/gateway/prober.py
@@ -1,9 +1,9 @@
 """Probes the load of backend servers, and hands over the load reports.
 
-Layer: transport.  `measuring` decides which backend servers: each one is probed by one VM, of the
-same data centre where there is one, so that the fleet as a whole probes it once.  The slowdown of
-an endpoint changes within half a second, and a load report that is a tenth of a second old is still
-good enough to choose an endpoint by.
+Layer: transport.  `probe_schedule` decides which backend servers: each one is probed by one VM, of
+the same data centre where there is one, so that the fleet as a whole probes it once.  The slowdown
+of an endpoint changes within half a second, and a load report that is a tenth of a second old is
+still good enough to choose an endpoint by.
 """
 
 import asyncio
@@ -14,8 +14,8 @@
 from cloverhook.gateway.backend_pool import BackendPool
 from cloverhook.gateway.backend_server import BackendServer
 from cloverhook.gateway.call_headers import CallHeaders
-from cloverhook.gateway.load import LoadReport
 from cloverhook.gateway.load_probe import UNREACHABLE_REPORT, probe_load
+from cloverhook.gateway.server_load import LoadReport
 
 __all__ = ["Prober"]
 
--- a/cloverhook/gateway/quarantine.py
+++ b/cloverhook/gateway/quarantine.py
@@ -30,7 +30,7 @@
 from typing import NamedTuple
 
 from cloverhook.gateway.peer_messages import CrashRecord
-from cloverhook.gateway.ranking import rendezvous_weight
+from cloverhook.gateway.rendezvous_hash import rendezvous_weight
 from cloverhook.gateway.request_key import RequestKeys
 from cloverhook.gateway.served_requests import ServedRequests
 
--- a/cloverhook/gateway/quarantine_updates.py
+++ b/cloverhook/gateway/quarantine_updates.py
@@ -13,7 +13,7 @@
 from cloverhook.gateway.members import Member, Members
 from cloverhook.gateway.peer_messages import CrashRecord, CrashRecords, encode
 from cloverhook.gateway.quarantine import CRASH_RECORDS_PER_DATAGRAM, Quarantine, SendPermission
-from cloverhook.gateway.ranking import rendezvous_rank
+from cloverhook.gateway.rendezvous_hash import rendezvous_rank
 from cloverhook.gateway.request_key import RequestKeys
 
 __all__ = ["QuarantineUpdates"]
--- a/cloverhook/gateway/rate_limit_updates.py
+++ b/cloverhook/gateway/rate_limit_updates.py
@@ -11,7 +11,7 @@
 from cloverhook.gateway.broadcast import Broadcast
 from cloverhook.gateway.counters import Counters
 from cloverhook.gateway.event_log import EventKind, EventLog
-from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.gateway_state import GatewayState
 from cloverhook.gateway.peer_messages import RateLimitEntry, RateLimitUpdate, encode
 from cloverhook.gateway.rate_limits import RateLimits
 
--- a/cloverhook/gateway/refusal_updates.py
+++ b/cloverhook/gateway/refusal_updates.py
@@ -10,8 +10,8 @@
 
 from cloverhook.clock import monotonic_ms
 from cloverhook.gateway.broadcast import Broadcast
-from cloverhook.gateway.load import LoadTable
 from cloverhook.gateway.peer_messages import Refusals, encode
+from cloverhook.gateway.server_load import LoadTable
 
 __all__ = ["RefusalUpdates"]
 
--- a/cloverhook/gateway/registry.py
+++ b/cloverhook/gateway/registry.py
@@ -23,7 +23,7 @@
 
 from cloverhook.checking import Flag, Integer, Items, MapOf, Number, Table
 from cloverhook.gateway.backend_server import SERVER_SCHEMA, BackendServer, ServerRecord
-from cloverhook.gateway.holds import GracePeriods
+from cloverhook.gateway.grace_periods import GracePeriods
 from cloverhook.gateway.log_position import LogPosition
 from cloverhook.gateway.versions import era_of
 
--- a/cloverhook/gateway/request_report.py
+++ b/cloverhook/gateway/request_report.py
@@ -13,8 +13,8 @@
 from cloverhook.gateway.choice import Choice
 from cloverhook.gateway.counters import Counters
 from cloverhook.gateway.event_log import EventKind, EventLog
-from cloverhook.gateway.knowledge import GatewayState
-from cloverhook.gateway.request_run import RequestState
+from cloverhook.gateway.gateway_state import GatewayState
+from cloverhook.gateway.request_state import RequestState
 
 __all__ = ["RequestReport"]
 
--- a/cloverhook/gateway/load.py
+++ b/cloverhook/gateway/server_load.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 from functools import partial
 
-from cloverhook.gateway.refusals import RefusalShare
-from cloverhook.gateway.trust import CircuitBreaker
+from cloverhook.gateway.circuit_breaker import CircuitBreaker
+from cloverhook.gateway.refusal_share import RefusalShare
 
 __all__ = ["SLOW_FACTOR", "LoadReport", "LoadTable", "ServerLoad"]
 
--- a/cloverhook/gateway/state_fetch.py
+++ b/cloverhook/gateway/state_fetch.py
@@ -20,7 +20,7 @@
 from cloverhook.gateway.counters import Counters
 from cloverhook.gateway.evacuation import Evacuations
 from cloverhook.gateway.event_log import EventKind, EventLog
-from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.gateway_state import GatewayState
 from cloverhook.gateway.members import KnownVersions, Member, Members
 from cloverhook.gateway.peer_messages import is_registry_document
 from cloverhook.gateway.registry import Registry
--- a/cloverhook/gateway/store_follower.py
+++ b/cloverhook/gateway/store_follower.py
@@ -14,7 +14,7 @@
 from cloverhook.gateway.counters import Counters
 from cloverhook.gateway.evacuation import Evacuations
 from cloverhook.gateway.event_log import EventKind, EventLog
-from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.gateway_state import GatewayState
 from cloverhook.gateway.store import Feed, FeedSlice, HistoryLostError, Store
 from cloverhook.gateway.supervision import run_with_restarts
 from cloverhook.gateway.versions import era_of, offset_of, version_of
--- a/cloverhook/load_watch.py
+++ b/cloverhook/load_monitor.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from cloverhook.clock import monotonic_ms
-from cloverhook.own_limit import LoadShedder
+from cloverhook.load_shedder import LoadShedder
 
 __all__ = ["LoadMonitor"]
 
--- a/cloverhook/peering.py
+++ b/cloverhook/peering.py
@@ -20,7 +20,7 @@
 
 from cloverhook.clock import wall_ms
 from cloverhook.errors import AuthenticationError, MessageError
-from cloverhook.greeting import Handshake, Role
+from cloverhook.handshake import Handshake, Role
 from cloverhook.messages import (
     Heartbeat,
     Hello,
--- a/cloverhook/porcelain.py
+++ b/cloverhook/porcelain.py
@@ -17,7 +17,7 @@
 from cloverhook.errors import ConfigError, Fault, PlatformError, PlatformSilentError
 from cloverhook.fleet import Brand, Preset
 from cloverhook.fold import State, Verdict
-from cloverhook.log_reading import ChangeOutcome, LogReader
+from cloverhook.log_reader import ChangeOutcome, LogReader
 from cloverhook.platform_api import Platform
 from cloverhook.records import (
     CONFIG_STREAM,
--- a/cloverhook/routing.py
+++ b/cloverhook/routing.py
@@ -23,9 +23,10 @@
 from cloverhook.errors import ErrorKind
 from cloverhook.fleet import Endpoint, Policy
 from cloverhook.lending import PeerSlotRequest
-from cloverhook.measuring import ProbeSchedule, ProbeSpacing, probe_budget_share
 from cloverhook.messages import SlotGrant, SlotRequest, SlotReturn
 from cloverhook.ownership import assign_owners
+from cloverhook.probe_schedule import ProbeSchedule, ProbeSpacing, probe_budget_share
+from cloverhook.request_queue import PendingRequest, RequestQueue
 from cloverhook.retry_after import RetryAfterTimes
 from cloverhook.retry_budget import RetryBudget
 from cloverhook.routing_events import (
@@ -48,7 +49,6 @@
 )
 from cloverhook.slot_exchange import IDLE_LOAN_MS, SlotExchange
 from cloverhook.token_bucket import TokenBucket
-from cloverhook.waiting import PendingRequest, RequestQueue
 
 __all__ = ["PEER_BYTES_PER_S", "ServiceRouter"]
 
--- a/cloverhook/slot_exchange.py
+++ b/cloverhook/slot_exchange.py
@@ -17,9 +17,9 @@
     PeerSlotRequest,
 )
 from cloverhook.messages import SlotGrant, SlotRequest, SlotReturn
+from cloverhook.request_queue import RequestQueue
 from cloverhook.routing_events import SendMessage
 from cloverhook.token_bucket import TokenBucket
-from cloverhook.waiting import RequestQueue
 
 __all__ = ["SlotExchange"]
 
--- a/features/era_replay.py
+++ b/features/era_replay.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from cloverhook.gateway.backend_server import BackendServer
-from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.gateway_state import GatewayState
 from cloverhook.gateway.registry import Registry
 from cloverhook.gateway.state_fetch import build_state_reply
 from cloverhook.gateway.store import Feed, FeedSlice, MemoryStore
--- a/features/gateway_crowd.py
+++ b/features/gateway_crowd.py
@@ -3,7 +3,7 @@
 from cloverhook.clock import monotonic_ms
 from cloverhook.gateway.counters import Counters
 from cloverhook.gateway.event_log import EventLog
-from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.gateway_state import GatewayState
 from cloverhook.gateway.members import Members
 from cloverhook.gateway.peer_messages import Heartbeat, Identity, Relay, decode
 from cloverhook.gateway.peering import Peering
--- a/features/registry_replay.py
+++ b/features/registry_replay.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
-from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.gateway_state import GatewayState
 from cloverhook.gateway.state_fetch import build_state_reply
 
 DRAIN_MS = 2_500.0
--- a/features/steps/control_cost_steps.py
+++ b/features/steps/control_cost_steps.py
@@ -16,12 +16,17 @@
 from cloverhook.failure_detector import BUSY_TICK_MS, DetectorTimeouts
 from cloverhook.fleet import Endpoint, Policy, Priority
 from cloverhook.fold import fold
-from cloverhook.measuring import CHECK_EVERY_MS, EVIDENCE_LIFETIME_MS, PROBES_PER_S, ProbeSpacing
 from cloverhook.member_events import LinkOpened, SendMessage
 from cloverhook.member_events import Tick as MemberTick
 from cloverhook.members import Member, Status
 from cloverhook.membership import SEARCH_INTERVAL_MS, Membership
 from cloverhook.messages import Hello, Ping
+from cloverhook.probe_schedule import (
+    CHECK_EVERY_MS,
+    EVIDENCE_LIFETIME_MS,
+    PROBES_PER_S,
+    ProbeSpacing,
+)
 from cloverhook.records import Change, Publish, RemoveBrand
 from cloverhook.routing import ServiceRouter
 from cloverhook.routing_events import (
--- a/features/steps/dispatch_steps.py
+++ b/features/steps/dispatch_steps.py
@@ -11,8 +11,8 @@
 from cloverhook.errors import ErrorKind, RequestError
 from cloverhook.fleet import Priority
 from cloverhook.fold import fold
-from cloverhook.load_watch import LoadMonitor
-from cloverhook.own_limit import LoadShedder
+from cloverhook.load_monitor import LoadMonitor
+from cloverhook.load_shedder import LoadShedder
 from cloverhook.records import Change, Publish
 from cloverhook.routing_events import Arrival, AttemptEnded, AttemptResult
 from cloverhook.state import State
--- a/features/steps/entry_steps.py
+++ b/features/steps/entry_steps.py
@@ -17,8 +17,7 @@
 from cloverhook.errors import MessageError, PlatformError
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
 from cloverhook.gateway.event_log import EventKind
-from cloverhook.gateway.knowledge import GatewayState
-from cloverhook.gateway.load import LoadReport
+from cloverhook.gateway.gateway_state import GatewayState
 from cloverhook.gateway.peer_messages import (
     CrashRecord,
     CrashRecords,
@@ -33,6 +32,7 @@
 from cloverhook.gateway.quarantine import Quarantine
 from cloverhook.gateway.registry import Registry
 from cloverhook.gateway.routes import GatewayConfig
+from cloverhook.gateway.server_load import LoadReport
 from cloverhook.gateway.store import Feed, MemoryStore
 from features import gateway_fleet as fleet
 from features.shared import run
--- a/features/steps/gateway_broadcast_steps.py
+++ b/features/steps/gateway_broadcast_steps.py
@@ -11,8 +11,7 @@
 from cloverhook.gateway import state_fetch
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
 from cloverhook.gateway.broadcast import Broadcast
-from cloverhook.gateway.knowledge import GatewayState
-from cloverhook.gateway.load import LoadReport
+from cloverhook.gateway.gateway_state import GatewayState
 from cloverhook.gateway.load_updates import LoadUpdates
 from cloverhook.gateway.members import Members
 from cloverhook.gateway.peer_messages import (
@@ -23,6 +22,7 @@
     decode,
 )
 from cloverhook.gateway.registry import Registry
+from cloverhook.gateway.server_load import LoadReport
 from cloverhook.gateway.state_fetch import build_state_reply
 from features import gateway_fleet as fleet
 from features.gateway_crowd import LOCAL, REMOTE, Wire, heartbeat, members_of, peering_of
--- a/features/steps/gateway_changes_steps.py
+++ b/features/steps/gateway_changes_steps.py
@@ -7,7 +7,7 @@
 
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
 from cloverhook.gateway.config_codec import EncodedConfig
-from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.gateway_state import GatewayState
 from cloverhook.gateway.state_fetch import build_state_reply
 from cloverhook.gateway.transfer_queue import Refer, Requester, Send, TransferQueue
 from features import gateway_fleet as fleet
--- a/features/steps/gateway_choice_steps.py
+++ b/features/steps/gateway_choice_steps.py
@@ -8,9 +8,9 @@
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
 from cloverhook.gateway.balancer import Balancer
 from cloverhook.gateway.choice import CapacityRequirement, WorkEstimates
-from cloverhook.gateway.load import LoadReport, LoadTable, ServerLoad
 from cloverhook.gateway.registry import Registry
-from cloverhook.gateway.waiting_line import QueuedRequest, RequestQueue
+from cloverhook.gateway.request_queue import QueuedRequest, RequestQueue
+from cloverhook.gateway.server_load import LoadReport, LoadTable, ServerLoad
 
 SERVICE = "booking"
 SLOTS = 4
--- a/features/steps/gateway_cold_steps.py
+++ b/features/steps/gateway_cold_steps.py
@@ -15,9 +15,9 @@
 from cloverhook.gateway.call_headers import parse_cold_ms
 from cloverhook.gateway.choice import CapacityRequirement, WorkEstimates
 from cloverhook.gateway.cold_limit import ColdLimit, ColdRateBound
-from cloverhook.gateway.load import LoadReport, LoadTable
 from cloverhook.gateway.peer_messages import LoadReports, decode, encode
 from cloverhook.gateway.registry import Registry
+from cloverhook.gateway.server_load import LoadReport, LoadTable
 
 SERVICE = "bookings"
 DATA_CENTER = "papine"
--- a/features/steps/gateway_crossing_steps.py
+++ b/features/steps/gateway_crossing_steps.py
@@ -11,12 +11,12 @@
 from cloverhook.gateway.broadcast import Broadcast
 from cloverhook.gateway.count_updates import CountUpdates
 from cloverhook.gateway.evacuation import Evacuations
-from cloverhook.gateway.knowledge import GatewayState
-from cloverhook.gateway.load import LoadReport
+from cloverhook.gateway.gateway_state import GatewayState
 from cloverhook.gateway.load_probe import UNREACHABLE_REPORT
 from cloverhook.gateway.load_updates import LoadUpdates
 from cloverhook.gateway.members import Members
 from cloverhook.gateway.peer_messages import InFlightCountChanges, InFlightCounts, Relay, decode
+from cloverhook.gateway.server_load import LoadReport
 from features.gateway_crowd import LOCAL, Wire, heartbeat
 from features.shared import run
 
--- a/features/steps/gateway_crowd_steps.py
+++ b/features/steps/gateway_crowd_steps.py
@@ -7,9 +7,9 @@
 
 from cloverhook.clock import monotonic_ms
 from cloverhook.gateway import load_updates
-from cloverhook.gateway.load import LoadReport
 from cloverhook.gateway.members import Members
 from cloverhook.gateway.peer_messages import LoadReports, Relay, encode
+from cloverhook.gateway.server_load import LoadReport
 from features.gateway_crowd import (
     LOCAL,
     LOCAL_HOSTS,
--- a/features/steps/gateway_decision_steps.py
+++ b/features/steps/gateway_decision_steps.py
@@ -10,8 +10,7 @@
 from cloverhook.gateway.balancer import Balancer
 from cloverhook.gateway.choice import WorkEstimates
 from cloverhook.gateway.event_log import BUFFER_LIMIT_BYTES, EventKind, EventLog
-from cloverhook.gateway.knowledge import GatewayState
-from cloverhook.gateway.load import LoadReport, LoadTable
+from cloverhook.gateway.gateway_state import GatewayState
 from cloverhook.gateway.members import Members
 from cloverhook.gateway.peer_messages import (
     Heartbeat,
@@ -22,10 +21,11 @@
     encode,
 )
 from cloverhook.gateway.registry import Registry
-from cloverhook.gateway.retry_allowance import RetryBudget
+from cloverhook.gateway.request_queue import QueuedRequest, RequestQueue
+from cloverhook.gateway.retry_budget import RetryBudget
 from cloverhook.gateway.routes import WeightedService
-from cloverhook.gateway.splits import WeightedRoundRobin
-from cloverhook.gateway.waiting_line import QueuedRequest, RequestQueue
+from cloverhook.gateway.server_load import LoadReport, LoadTable
+from cloverhook.gateway.weighted_round_robin import WeightedRoundRobin
 from features import gateway_fleet as fleet
 
 LOCAL = "papine"
--- a/features/steps/gateway_evacuation_steps.py
+++ b/features/steps/gateway_evacuation_steps.py
@@ -15,8 +15,8 @@
 from cloverhook.gateway.calls import CallerRequest
 from cloverhook.gateway.choice import CapacityRequirement, Choice, WorkEstimates
 from cloverhook.gateway.evacuation import Evacuation, Evacuations
-from cloverhook.gateway.knowledge import GatewayState
-from cloverhook.gateway.load import LoadTable
+from cloverhook.gateway.gateway_state import GatewayState
+from cloverhook.gateway.server_load import LoadTable
 from cloverhook.gateway.store import MemoryStore
 from features import gateway_fleet as fleet
 from features.shared import run
--- a/features/steps/gateway_measuring_steps.py
+++ b/features/steps/gateway_measuring_steps.py
@@ -5,9 +5,9 @@
 from behave import given, then, when
 
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
-from cloverhook.gateway.load import LoadReport, LoadTable
-from cloverhook.gateway.measuring import ProbeSchedule
+from cloverhook.gateway.probe_schedule import ProbeSchedule
 from cloverhook.gateway.registry import Registry
+from cloverhook.gateway.server_load import LoadReport, LoadTable
 from features import gateway_fleet as fleet
 from features.gateway_crowd import LOCAL, REMOTE, heartbeat, members_of
 
--- a/features/steps/gateway_steps.py
+++ b/features/steps/gateway_steps.py
@@ -11,8 +11,8 @@
 from cloverhook.errors import SettingsError
 from cloverhook.gateway.attempt import LOAD_MAX_AGE_MS
 from cloverhook.gateway.daemon import Gateway
-from cloverhook.gateway.load import LoadReport
 from cloverhook.gateway.program import serve
+from cloverhook.gateway.server_load import LoadReport
 from cloverhook.gateway.settings import GatewaySettings
 from cloverhook.gateway.store import MemoryStore
 from cloverhook.settings import DaemonSettings
--- a/features/steps/gateway_store_era_steps.py
+++ b/features/steps/gateway_store_era_steps.py
@@ -7,7 +7,7 @@
 
 from cloverhook.errors import PlatformSilentError
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
-from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.gateway_state import GatewayState
 from cloverhook.gateway.store import Feed, FeedSlice
 from cloverhook.gateway.store_follower import offsets_to_versions
 from features import gateway_fleet as fleet
--- a/features/steps/gateway_trust_steps.py
+++ b/features/steps/gateway_trust_steps.py
@@ -9,11 +9,11 @@
 from cloverhook.gateway.backend_server import BackendServer, ServerRecord
 from cloverhook.gateway.balancer import Balancer
 from cloverhook.gateway.choice import CapacityRequirement, WorkEstimates
+from cloverhook.gateway.circuit_breaker import RECENT_ANSWER_MS, CircuitBreaker
 from cloverhook.gateway.event_log import EventLog
 from cloverhook.gateway.failure_updates import FailureUpdates
-from cloverhook.gateway.knowledge import GatewayState
+from cloverhook.gateway.gateway_state import GatewayState
 from cloverhook.gateway.peer_messages import Failures
-from cloverhook.gateway.trust import RECENT_ANSWER_MS, CircuitBreaker
 from features import gateway_fleet as fleet
 from features.shared import run
 
--- a/features/steps/home_steps.py
+++ b/features/steps/home_steps.py
@@ -4,9 +4,9 @@
 
 from cloverhook.fleet import Endpoint, Policy, Priority
 from cloverhook.home_count import HomeCount, HomeDemand
+from cloverhook.load_shedder import LoadShedder
 from cloverhook.members import Member
 from cloverhook.messages import SlotGrant, SlotRequest, SlotReturn, encode
-from cloverhook.own_limit import LoadShedder
 from cloverhook.ownership import assign_owners
 from cloverhook.routing_events import CallerDisconnected, HomesChanged, ProbeEnded, SendMessage
 from cloverhook.steering import HomeRotation, answer_lifetime_ms
--- a/features/steps/load_replay_steps.py
+++ b/features/steps/load_replay_steps.py
@@ -9,17 +9,17 @@
 
 from bench import gateway_replay
 from bench.gateway_replay import Deployment, Load, play
-from cloverhook.gateway import balancer, load, trust, waiting_line
+from cloverhook.gateway import balancer, circuit_breaker, request_queue, server_load
 
 SEEDS = range(8)
 WITHOUT = {
-    "the last slot at the last moment": (waiting_line, "LAST_SLACK", -math.inf),
-    "leaving the last slot at first": (waiting_line, "LAST_SLACK", math.inf),
-    "putting off soon": (waiting_line, "DEFERRAL_SHARE", math.inf),
+    "the last slot at the last moment": (request_queue, "LAST_SLACK", -math.inf),
+    "leaving the last slot at first": (request_queue, "LAST_SLACK", math.inf),
+    "putting off soon": (request_queue, "DEFERRAL_SHARE", math.inf),
     "returning soon": (gateway_replay, "RETRY_AFTER_RANGE_MS", (150.0, 450.0)),
     "weighing refusals that all meet": (balancer, "REFUSAL_WEIGHT", 0.0),
-    "leaving out whom nobody reaches": (load.ServerLoad, "unreachable", lambda *_: False),
-    "trust by what requests met": (trust, "FAILURES", math.inf),
+    "leaving out whom nobody reaches": (server_load.ServerLoad, "unreachable", lambda *_: False),
+    "trust by what requests met": (circuit_breaker, "FAILURES", math.inf),
 }
 """What a mechanism's constant is when it is switched off.  Without slack for it no last slot is
 ever taken."""
--- a/features/steps/membership_fleet_steps.py
+++ b/features/steps/membership_fleet_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 from websockets.asyncio.client import connect
 
-from cloverhook.greeting import Handshake, Role
+from cloverhook.handshake import Handshake, Role
 from cloverhook.messages import Hello, encode
 from cloverhook_emulator.cut_proxy import CutProxy, Mode
 from cloverhook_emulator.fleet_runner import OPERATOR_TOKEN, Fleet
--- a/features/steps/peer_links_steps.py
+++ b/features/steps/peer_links_steps.py
@@ -9,7 +9,7 @@
 from websockets.asyncio.server import serve
 
 from cloverhook.errors import AuthenticationError
-from cloverhook.greeting import Handshake, Role
+from cloverhook.handshake import Handshake, Role
 from cloverhook.messages import Hello, Ping, RecordsRequest
 from cloverhook.peering import LINK_IDLE_TIMEOUT_MS, LINK_SILENCE_TIMEOUT_MS, PeerLinks
 from cloverhook_emulator.cut_proxy import CutProxy, Mode
