--- a/cloverhook/cli.py
+++ b/cloverhook/cli.py
@@ -54,12 +54,12 @@
 flags.DEFINE_enum("output", "text", ["text", "json"], "How results are printed.")
 flags.DEFINE_bool("wait", False, "Wait until every daemon has the change.")
 flags.DEFINE_integer("wait_ms", 30_000, "How long --wait waits.", lower_bound=0)
-flags.DEFINE_integer("slots", None, "place add: what an endpoint runs at once.")
-flags.DEFINE_string("request", "", "events: those of the request with this identifier.")
-flags.DEFINE_string("endpoint", "", "events: those of the backend server at this ip:port.")
-flags.DEFINE_string("change", "", "events: those of the change with this identifier.")
+flags.DEFINE_integer("slots", None, "place add: how many requests an endpoint runs at once.")
+flags.DEFINE_string("request", "", "events: only those of the request with this identifier.")
+flags.DEFINE_string("endpoint", "", "events: only those of the backend server at this ip:port.")
+flags.DEFINE_string("change", "", "events: only those of the change with this identifier.")
 flags.DEFINE_string("trace", "", "events: the file to write them to, for a trace viewer.")
-flags.DEFINE_integer("connections", None, "place add: the connections an endpoint takes.")
+flags.DEFINE_integer("connections", None, "place add: how many connections an endpoint accepts.")
 
 
 def _find(arguments: list[str]) -> tuple[Command, list[str]]:
--- a/cloverhook/explain_command.py
+++ b/cloverhook/explain_command.py
@@ -40,7 +40,7 @@
     Command(
         "explain",
         ("REQUEST-ID", "LOGS"),
-        "Tell from a file, a folder or - (standard input) of gateway logs why a request ended so.",
+        "Explain a request's outcome from gateway logs: a file, a folder or - (standard input).",
         "cloverhook explain 9c41d07be2a35f68 /var/log/cloverhook",
         _explain,
     ),
--- a/cloverhook/fleet_commands.py
+++ b/cloverhook/fleet_commands.py
@@ -51,14 +51,14 @@
     Command(
         "status",
         (),
-        "Show every daemon's offset, presets and the age of what it knows.",
+        "Show every daemon's offset and presets, and the age of its data.",
         "cloverhook status --daemons=10.0.0.1:7001,10.0.0.2:7001",
         _status,
     ),
     Command(
         "drain",
         ("VM",),
-        "Begin a planned stop of a VM's daemon: it leaves gracefully.",
+        "Begin a planned stop of a VM's daemon, which shuts down gracefully.",
         "cloverhook drain vm-3",
         _drain,
     ),
--- a/cloverhook/metrics.py
+++ b/cloverhook/metrics.py
@@ -125,29 +125,29 @@
     DROPPED_MESSAGES = MetricSpec(
         "cloverhook_peer_messages_dropped_total",
         COUNTER,
-        "Messages that were replaced by newer ones, or dropped since a link's queue was full.",
+        "Messages replaced by newer ones, or dropped because a link's queue was full.",
         "messages",
     )
     PAUSES = MetricSpec(
-        "cloverhook_pauses_total", COUNTER, "Pauses of this process that were noticed.", "pauses"
+        "cloverhook_pauses_total", COUNTER, "Detected pauses of this process.", "pauses"
     )
     AUTHENTICATION_FAILURES = MetricSpec(
         "cloverhook_refused_strangers_total",
         COUNTER,
-        "Links refused because the other side did not prove that it holds the shared key.",
+        "Links rejected because the peer did not prove that it holds the shared key.",
         "links",
     )
     REJECTED_OPERATOR_CALLS = MetricSpec(
         "cloverhook_refused_operators_total",
         COUNTER,
-        "Calls of the operators' listener refused for a wrong or missing token.",
+        "Calls to the operators' listener rejected for a wrong or missing token.",
         "calls",
     )
     LOG_AGE = MetricSpec(
         "cloverhook_log_age_ms", GAUGE, "Time since the platform's log last answered.", "ms"
     )
     OFFSET = MetricSpec(
-        "cloverhook_config_offset", GAUGE, "The offset of the record that comes next.", "records"
+        "cloverhook_config_offset", GAUGE, "The offset of the next record to read.", "records"
     )
     MEMBERS = MetricSpec("cloverhook_members", GAUGE, "Daemons that serve.", "daemons")
     DRAINING = MetricSpec("cloverhook_leaving", GAUGE, "1 during a planned stop, else 0.", "flag")
@@ -157,7 +157,7 @@
     EVENTS_DROPPED = MetricSpec(
         "cloverhook_events_dropped_total",
         COUNTER,
-        "Events of the time line that newer ones pushed out.",
+        "Events of the time line discarded to make room for newer ones.",
         "events",
     )
     EVENTS_SKIPPED = MetricSpec(
@@ -169,7 +169,7 @@
     SERIES_DROPPED = MetricSpec(
         "cloverhook_series_dropped",
         GAUGE,
-        "Series left out of this page because their metric has too many.",
+        "Series omitted from this output because their metric has too many.",
         "series",
     )
 
