--- a/features/steps/gateway_quarantine_steps.py
+++ b/features/steps/gateway_quarantine_steps.py
@@ -27,10 +27,7 @@
 async def start_crashing(context, gateways, backends):
     """Start a fleet whose backend servers crash on a fatal request and restart afterwards."""
     context.log = bytearray()
-    context.ends_ms = []
-    context.fatal_arrivals_ms = []
-    context.after_crash = set()
-    context.stack.push_async_callback(cancel_all, context.after_crash)
+    prepare_crashes(context)
 
     def write(data):
         context.log.extend(data)
@@ -43,8 +40,17 @@
     await wait_for_membership(context)
 
 
-async def cancel_all(tasks):
-    """Cancel tasks and wait until they have ended."""
+def prepare_crashes(context):
+    """Prepare the record of crashes, and cancel those not yet finished after the scenario."""
+    context.ends_ms, context.fatal_arrivals_ms = [], []
+    context.crash_timers, context.after_crash = [], set()
+    context.stack.push_async_callback(cancel_all, context.crash_timers, context.after_crash)
+
+
+async def cancel_all(timers, tasks):
+    """Cancel timers and the tasks that they have started, and wait until the tasks have ended."""
+    for timer in timers:
+        timer.cancel()
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
@@ -57,19 +63,30 @@
 
 
 def on_request(context, backend, head):
-    """Schedule a crash of a backend server shortly after a fatal request has reached it."""
+    """Schedule a crash of a backend server shortly after a fatal request has reached it.
+
+    The delay counts from the request's arrival, so that the crash precedes the answer, which comes
+    `WORK_MS` after it, even if this process stalls in between.
+    """
     if b"fatal" not in head:
         return
     context.fatal_arrivals_ms.append(monotonic_ms())
-    task = asyncio.get_running_loop().create_task(crash_and_restart(context, backend))
+    context.crash_timers.append(
+        asyncio.get_running_loop().call_later(
+            CRASH_DELAY_MS / 1000, start_crash, context, backend, backend.incarnation
+        )
+    )
+
+
+def start_crash(context, backend, incarnation):
+    """Start the task that crashes and restarts a backend server."""
+    task = asyncio.get_running_loop().create_task(crash_and_restart(context, backend, incarnation))
     context.after_crash.add(task)
     task.add_done_callback(context.after_crash.discard)
 
 
-async def crash_and_restart(context, backend):
-    """Crash a backend server, and restart it as a new incarnation."""
-    incarnation = backend.incarnation
-    await asyncio.sleep(CRASH_DELAY_MS / 1000)
+async def crash_and_restart(context, backend, incarnation):
+    """Crash a backend server if it is still this incarnation, and restart it as a new one."""
     if backend.incarnation != incarnation or not backend.listener.is_serving():
         return
     context.ends_ms.append(monotonic_ms())
@@ -112,8 +129,7 @@
     if ends == "resets connections":
         backend.default = "reset"
         return
-    context.ends_ms, context.fatal_arrivals_ms, context.after_crash = [], [], set()
-    context.stack.push_async_callback(cancel_all, context.after_crash)
+    prepare_crashes(context)
     backend.on_request = lambda server, _: on_request(context, server, b"fatal")
     backend.work_ms = 1_000.0
 
