--- a/cloverhook/at_most_once.py
+++ b/cloverhook/at_most_once.py
@@ -72,7 +72,7 @@
             if not isinstance(decision, Denied):
                 raise RequestError(
                     ErrorKind.REPEAT_UNSETTLED,
-                    "claim records were missed; an earlier request may hold the key",
+                    "records of claims were missed",
                 )
             if await self._answer_retry(exchange, decision):
                 return
@@ -122,7 +122,7 @@
         except TimeoutError as error:
             raise RequestError(
                 ErrorKind.REPEAT_UNSETTLED,
-                "the first request with this idempotency key is still running",
+                "the first request goes on",
             ) from error
 
     async def _replay(self, exchange: Exchange, answer: CapturedAnswer) -> None:
--- a/cloverhook/claim_log.py
+++ b/cloverhook/claim_log.py
@@ -71,7 +71,7 @@
         if late or decision is None:
             raise RequestError(
                 ErrorKind.LOG_UNAVAILABLE,
-                "the claim on the idempotency key could not be decided in time",
+                "the claim on the idempotency key could not be settled in time",
                 RETRY_AFTER_MS,
             )
         return decision
--- a/cloverhook/dispatch.py
+++ b/cloverhook/dispatch.py
@@ -159,9 +159,7 @@
         """Return the service for a host name.  Raises `RequestError` if there is none."""
         target = self._targets_by_host.get(host.partition(b":")[0].lower())
         if target is None:
-            raise RequestError(
-                ErrorKind.UNKNOWN_HOST, "no service is configured for this host name"
-            )
+            raise RequestError(ErrorKind.UNKNOWN_HOST, "no service has this host name")
         return target
 
     async def admit(self, target: Target, arrival: Arrival, now_ms: float) -> str:
@@ -171,7 +169,7 @@
         """
         if self.load_shedder.should_shed(arrival.priority):
             after_ms = self._retry_after.record_rejection(0.0)
-            raise RequestError(ErrorKind.OVERLOADED, "this VM is overloaded", after_ms)
+            raise RequestError(ErrorKind.OVERLOADED, "this VM is at its limit", after_ms)
         self._retry_after.record_admission()
         return await self._wait_for_start(target, arrival.request_id, arrival, now_ms)
 
